--- a/src/sassafrasstair/bench/_model_baselines.py
+++ b/src/sassafrasstair/bench/_model_baselines.py
@@ -135,7 +135,7 @@
     if len(gate.waiting) < QUEUE_PER_SLOT * gate.limit:
         gate.waiting.append(work.attempt_id)
         return []
-    return [load.Turn(work.attempt_id, outcomes.Reason.QUEUE_FULL, 0.0)]
+    return [load.TurnAway(work.attempt_id, outcomes.Reason.QUEUE_FULL, 0.0)]
 
 
 def finish(gate: Gate) -> list[load.Effect]:
--- a/src/sassafrasstair/bench/_model_worlds.py
+++ b/src/sassafrasstair/bench/_model_worlds.py
@@ -214,7 +214,7 @@
                 continue
             if isinstance(effect, load.Start):
                 self._start(vm, job)
-            elif isinstance(effect, load.Turn):
+            elif isinstance(effect, load.TurnAway):
                 self._end(vm, job, None, effect.reason, effect.retry_after)
             else:
                 self._abort(vm, job)
@@ -285,11 +285,11 @@
                 load.End.FAILED,
                 effect.reason,
                 effect.retry_after,
-                effect.spent,
+                effect.retries_spent,
                 effect.outcome,
             )
         elif isinstance(effect, calls.Deliver):
-            self._finish(vm, job, effect.spent)
+            self._finish(vm, job, effect.retries_spent)
 
     def _finish(
         self, vm: _model_vms.Vm, job: _model_vms.Job, spent: int = 0
--- a/src/sassafrasstair/bench/_overload_policies.py
+++ b/src/sassafrasstair/bench/_overload_policies.py
@@ -78,7 +78,7 @@
     def tick(self, now: float) -> list[load.Effect]:
         """Look at the deadlines again."""
 
-    def told(self, view: View, work: load.Work) -> calls.Load:
+    def told(self, view: View, work: load.Work) -> calls.LoadReport:
         """Return what goes back on an answer."""
 
     def probe_due(self, now: float) -> list[str]:
@@ -112,7 +112,7 @@
         call: calls.Call,
         targets: abc.Sequence[calls.Target],
     ) -> tuple[str, calls.Effect]:
-        return calls.begin(
+        return calls.begin_call(
             self._entrance, view.bundle, call, targets, view.now, view.rng
         )
 
@@ -124,7 +124,7 @@
         answer: calls.Answer,
         targets: abc.Sequence[calls.Target],
     ) -> calls.Effect | None:
-        return calls.answered(
+        return calls.apply_answer(
             self._entrance,
             view.bundle,
             key,
@@ -136,7 +136,7 @@
         )
 
     def abandon(self, key: str, now: float) -> str:
-        return calls.abandon(self._entrance, key, now)
+        return calls.abandon_call(self._entrance, key, now)
 
     def offer(self, work: load.Work, now: float) -> list[load.Effect]:
         return load.offer(self._guard, work, now)
@@ -152,8 +152,8 @@
     def tick(self, now: float) -> list[load.Effect]:
         return load.tick(self._guard, now)
 
-    def told(self, view: View, work: load.Work) -> calls.Load:
-        below = calls.floor_below(
+    def told(self, view: View, work: load.Work) -> calls.LoadReport:
+        below = calls.max_callee_floor(
             self._entrance,
             view.bundle,
             view.service,
@@ -163,18 +163,18 @@
         )
         own = load.floor(self._guard, view.now, work.tenant)
         busy = load.busy(self._guard)
-        return calls.Load(
+        return calls.LoadReport(
             busy,
             max(own, below),
             self._guard.limit,
-            load.service(self._guard),
+            load.service_seconds(self._guard),
         )
 
     def probe_due(self, now: float) -> list[str]:
         return calls.probe_due(self._entrance.routes, now)
 
     def probed(self, vm: str, alive: bool, now: float) -> None:
-        calls.probed(self._entrance.routes, vm, alive, now)
+        calls.probe_ended(self._entrance.routes, vm, alive, now)
 
 
 class Baseline:
@@ -241,8 +241,8 @@
     def tick(self, now: float) -> list[load.Effect]:
         return []
 
-    def told(self, view: View, work: load.Work) -> calls.Load:
-        return calls.Load()
+    def told(self, view: View, work: load.Work) -> calls.LoadReport:
+        return calls.LoadReport()
 
     def probe_due(self, now: float) -> list[str]:
         return []
--- a/src/sassafrasstair/decisions/admission/__init__.py
+++ b/src/sassafrasstair/decisions/admission/__init__.py
@@ -6,35 +6,35 @@
 from sassafrasstair.decisions.admission._admissions import admit
 from sassafrasstair.decisions.admission._admissions import Gate
 from sassafrasstair.decisions.admission._admissions import gate_of
-from sassafrasstair.decisions.admission._admissions import hear
+from sassafrasstair.decisions.admission._admissions import observe_load
 from sassafrasstair.decisions.admission._admissions import pressure
 from sassafrasstair.decisions.admission._admissions import shedding
 from sassafrasstair.decisions.admission._callers import Callers
 from sassafrasstair.decisions.admission._callers import is_inner
 from sassafrasstair.decisions.admission._callers import note_caller
-from sassafrasstair.decisions.admission._chains import below
-from sassafrasstair.decisions.admission._chains import calls_on
-from sassafrasstair.decisions.admission._chains import Chains
-from sassafrasstair.decisions.admission._chains import forget_inner
-from sassafrasstair.decisions.admission._chains import hear_inner
+from sassafrasstair.decisions.admission._chains import busiest_callee_load
+from sassafrasstair.decisions.admission._chains import called_only_by_upstreams
+from sassafrasstair.decisions.admission._chains import CalleeLoads
+from sassafrasstair.decisions.admission._chains import mark_called_by_clients
+from sassafrasstair.decisions.admission._chains import observe_inner_load
 from sassafrasstair.decisions.admission._parents import parent_rank
 from sassafrasstair.decisions.admission._parents import Parents
-from sassafrasstair.decisions.admission._parents import Running
+from sassafrasstair.decisions.admission._parents import RunningRequest
 
 __all__ = [
     "Admission",
     "Callers",
-    "Chains",
+    "CalleeLoads",
     "Gate",
     "Parents",
-    "Running",
+    "RunningRequest",
     "admit",
-    "below",
-    "calls_on",
-    "forget_inner",
+    "busiest_callee_load",
+    "called_only_by_upstreams",
+    "mark_called_by_clients",
     "gate_of",
-    "hear",
-    "hear_inner",
+    "observe_load",
+    "observe_inner_load",
     "is_inner",
     "note_caller",
     "parent_rank",
--- a/src/sassafrasstair/decisions/admission/_admissions.py
+++ b/src/sassafrasstair/decisions/admission/_admissions.py
@@ -59,8 +59,8 @@
 
     share: float = 1.0
     load: float = 0.0
-    heard: float = -math.inf
-    updated: float = -math.inf
+    heard_at: float = -math.inf
+    updated_at: float = -math.inf
 
 
 @dataclasses.dataclass(slots=True)
@@ -82,14 +82,16 @@
     return 1.0 + (busy - 1.0) * service / WAIT_SECONDS
 
 
-def hear(admission: Admission, route: str, load: float, now: float) -> None:
+def observe_load(
+    admission: Admission, route: str, load: float, now: float
+) -> None:
     """Note the pressure told with an answer on the route."""
     gate = admission.gates.get(route)
     if gate is None:
-        gate = admission.gates[route] = Gate(updated=now)
-    weight = _averages.weight(now - gate.heard, LEAST_WEIGHT)
+        gate = admission.gates[route] = Gate(updated_at=now)
+    weight = _averages.weight(now - gate.heard_at, LEAST_WEIGHT)
     gate.load += weight * (load - gate.load)
-    gate.heard = now
+    gate.heard_at = now
 
 
 def admit(
@@ -107,7 +109,7 @@
     gate = admission.gates.get(route)
     if gate is None:
         return True
-    if now - gate.updated >= UPDATE_SECONDS:
+    if now - gate.updated_at >= UPDATE_SECONDS:
         _update(gate, above_least, now)
     return gate.share >= 1.0 or rng.random() < gate.share
 
@@ -127,10 +129,10 @@
 
 
 def _update(gate: Gate, above_least: int, now: float) -> None:
-    elapsed = min(FRESH_SECONDS, now - gate.updated)
-    gate.updated = now
+    elapsed = min(FRESH_SECONDS, now - gate.updated_at)
+    gate.updated_at = now
     over = gate.load - TARGET - TARGET_STEP * above_least
-    if over > 0.0 and now - gate.heard < FRESH_SECONDS:
+    if over > 0.0 and now - gate.heard_at < FRESH_SECONDS:
         cut = min(CUT_MOST, CUT * over) / (1.0 + above_least)
         gate.share = max(LEAST, gate.share * (1.0 - cut))
     else:
--- a/src/sassafrasstair/decisions/admission/_chains.py
+++ b/src/sassafrasstair/decisions/admission/_chains.py
@@ -28,38 +28,38 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Chains:
+class CalleeLoads:
     """Loads heard with answers on inner routes."""
 
-    heard: dict[Key, Heard] = dataclasses.field(default_factory=dict)
-    routes: set[str] = dataclasses.field(default_factory=set)
+    loads: dict[Key, Heard] = dataclasses.field(default_factory=dict)
+    inner_routes: set[str] = dataclasses.field(default_factory=set)
 
 
-def hear_inner(
-    chains: Chains, route: str, level: int, load: float, now: float
+def observe_inner_load(
+    chains: CalleeLoads, route: str, level: int, load: float, now: float
 ) -> None:
     """Note the load that came with the answer to an upstream's call."""
-    chains.routes.add(route)
-    known = chains.heard.get((route, level))
+    chains.inner_routes.add(route)
+    known = chains.loads.get((route, level))
     if known is None:
-        chains.heard[route, level] = Heard(load, now)
+        chains.loads[route, level] = Heard(load, now)
         return
     weight = _averages.weight(now - known.at, LEAST_WEIGHT)
     known.load += weight * (load - known.load)
     known.at = now
 
 
-def forget_inner(chains: Chains, route: str) -> None:
+def mark_called_by_clients(chains: CalleeLoads, route: str) -> None:
     """Note that clients call the route too."""
-    chains.routes.discard(route)
+    chains.inner_routes.discard(route)
 
 
-def calls_on(chains: Chains, route: str) -> bool:
+def called_only_by_upstreams(chains: CalleeLoads, route: str) -> bool:
     """Return whether only upstreams call the route, as far as was told."""
-    return route in chains.routes
+    return route in chains.inner_routes
 
 
-def below(chains: Chains, level: int, now: float) -> float:
+def busiest_callee_load(chains: CalleeLoads, level: int, now: float) -> float:
     """Return the greatest load among the services called from here.
 
     As requests of the importance ``level`` meet it.
@@ -67,7 +67,7 @@
     return max(
         (
             known.load
-            for (_, known_level), known in chains.heard.items()
+            for (_, known_level), known in chains.loads.items()
             if known_level == level and now - known.at < FADE_SECONDS
         ),
         default=0.0,
--- a/src/sassafrasstair/decisions/admission/_parents.py
+++ b/src/sassafrasstair/decisions/admission/_parents.py
@@ -40,7 +40,7 @@
 """Calls after which the counts are halved, so that they follow changes."""
 
 
-class Running(typing.Protocol):
+class RunningRequest(typing.Protocol):
     """A request at the own upstream; ``deadline`` is when it expires."""
 
     @property
@@ -71,7 +71,7 @@
     parents: Parents,
     route: str,
     expires: float,
-    running: abc.Sequence[Running],
+    running: abc.Sequence[RunningRequest],
 ) -> float | None:
     """Return the rank of the request that a call is part of.
 
@@ -94,8 +94,8 @@
 
 
 def _expiring_near(
-    expires: float, running: abc.Iterable[Running]
-) -> tuple[list[Running], list[Running]]:
+    expires: float, running: abc.Iterable[RunningRequest]
+) -> tuple[list[RunningRequest], list[RunningRequest]]:
     """Return the requests that expire with a call, and so much later.
 
     One pass: some 100 requests run on a busy VM, and each call looks at all.
@@ -124,8 +124,8 @@
 
 def _count(
     counts: Counts,
-    together: abc.Iterable[Running],
-    chance: abc.Iterable[Running],
+    together: abc.Iterable[RunningRequest],
+    chance: abc.Iterable[RunningRequest],
 ) -> None:
     counts.calls += 1
     for table, found in ((counts.together, together), (counts.chance, chance)):
--- a/src/sassafrasstair/decisions/calls/__init__.py
+++ b/src/sassafrasstair/decisions/calls/__init__.py
@@ -2,78 +2,78 @@
 
 from __future__ import annotations
 
-from sassafrasstair.decisions.calls._entrances import abandon
-from sassafrasstair.decisions.calls._entrances import answered
-from sassafrasstair.decisions.calls._entrances import begin
+from sassafrasstair.decisions.calls._entrances import abandon_call
+from sassafrasstair.decisions.calls._entrances import apply_answer
+from sassafrasstair.decisions.calls._entrances import begin_call
 from sassafrasstair.decisions.calls._entrances import Entrance
 from sassafrasstair.decisions.calls._entrances import floor
-from sassafrasstair.decisions.calls._entrances import floor_below
+from sassafrasstair.decisions.calls._entrances import max_callee_floor
 from sassafrasstair.decisions.calls._entrances import new_entrance
 from sassafrasstair.decisions.calls._floors import Floors
-from sassafrasstair.decisions.calls._floors import hear
+from sassafrasstair.decisions.calls._floors import observe_floor
 from sassafrasstair.decisions.calls._floors import of_service as floor_of
 from sassafrasstair.decisions.calls._messages import Answer
 from sassafrasstair.decisions.calls._messages import Call
 from sassafrasstair.decisions.calls._messages import Deliver
 from sassafrasstair.decisions.calls._messages import Effect
-from sassafrasstair.decisions.calls._messages import Load
+from sassafrasstair.decisions.calls._messages import LoadReport
 from sassafrasstair.decisions.calls._messages import Refuse
 from sassafrasstair.decisions.calls._messages import Send
 from sassafrasstair.decisions.calls._messages import Target
-from sassafrasstair.decisions.calls._pauses import BEAT_SECONDS
-from sassafrasstair.decisions.calls._pauses import lateness
+from sassafrasstair.decisions.calls._pauses import HEARTBEAT_SECONDS
+from sassafrasstair.decisions.calls._pauses import max_message_age
 from sassafrasstair.decisions.calls._pauses import note as note_beat
 from sassafrasstair.decisions.calls._pauses import Pauses
 from sassafrasstair.decisions.calls._peers import eject
-from sassafrasstair.decisions.calls._peers import ended
-from sassafrasstair.decisions.calls._peers import forget
+from sassafrasstair.decisions.calls._peers import end_attempt
+from sassafrasstair.decisions.calls._peers import forget_attempt
 from sassafrasstair.decisions.calls._peers import probe_due
-from sassafrasstair.decisions.calls._peers import probed
-from sassafrasstair.decisions.calls._peers import restarted
+from sassafrasstair.decisions.calls._peers import probe_ended
+from sassafrasstair.decisions.calls._peers import record_restart
 from sassafrasstair.decisions.calls._peers import Routes
-from sassafrasstair.decisions.calls._peers import sent
-from sassafrasstair.decisions.calls._routing import Leaving
-from sassafrasstair.decisions.calls._routing import pick
-from sassafrasstair.decisions.calls._routing import why_left
-from sassafrasstair.decisions.calls._views import choose
+from sassafrasstair.decisions.calls._peers import start_attempt
+from sassafrasstair.decisions.calls._routing import CrossingReason
+from sassafrasstair.decisions.calls._routing import pick_target
+from sassafrasstair.decisions.calls._routing import reason_for_crossing
+from sassafrasstair.decisions.calls._views import choose_target
 from sassafrasstair.decisions.calls._views import floors
 from sassafrasstair.decisions.calls._views import retry_tokens
 
 __all__ = [
-    "BEAT_SECONDS",
+    "HEARTBEAT_SECONDS",
     "Answer",
     "Call",
     "Deliver",
     "Effect",
     "Entrance",
     "Floors",
-    "Leaving",
-    "Load",
+    "CrossingReason",
+    "LoadReport",
     "Pauses",
     "Refuse",
     "Routes",
     "Send",
     "Target",
-    "abandon",
-    "answered",
-    "begin",
-    "choose",
+    "abandon_call",
+    "apply_answer",
+    "begin_call",
+    "choose_target",
     "eject",
-    "ended",
+    "end_attempt",
     "floor",
-    "floor_below",
+    "max_callee_floor",
     "floor_of",
     "floors",
-    "forget",
-    "lateness",
-    "hear",
+    "forget_attempt",
+    "max_message_age",
+    "observe_floor",
     "new_entrance",
     "note_beat",
-    "pick",
+    "pick_target",
     "probe_due",
-    "probed",
-    "restarted",
+    "probe_ended",
+    "record_restart",
     "retry_tokens",
-    "sent",
-    "why_left",
+    "start_attempt",
+    "reason_for_crossing",
 ]
--- a/src/sassafrasstair/decisions/calls/_entrances.py
+++ b/src/sassafrasstair/decisions/calls/_entrances.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Pending:
+class PendingCall:
     """One call under way at this entrance.
 
     ``lost`` is set once an attempt ended without its outcome known.
@@ -36,12 +36,12 @@
 
     call: _messages.Call
     rank: float
-    lost: bool = False
+    may_have_run: bool = False
     tried: list[str] = dataclasses.field(default_factory=list)
     attempt_id: str = ""
-    sent: float = 0.0
-    given: int = 0
-    spent: int = 0
+    sent_at: float = 0.0
+    retries_granted: int = 0
+    retries_spent: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,7 +50,7 @@
 
     incarnation: str
     routes: _peers.Routes
-    pending: dict[str, Pending] = dataclasses.field(default_factory=dict)
+    pending: dict[str, PendingCall] = dataclasses.field(default_factory=dict)
     floors: _floors.Floors = dataclasses.field(default_factory=_floors.Floors)
     budgets: dict[str, _retries.Budget] = dataclasses.field(
         default_factory=dict
@@ -65,7 +65,7 @@
     return Entrance(incarnation, _peers.Routes(failure_domain, region))
 
 
-def begin(
+def begin_call(
     entrance: Entrance,
     bundle: bundles.Bundle,
     call: _messages.Call,
@@ -91,7 +91,7 @@
         return "", _refuse(rules, call, reason, rng, least)
     entrance.serial += 1
     key = f"{entrance.incarnation}.{entrance.serial}"
-    pending = Pending(call, rank)
+    pending = PendingCall(call, rank)
     effect = _send(entrance, bundle, key, pending, targets, now, rng)
     if effect is None:
         reason = outcomes.Reason.NO_INSTANCE
@@ -100,7 +100,7 @@
     return key, effect
 
 
-def answered(
+def apply_answer(
     entrance: Entrance,
     bundle: bundles.Bundle,
     key: str,
@@ -116,21 +116,23 @@
         return None
     call = pending.call
     vm = pending.tried[-1]
-    _peers.ended(entrance.routes, vm, answer, now - pending.sent, now)
+    _peers.end_attempt(entrance.routes, vm, answer, now - pending.sent_at, now)
     if answer.incarnation:
         key_of_floor = _floor_key(call)
         told = answer.load.floor
-        _floors.hear(entrance.floors, key_of_floor, vm, told, now)
-    pending.spent += _spent(pending, answer)
+        _floors.observe_floor(entrance.floors, key_of_floor, vm, told, now)
+    pending.retries_spent += _spent(pending, answer)
     lost = answer.outcome is outcomes.Outcome.UNKNOWN
-    pending.lost = pending.lost or lost
+    pending.may_have_run = pending.may_have_run or lost
     budget = _budget(entrance, bundle, call.service)
     if answer.outcome is outcomes.Outcome.DONE:
         _retries.earn(budget, bundle.retry_budget)
         del entrance.pending[key]
-        return _messages.Deliver(attempt_id, pending.spent, answer.load.floor)
+        return _messages.Deliver(
+            attempt_id, pending.retries_spent, answer.load.floor
+        )
     if _may_retry(bundle, pending, answer, now) and _retries.spend(budget):
-        pending.spent += 1
+        pending.retries_spent += 1
         effect = _send(entrance, bundle, key, pending, targets, now, rng)
         if effect is not None:
             return effect
@@ -139,17 +141,17 @@
         _told_outcome(pending, answer),
         answer.reason,
         _come_back(bundle, call, answer, rng),
-        pending.spent,
+        pending.retries_spent,
         answer.load.floor,
     )
 
 
-def abandon(entrance: Entrance, key: str, now: float) -> str:
+def abandon_call(entrance: Entrance, key: str, now: float) -> str:
     """Forget a call whose caller went away; return its attempt or ""."""
     pending = entrance.pending.pop(key, None)
     if pending is None:
         return ""
-    _peers.forget(entrance.routes, pending.tried[-1])
+    _peers.forget_attempt(entrance.routes, pending.tried[-1])
     return pending.attempt_id
 
 
@@ -165,7 +167,7 @@
     return _floors.of_service(entrance.floors, key, now)
 
 
-def floor_below(
+def max_callee_floor(
     entrance: Entrance,
     bundle: bundles.Bundle,
     service: str,
@@ -197,7 +199,7 @@
     entrance: Entrance,
     bundle: bundles.Bundle,
     key: str,
-    pending: Pending,
+    pending: PendingCall,
     targets: abc.Sequence[_messages.Target],
     now: float,
     rng: random.Random,
@@ -207,24 +209,24 @@
         entrance.floors, _floor_key(call), pending.rank, now
     )
     passing = [target for target in targets if target.vm not in refusing]
-    target = _routing.pick(
+    target = _routing.pick_target(
         entrance.routes, passing or targets, pending.tried, now, rng
     )
     if target is None:
         return None
     pending.tried.append(target.vm)
     pending.attempt_id = f"{key}.{len(pending.tried)}"
-    pending.sent = now
-    _peers.sent(entrance.routes, target.vm, now)
+    pending.sent_at = now
+    _peers.start_attempt(entrance.routes, target.vm, now)
     leaf = not bundle.services[call.service].calls
-    left = call.retries - pending.spent
-    pending.given = _retries.passed_down(left, leaf)
+    left = call.retries - pending.retries_spent
+    pending.retries_granted = _retries.passed_down(left, leaf)
     return _messages.Send(
-        pending.attempt_id, target, call.deadline, pending.given
+        pending.attempt_id, target, call.deadline, pending.retries_granted
     )
 
 
-def _spent(pending: Pending, answer: _messages.Answer) -> int:
+def _spent(pending: PendingCall, answer: _messages.Answer) -> int:
     """Return the retries used further down.
 
     An attempt that was lost may have used all that it was given: less
@@ -232,12 +234,12 @@
     """
     lost = answer.outcome is outcomes.Outcome.UNKNOWN
     if lost and not answer.incarnation:
-        return pending.given
-    return answer.spent
+        return pending.retries_granted
+    return answer.retries_spent
 
 
 def _told_outcome(
-    pending: Pending, answer: _messages.Answer
+    pending: PendingCall, answer: _messages.Answer
 ) -> outcomes.Outcome:
     """Return what the caller may be told of a call that failed.
 
@@ -249,7 +251,7 @@
     "not run", and the earlier use, still on its way, runs. Without the
     owner's own word "not run" holds for a first use alone.
     """
-    if pending.lost:
+    if pending.may_have_run:
         return outcomes.Outcome.UNKNOWN
     call = pending.call
     not_run = answer.outcome is outcomes.Outcome.NOT_RUN
@@ -260,7 +262,7 @@
 
 def _may_retry(
     bundle: bundles.Bundle,
-    pending: Pending,
+    pending: PendingCall,
     answer: _messages.Answer,
     now: float,
 ) -> bool:
@@ -271,7 +273,7 @@
         return False
     if now >= pending.call.deadline:
         return False
-    return pending.spent < pending.call.retries
+    return pending.retries_spent < pending.call.retries
 
 
 def _budget(
--- a/src/sassafrasstair/decisions/calls/_floors.py
+++ b/src/sassafrasstair/decisions/calls/_floors.py
@@ -16,19 +16,19 @@
     """Shed floor last heard from an instance for a class, and when."""
 
     value: float
-    heard: float
+    heard_at: float
 
 
 @dataclasses.dataclass(slots=True)
 class Floors:
     """Floors by (service, class, tenant), then by VM."""
 
-    heard: dict[tuple[str, str, str], dict[str, Floor]] = dataclasses.field(
+    by_class: dict[tuple[str, str, str], dict[str, Floor]] = dataclasses.field(
         default_factory=dict
     )
 
 
-def hear(
+def observe_floor(
     floors: Floors,
     key: tuple[str, str, str],
     vm: str,
@@ -36,12 +36,12 @@
     now: float,
 ) -> None:
     """Note the floor that came with an answer of ``vm``."""
-    floors.heard.setdefault(key, {})[vm] = Floor(value, now)
+    floors.by_class.setdefault(key, {})[vm] = Floor(value, now)
 
 
 def of_instance(floor: Floor, now: float) -> float:
     """Return what the floor still counts for."""
-    stale = max(0.0, now - floor.heard - HOLD_SECONDS)
+    stale = max(0.0, now - floor.heard_at - HOLD_SECONDS)
     return max(0.0, floor.value - FALL_PER_SECOND * stale)
 
 
@@ -50,14 +50,14 @@
 
     The least, because routing can send the request to that instance.
     """
-    heard = floors.heard.get(key)
+    heard = floors.by_class.get(key)
     if not heard:
         return 0.0
     for vm in [vm for vm, floor in heard.items() if _is_old(floor, now)]:
         # An instance that left would else count as one without a floor.
         del heard[vm]
     if not heard:
-        del floors.heard[key]
+        del floors.by_class[key]
     return min(
         (of_instance(floor, now) for floor in heard.values()), default=0.0
     )
@@ -70,11 +70,11 @@
     now: float,
 ) -> frozenset[str]:
     """Return the VMs that would refuse the rank by the floors heard."""
-    heard = floors.heard.get(key, {})
+    heard = floors.by_class.get(key, {})
     return frozenset(
         vm for vm, floor in heard.items() if rank < of_instance(floor, now)
     )
 
 
 def _is_old(floor: Floor, now: float) -> bool:
-    return now - floor.heard >= FORGET_SECONDS
+    return now - floor.heard_at >= FORGET_SECONDS
--- a/src/sassafrasstair/decisions/calls/_messages.py
+++ b/src/sassafrasstair/decisions/calls/_messages.py
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Load:
+class LoadReport:
     """What a callee's daemon says of itself on each answer.
 
     ``busy`` is the share of its limit in use, queue included (may pass
@@ -59,7 +59,7 @@
     busy: float = 0.0
     floor: float = 0.0
     limit: float = 0.0
-    service: float = 0.0
+    service_seconds: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -72,8 +72,8 @@
 
     outcome: outcomes.Outcome
     reason: outcomes.Reason = outcomes.Reason.NONE
-    load: Load = Load()
-    spent: int = 0
+    load: LoadReport = LoadReport()
+    retries_spent: int = 0
     retry_after: float = 0.0
     incarnation: str = ""
 
@@ -101,7 +101,7 @@
     outcome: outcomes.Outcome
     reason: outcomes.Reason
     retry_after: float = 0.0
-    spent: int = 0
+    retries_spent: int = 0
     floor: float = 0.0
 
 
@@ -110,7 +110,7 @@
     """Effect: pass on the answer of attempt ``attempt_id`` as it came."""
 
     attempt_id: str
-    spent: int = 0
+    retries_spent: int = 0
     floor: float = 0.0
 
 
--- a/src/sassafrasstair/decisions/calls/_pauses.py
+++ b/src/sassafrasstair/decisions/calls/_pauses.py
@@ -11,7 +11,7 @@
 
 import dataclasses
 
-BEAT_SECONDS = 0.05
+HEARTBEAT_SECONDS = 0.05
 PAUSE_SECONDS = 0.25
 DRAIN_SECONDS = 0.1
 
@@ -20,9 +20,9 @@
 class Pauses:
     """When the loop last ran, and the last gap that it noticed."""
 
-    beat: float
-    gap: float = 0.0
-    woke: float = 0.0
+    last_heartbeat: float
+    last_pause: float = 0.0
+    resumed_at: float = 0.0
     count: int = 0
 
 
@@ -32,18 +32,18 @@
     Called each ``BEAT_SECONDS`` and before a message is handled, as after
     a pause either may come first.
     """
-    gap = now - pauses.beat
-    pauses.beat = now
+    gap = now - pauses.last_heartbeat
+    pauses.last_heartbeat = now
     if gap < PAUSE_SECONDS:
         return False
-    pauses.gap = gap
-    pauses.woke = now
+    pauses.last_pause = gap
+    pauses.resumed_at = now
     pauses.count += 1
     return True
 
 
-def lateness(pauses: Pauses, now: float) -> float:
+def max_message_age(pauses: Pauses, now: float) -> float:
     """Return the seconds that a message read now may have waited."""
-    if pauses.count and now - pauses.woke < DRAIN_SECONDS:
-        return pauses.gap
+    if pauses.count and now - pauses.resumed_at < DRAIN_SECONDS:
+        return pauses.last_pause
     return 0.0
--- a/src/sassafrasstair/decisions/calls/_peers.py
+++ b/src/sassafrasstair/decisions/calls/_peers.py
@@ -57,20 +57,20 @@
     make it ``ejected``, and a ping without an answer makes it ``dead``.
     """
 
-    inflight: int = 0
-    sent: int = 0
+    in_flight: int = 0
+    sent_since_heard: int = 0
     busy: float = 0.0
     limit: float = UNKNOWN_LIMIT
-    service: float = 0.0
-    usual: float = 0.0
+    service_seconds: float = 0.0
+    usual_service_seconds: float = 0.0
     samples: int = 0
-    heard: float = -math.inf
-    silent_from: float = 0.0
+    heard_at: float = -math.inf
+    silent_since: float = 0.0
     latency: float = 0.0
     failures: int = 0
     ejected: bool = False
-    dead: bool = False
-    pinged: float = -math.inf
+    unreachable: bool = False
+    pinged_at: float = -math.inf
 
 
 @dataclasses.dataclass(slots=True)
@@ -102,22 +102,24 @@
 
     failure_domain: str
     region: str
-    try_dead: bool = True
+    try_unreachable: bool = True
     peers: dict[str, Peer] = dataclasses.field(default_factory=dict)
-    by_service: dict[str, Sorted] = dataclasses.field(default_factory=dict)
-    changes: int = 0
+    targets_by_service: dict[str, Sorted] = dataclasses.field(
+        default_factory=dict
+    )
+    usability_changes: int = 0
 
 
-def sent(routes: Routes, vm: str, now: float) -> None:
+def start_attempt(routes: Routes, vm: str, now: float) -> None:
     """Note that an attempt went to ``vm``."""
     peer = routes.peers.setdefault(vm, Peer())
-    if not peer.inflight:
-        peer.silent_from = now
-    peer.inflight += 1
-    peer.sent += 1
+    if not peer.in_flight:
+        peer.silent_since = now
+    peer.in_flight += 1
+    peer.sent_since_heard += 1
 
 
-def ended(
+def end_attempt(
     routes: Routes,
     vm: str,
     answer: _messages.Answer,
@@ -126,7 +128,7 @@
 ) -> None:
     """Note how an attempt at ``vm`` ended, and the load it told."""
     peer = routes.peers.setdefault(vm, Peer())
-    peer.inflight = max(0, peer.inflight - 1)
+    peer.in_flight = max(0, peer.in_flight - 1)
     if answer.incarnation:
         _heard(peer, answer, now)
     if answer.outcome is outcomes.Outcome.DONE:
@@ -150,22 +152,22 @@
     _eject(routes, routes.peers.setdefault(vm, Peer()))
 
 
-def forget(routes: Routes, vm: str) -> None:
+def forget_attempt(routes: Routes, vm: str) -> None:
     """Note that an attempt ended without telling anything of ``vm``."""
     peer = routes.peers.get(vm)
     if peer is not None:
-        peer.inflight = max(0, peer.inflight - 1)
+        peer.in_flight = max(0, peer.in_flight - 1)
 
 
-def restarted(routes: Routes, vm: str, now: float) -> None:
+def record_restart(routes: Routes, vm: str, now: float) -> None:
     """Forget what is known of an instance that has started again.
 
     Only the attempts under way stay counted, until each has ended.
     """
     peer = routes.peers.get(vm)
     if peer is not None:
-        routes.peers[vm] = Peer(inflight=peer.inflight, silent_from=now)
-        routes.changes += 1
+        routes.peers[vm] = Peer(in_flight=peer.in_flight, silent_since=now)
+        routes.usability_changes += 1
 
 
 def probe_due(routes: Routes, now: float) -> list[str]:
@@ -176,52 +178,54 @@
     """
     due = []
     for vm, peer in list(routes.peers.items()):
-        away = now - peer.silent_from
-        if not peer.inflight and away >= FORGET_SECONDS:
+        away = now - peer.silent_since
+        if not peer.in_flight and away >= FORGET_SECONDS:
             del routes.peers[vm]
-            routes.changes += 1
-        elif peer.ejected or peer.dead or is_silent(peer, now):
+            routes.usability_changes += 1
+        elif peer.ejected or peer.unreachable or is_silent(peer, now):
             rarer = min(PING_SECONDS_MAX, PING_SHARE_OF_AWAY * away)
-            if now - peer.pinged >= max(PING_SECONDS, rarer):
-                peer.pinged = now
+            if now - peer.pinged_at >= max(PING_SECONDS, rarer):
+                peer.pinged_at = now
                 due.append(vm)
     return due
 
 
-def probed(routes: Routes, vm: str, alive: bool, now: float) -> None:
+def probe_ended(routes: Routes, vm: str, alive: bool, now: float) -> None:
     """Note the end of a ping: only a ping brings an instance back."""
     peer = routes.peers.get(vm)
     if peer is None:
         return
-    if peer.dead is alive or (alive and peer.ejected):
-        routes.changes += 1
-    peer.dead = not alive
+    if peer.unreachable is alive or (alive and peer.ejected):
+        routes.usability_changes += 1
+    peer.unreachable = not alive
     if alive:
         peer.ejected = False
         peer.failures = 0
-        peer.silent_from = now
+        peer.silent_since = now
 
 
 def _eject(routes: Routes, peer: Peer) -> None:
     if not peer.ejected:
         peer.ejected = True
-        routes.changes += 1
+        routes.usability_changes += 1
 
 
 def _heard(peer: Peer, answer: _messages.Answer, now: float) -> None:
     peer.busy = answer.load.busy
     peer.limit = answer.load.limit or UNKNOWN_LIMIT
-    peer.service = answer.load.service
-    if peer.service > 0.0:
+    peer.service_seconds = answer.load.service_seconds
+    if peer.service_seconds > 0.0:
         peer.samples += 1
         weight = max(USUAL_WEIGHT, 1.0 / peer.samples)
-        peer.usual += weight * (peer.service - peer.usual)
-    peer.sent = 0
-    peer.heard = now
-    peer.silent_from = now
+        peer.usual_service_seconds += weight * (
+            peer.service_seconds - peer.usual_service_seconds
+        )
+    peer.sent_since_heard = 0
+    peer.heard_at = now
+    peer.silent_since = now
 
 
 def is_silent(peer: Peer, now: float) -> bool:
     """Return whether attempts are under way there and none is answered."""
     patience = max(SILENT_SECONDS, SILENT_LATENCIES * peer.latency)
-    return peer.inflight > 0 and now - peer.silent_from >= patience
+    return peer.in_flight > 0 and now - peer.silent_since >= patience
--- a/src/sassafrasstair/decisions/calls/_routing.py
+++ b/src/sassafrasstair/decisions/calls/_routing.py
@@ -56,7 +56,7 @@
     seconds: float
 
 
-def pick(
+def pick_target(
     routes: _peers.Routes,
     targets: abc.Sequence[_messages.Target],
     tried: abc.Collection[str],
@@ -93,18 +93,18 @@
     peer = routes.peers.get(vm)
     if peer is None:
         return 0.0
-    fades = max(LOAD_FADES_SECONDS, FADES_SERVICES * peer.service)
-    faded = math.exp(-(now - peer.heard) / fades)
-    busy = peer.busy * faded + (peer.sent + 1) / peer.limit
-    wait = max(0.0, busy - 1.0) * peer.service
-    if least > 0.0 and now - peer.heard < SLOW_SECONDS:
-        wait += max(0.0, peer.service - _slow_from(peer, least))
+    fades = max(LOAD_FADES_SECONDS, FADES_SERVICES * peer.service_seconds)
+    faded = math.exp(-(now - peer.heard_at) / fades)
+    busy = peer.busy * faded + (peer.sent_since_heard + 1) / peer.limit
+    wait = max(0.0, busy - 1.0) * peer.service_seconds
+    if least > 0.0 and now - peer.heard_at < SLOW_SECONDS:
+        wait += max(0.0, peer.service_seconds - _slow_from(peer, least))
     if _peers.is_silent(peer, now):
         wait += SILENT_PENALTY
     return wait + BUSY_SECONDS * min(1.0, busy)
 
 
-class Leaving(enum.Enum):
+class CrossingReason(enum.Enum):
     """Why a call leaves its failure domain."""
 
     NO_INSTANCE = "no_instance"
@@ -114,13 +114,13 @@
     BUSY = "busy"
 
 
-def why_left(
+def reason_for_crossing(
     routes: _peers.Routes,
     targets: abc.Sequence[_messages.Target],
     target: _messages.Target,
     tried: abc.Collection[str],
     now: float,
-) -> Leaving | None:
+) -> CrossingReason | None:
     """Return why ``target`` was picked in another domain, None if it was not.
 
     ``tried`` are those tried before it.
@@ -129,19 +129,20 @@
         return None
     known = _sort(routes, targets, now)
     if not known.near:
-        return Leaving.NO_INSTANCE
+        return CrossingReason.NO_INSTANCE
     near = _untried(known.near, tried)
     peers = [routes.peers.get(each.vm) for each in near]
     if not near:
-        return Leaving.TRIED
+        return CrossingReason.TRIED
     if all(peer is not None and _peers.is_silent(peer, now) for peer in peers):
-        return Leaving.SILENT
+        return CrossingReason.SILENT
     if all(
-        peer is not None and peer.service > _slow_from(peer, known.least)
+        peer is not None
+        and peer.service_seconds > _slow_from(peer, known.least)
         for peer in peers
     ):
-        return Leaving.SLOW
-    return Leaving.BUSY
+        return CrossingReason.SLOW
+    return CrossingReason.BUSY
 
 
 def _slow_from(peer: _peers.Peer, least: float) -> float:
@@ -149,7 +150,7 @@
     slow = NATURAL_FACTOR * least
     if peer.samples < _peers.USUAL_FROM:
         return slow
-    return min(slow, SLOW_FACTOR * peer.usual)
+    return min(slow, SLOW_FACTOR * peer.usual_service_seconds)
 
 
 def _sort(
@@ -161,11 +162,11 @@
     service has dozens of instances.
     """
     service = targets[0].service
-    known = routes.by_service.get(service)
+    known = routes.targets_by_service.get(service)
     if (
         known is not None
         and known.targets is targets
-        and known.changes == routes.changes
+        and known.changes == routes.usability_changes
         and now - known.at < SORT_SECONDS
     ):
         return known
@@ -176,10 +177,10 @@
         [each for each in usable if each.region == routes.region],
         usable,
         _least_service(routes, usable, now),
-        routes.changes,
+        routes.usability_changes,
         now,
     )
-    routes.by_service[service] = known
+    routes.targets_by_service[service] = known
     return known
 
 
@@ -194,11 +195,11 @@
     peers = (routes.peers.get(target.vm) for target in targets)
     return min(
         (
-            peer.service
+            peer.service_seconds
             for peer in peers
             if peer is not None
-            and peer.service > 0.0
-            and now - peer.heard < SLOW_SECONDS
+            and peer.service_seconds > 0.0
+            and now - peer.heard_at < SLOW_SECONDS
         ),
         default=0.0,
     )
@@ -227,7 +228,7 @@
     living = [
         target
         for target in targets
-        if target.vm not in known or not known[target.vm].dead
+        if target.vm not in known or not known[target.vm].unreachable
     ]
     kept = [
         target
@@ -236,7 +237,7 @@
     ]
     if len(living) - len(kept) > EJECTED_SHARE_MAX * len(living):
         kept = living
-    if kept or not routes.try_dead:
+    if kept or not routes.try_unreachable:
         return kept
     return targets
 
--- a/src/sassafrasstair/decisions/calls/_views.py
+++ b/src/sassafrasstair/decisions/calls/_views.py
@@ -15,7 +15,7 @@
     from sassafrasstair.decisions.calls import _messages
 
 
-def choose(
+def choose_target(
     entrance: _entrances.Entrance,
     targets: abc.Sequence[_messages.Target],
     tried: abc.Collection[str],
@@ -23,7 +23,7 @@
     rng: random.Random,
 ) -> _messages.Target | None:
     """Return an instance to ask for a ticket, None if none is usable."""
-    return _routing.pick(entrance.routes, targets, tried, now, rng)
+    return _routing.pick_target(entrance.routes, targets, tried, now, rng)
 
 
 def floors(
@@ -32,7 +32,7 @@
     """Return the floor heard of each (service, class, tenant)."""
     return {
         key: _floors.of_service(entrance.floors, key, now)
-        for key in list(entrance.floors.heard)
+        for key in list(entrance.floors.by_class)
     }
 
 
--- a/src/sassafrasstair/decisions/load/__init__.py
+++ b/src/sassafrasstair/decisions/load/__init__.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from sassafrasstair.decisions.load._guards import busy
-from sassafrasstair.decisions.load._guards import busy_at
+from sassafrasstair.decisions.load._guards import busy_at_or_above
 from sassafrasstair.decisions.load._guards import cancel
 from sassafrasstair.decisions.load._guards import finish
 from sassafrasstair.decisions.load._guards import floor
@@ -11,13 +11,13 @@
 from sassafrasstair.decisions.load._guards import new_guard
 from sassafrasstair.decisions.load._guards import offer
 from sassafrasstair.decisions.load._guards import retire
-from sassafrasstair.decisions.load._guards import service
+from sassafrasstair.decisions.load._guards import service_seconds
 from sassafrasstair.decisions.load._guards import tick
 from sassafrasstair.decisions.load._messages import Abort
 from sassafrasstair.decisions.load._messages import Effect
 from sassafrasstair.decisions.load._messages import End
 from sassafrasstair.decisions.load._messages import Start
-from sassafrasstair.decisions.load._messages import Turn
+from sassafrasstair.decisions.load._messages import TurnAway
 from sassafrasstair.decisions.load._messages import Work
 from sassafrasstair.decisions.load._rank import rank
 from sassafrasstair.decisions.load._views import limit
@@ -29,10 +29,10 @@
     "End",
     "Guard",
     "Start",
-    "Turn",
+    "TurnAway",
     "Work",
     "busy",
-    "busy_at",
+    "busy_at_or_above",
     "cancel",
     "finish",
     "floor",
@@ -42,6 +42,6 @@
     "rank",
     "resize",
     "retire",
-    "service",
+    "service_seconds",
     "tick",
 ]
--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -53,20 +53,24 @@
     limits: _limits.Limit
     floors: _floors.Floors
     running: dict[str, float] = dataclasses.field(default_factory=dict)
-    levels: dict[int, int] = dataclasses.field(default_factory=dict)
-    works: dict[str, _messages.Work] = dataclasses.field(default_factory=dict)
+    running_by_level: dict[int, int] = dataclasses.field(default_factory=dict)
+    running_work: dict[str, _messages.Work] = dataclasses.field(
+        default_factory=dict
+    )
     waiting: dict[str, _queues.Waiter] = dataclasses.field(
         default_factory=dict
     )
-    used: dict[str, int] = dataclasses.field(default_factory=dict)
-    estimates: dict[str, float] = dataclasses.field(default_factory=dict)
-    mean: float = 0.0
-    live: float = 0.0
-    sampled: float = 0.0
-    pressed: float = -math.inf
-    emptied: list[float] = dataclasses.field(default_factory=list)
-    ticked: float = 0.0
-    comfortable: int = 0
+    running_by_tenant: dict[str, int] = dataclasses.field(default_factory=dict)
+    estimates_by_class: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )
+    mean_service_seconds: float = 0.0
+    current_service_seconds: float = 0.0
+    sampled_at: float = 0.0
+    overloaded_at: float = -math.inf
+    emptied_at: list[float] = dataclasses.field(default_factory=list)
+    ticked_at: float = 0.0
+    lowest_level_with_room: int = 0
     leaving: bool = False
     patient: bool = False
 
@@ -90,9 +94,9 @@
     return Guard(
         limits,
         floors,
-        sampled=now,
-        emptied=emptied,
-        ticked=now,
+        sampled_at=now,
+        emptied_at=emptied,
+        ticked_at=now,
         patient=patient,
     )
 
@@ -101,7 +105,7 @@
     guard: Guard, work: _messages.Work, now: float
 ) -> list[_messages.Effect]:
     """Take one arriving attempt: it starts, waits or is turned away."""
-    _floors.note(guard.floors, work.tenant, work.share, work.rank)
+    _floors.note(guard.floors, work.tenant, work.tenant_share, work.rank)
     if guard.leaving:
         return [_turn(work, outcomes.Reason.LEAVING)]
     if now >= work.deadline:
@@ -120,17 +124,17 @@
     started = guard.running.pop(attempt_id, None)
     if started is None:
         return []
-    work = guard.works.pop(attempt_id)
-    guard.levels[math.floor(work.rank)] -= 1
-    guard.used[work.tenant] -= 1
-    if not guard.used[work.tenant]:
-        del guard.used[work.tenant]
+    work = guard.running_work.pop(attempt_id)
+    guard.running_by_level[math.floor(work.rank)] -= 1
+    guard.running_by_tenant[work.tenant] -= 1
+    if not guard.running_by_tenant[work.tenant]:
+        del guard.running_by_tenant[work.tenant]
     taken = now - started
     if end is _messages.End.DONE:
         _learn(guard, work, taken, now)
         _limits.succeeded(guard.limits)
     elif end is _messages.End.REFUSED:
-        _limits.refused(guard.limits, guard.mean, now)
+        _limits.refused(guard.limits, guard.mean_service_seconds, now)
     return _dispatch(guard, now)
 
 
@@ -157,14 +161,14 @@
 
 def tick(guard: Guard, now: float) -> list[_messages.Effect]:
     """Look again at every deadline; called each 50 ms and after a pause."""
-    guard.live = _live(guard, now)
+    guard.current_service_seconds = _live(guard, now)
     effects = _expire(guard, now)
     effects += _overdue(guard, now)
     effects += _dispatch(guard, now)
-    pressed = now - guard.pressed < PRESSED_SECONDS
+    pressed = now - guard.overloaded_at < PRESSED_SECONDS
     _floors.look(guard.floors, _admissible(guard, now), pressed, now)
-    guard.comfortable = _comfortable(guard, now)
-    guard.ticked = now
+    guard.lowest_level_with_room = _comfortable(guard, now)
+    guard.ticked_at = now
     return effects
 
 
@@ -172,7 +176,7 @@
     """Return the rank below which this guard refuses now."""
     if guard.patient:
         return 0.0
-    if now - guard.pressed >= PRESSED_SECONDS:
+    if now - guard.overloaded_at >= PRESSED_SECONDS:
         return 0.0
     return _floors.floor(guard.floors, tenant)
 
@@ -182,13 +186,15 @@
     return (len(guard.running) + len(guard.waiting)) / max(1.0, guard.limit)
 
 
-def busy_at(guard: Guard, level: int) -> float:
+def busy_at_or_above(guard: Guard, level: int) -> float:
     """Return the share of the limit that work of the level must yield to.
 
     Work of that importance and above: what matters less waits behind it.
     """
     running = sum(
-        count for known, count in guard.levels.items() if known >= level
+        count
+        for known, count in guard.running_by_level.items()
+        if known >= level
     )
     waiting = sum(
         math.floor(waiter.work.rank) >= level
@@ -197,9 +203,9 @@
     return (running + waiting) / max(1.0, guard.limit)
 
 
-def service(guard: Guard) -> float:
+def service_seconds(guard: Guard) -> float:
     """Return the usual seconds of service; 0 when none is known yet."""
-    return guard.live
+    return guard.current_service_seconds
 
 
 def _has_room(guard: Guard, now: float) -> bool:
@@ -208,10 +214,12 @@
 
 def _start(guard: Guard, work: _messages.Work, now: float) -> _messages.Effect:
     guard.running[work.attempt_id] = now
-    guard.works[work.attempt_id] = work
+    guard.running_work[work.attempt_id] = work
     level = math.floor(work.rank)
-    guard.levels[level] = guard.levels.get(level, 0) + 1
-    guard.used[work.tenant] = guard.used.get(work.tenant, 0) + 1
+    guard.running_by_level[level] = guard.running_by_level.get(level, 0) + 1
+    guard.running_by_tenant[work.tenant] = (
+        guard.running_by_tenant.get(work.tenant, 0) + 1
+    )
     return _messages.Start(work.attempt_id)
 
 
@@ -219,15 +227,15 @@
     guard: Guard, work: _messages.Work, now: float
 ) -> list[_messages.Effect]:
     if work.rank < floor(guard, now, work.tenant):
-        guard.pressed = now
+        guard.overloaded_at = now
         return [_turn(work, outcomes.Reason.SHED_AT_CALLEE)]
     guard.waiting[work.attempt_id] = _queues.Waiter(work, now)
     effects = _dispatch(guard, now)
     per_slot = PATIENT_QUEUE_PER_SLOT if guard.patient else QUEUE_PER_SLOT
     if len(guard.waiting) <= max(LEAST_QUEUE, per_slot * guard.limit):
         return effects
-    guard.pressed = now
-    out = _queues.least(guard.waiting, guard.used).work
+    guard.overloaded_at = now
+    out = _queues.least(guard.waiting, guard.running_by_tenant).work
     del guard.waiting[out.attempt_id]
     return effects + [_turn(out, outcomes.Reason.QUEUE_FULL)]
 
@@ -237,7 +245,7 @@
     effects: list[_messages.Effect] = []
     stands = max(_marginal(guard, now), _standing(guard, now))
     while guard.waiting and _has_room(guard, now):
-        waiter = _queues.pick(guard.waiting, guard.used, stands)
+        waiter = _queues.pick(guard.waiting, guard.running_by_tenant, stands)
         del guard.waiting[waiter.work.attempt_id]
         if _is_late(guard, waiter, now):
             effects.append(_expiry(guard, waiter, now))
@@ -271,32 +279,32 @@
     """Return how long work of the level may wait at most."""
     if guard.patient:
         return math.inf
-    stood = now - guard.emptied[0] >= STANDING_SECONDS
+    stood = now - guard.emptied_at[0] >= STANDING_SECONDS
     if stood and level <= _marginal(guard, now):
         return PATIENCE_TURNS * _turn_seconds(guard, now)
-    comfortable = level >= guard.comfortable
-    if now - guard.pressed < PRESSED_SECONDS and not comfortable:
+    comfortable = level >= guard.lowest_level_with_room
+    if now - guard.overloaded_at < PRESSED_SECONDS and not comfortable:
         return PATIENCE_ABOVE_TURNS * _turn_seconds(guard, now)
     return math.inf
 
 
 def _turn_seconds(guard: Guard, now: float) -> float:
     """Return how long it takes on average until a slot falls free."""
-    return guard.live / _limits.current(guard.limits, now)
+    return guard.current_service_seconds / _limits.current(guard.limits, now)
 
 
 def _standing(guard: Guard, now: float) -> int:
     """Return the highest level whose queue stands, -1 if none does."""
     turns = STANDING_TURNS * _turn_seconds(guard, now)
     since = now - max(STANDING_SECONDS, turns)
-    return sum(emptied <= since for emptied in guard.emptied) - 1
+    return sum(emptied <= since for emptied in guard.emptied_at) - 1
 
 
 def _note_emptied(guard: Guard, now: float) -> None:
     """Note which levels have no waiter at or above them."""
     top = _queues.top(guard.waiting)
-    for level in range(top + 1, len(guard.emptied)):
-        guard.emptied[level] = now
+    for level in range(top + 1, len(guard.emptied_at)):
+        guard.emptied_at[level] = now
 
 
 def _marginal(guard: Guard, now: float) -> int:
@@ -308,7 +316,7 @@
 def _expiry(
     guard: Guard, waiter: _queues.Waiter, now: float
 ) -> _messages.Effect:
-    guard.pressed = now
+    guard.overloaded_at = now
     if now >= waiter.work.deadline:
         return _turn(waiter.work, outcomes.Reason.DEADLINE_PASSED)
     return _turn(waiter.work, outcomes.Reason.QUEUE_DELAY)
@@ -322,26 +330,28 @@
     """
     return [
         _messages.Abort(attempt_id)
-        for attempt_id, work in guard.works.items()
-        if guard.ticked < work.deadline <= now
+        for attempt_id, work in guard.running_work.items()
+        if guard.ticked_at < work.deadline <= now
     ]
 
 
 def _learn(
     guard: Guard, work: _messages.Work, taken: float, now: float
 ) -> None:
-    known = guard.estimates.get(work.request_class, taken)
+    known = guard.estimates_by_class.get(work.request_class, taken)
     known += ESTIMATE_WEIGHT * (taken - known)
-    guard.estimates[work.request_class] = known
-    guard.mean += ESTIMATE_WEIGHT * (taken - guard.mean)
-    guard.sampled = now
+    guard.estimates_by_class[work.request_class] = known
+    guard.mean_service_seconds += ESTIMATE_WEIGHT * (
+        taken - guard.mean_service_seconds
+    )
+    guard.sampled_at = now
 
 
 def _comfortable(guard: Guard, now: float) -> int:
     """Return the lowest level with room to spare, all above counted."""
-    if guard.live <= 0.0:
+    if guard.current_service_seconds <= 0.0:
         return 0
-    served = _limits.current(guard.limits, now) / guard.live
+    served = _limits.current(guard.limits, now) / guard.current_service_seconds
     return _floors.reach(guard.floors, COMFORTABLE_SHARE * served)
 
 
@@ -353,9 +363,9 @@
     age shows the slowness after as long as a service used to take.
     """
     if not guard.running:
-        return guard.mean
+        return guard.mean_service_seconds
     age = now - sum(guard.running.values()) / len(guard.running)
-    return max(guard.mean, 2.0 * age)
+    return max(guard.mean_service_seconds, 2.0 * age)
 
 
 def _estimate(guard: Guard, work: _messages.Work, now: float) -> float:
@@ -364,8 +374,8 @@
     It fades when no sample comes: else an instance that was slow once, and
     for that reason starts nothing, would never be seen to be quick again.
     """
-    known = guard.estimates.get(work.request_class, 0.0)
-    age = now - guard.sampled
+    known = guard.estimates_by_class.get(work.request_class, 0.0)
+    age = now - guard.sampled_at
     return known * math.exp2(-age / ESTIMATE_HALF_LIFE)
 
 
@@ -375,12 +385,12 @@
     More than is served, by the square root of what is served in the slack
     time: with arrivals at random, less would leave slots idle.
     """
-    if guard.live <= 0.0:
+    if guard.current_service_seconds <= 0.0:
         return math.inf
     limit = _limits.current(guard.limits, now)
-    served = limit / guard.live * SLACK_SECONDS
+    served = limit / guard.current_service_seconds * SLACK_SECONDS
     return (served + math.sqrt(served) + 0.5) / SLACK_SECONDS
 
 
-def _turn(work: _messages.Work, reason: outcomes.Reason) -> _messages.Turn:
-    return _messages.Turn(work.attempt_id, reason, RETRY_AFTER_FLOOR)
+def _turn(work: _messages.Work, reason: outcomes.Reason) -> _messages.TurnAway:
+    return _messages.TurnAway(work.attempt_id, reason, RETRY_AFTER_FLOOR)
--- a/src/sassafrasstair/decisions/load/_messages.py
+++ b/src/sassafrasstair/decisions/load/_messages.py
@@ -29,8 +29,8 @@
     tenant: str
     rank: float
     deadline: float
-    queue_limit: float
-    share: float = 1.0
+    max_wait_seconds: float
+    tenant_share: float = 1.0
 
 
 class End(enum.Enum):
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Turn:
+class TurnAway:
     """Effect: refuse the attempt; it was not run."""
 
     attempt_id: str
@@ -65,4 +65,4 @@
     attempt_id: str
 
 
-Effect = Start | Turn | Abort
+Effect = Start | TurnAway | Abort
--- a/src/sassafrasstair/decisions/load/_queues.py
+++ b/src/sassafrasstair/decisions/load/_queues.py
@@ -39,7 +39,7 @@
     def order(waiter: Waiter) -> tuple[float, float, float]:
         work = waiter.work
         level = math.floor(work.rank)
-        use = used.get(work.tenant, 0) / work.share
+        use = used.get(work.tenant, 0) / work.tenant_share
         age = -waiter.since if level <= stands else work.deadline
         return -level, use, age
 
@@ -55,7 +55,7 @@
 
     def order(waiter: Waiter) -> tuple[float, float, float]:
         work = waiter.work
-        use = used.get(work.tenant, 0) / work.share
+        use = used.get(work.tenant, 0) / work.tenant_share
         return math.floor(work.rank), -use, work.rank
 
     return min(waiting.values(), key=order)
@@ -69,5 +69,5 @@
     ``patience`` in seconds may shorten how long it may wait.
     """
     work = waiter.work
-    waited = now - waiter.since >= min(work.queue_limit, patience)
+    waited = now - waiter.since >= min(work.max_wait_seconds, patience)
     return waited or now + estimate > work.deadline
--- a/src/sassafrasstair/decisions/requests/__init__.py
+++ b/src/sassafrasstair/decisions/requests/__init__.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sassafrasstair.decisions.requests._budgets import allow
+from sassafrasstair.decisions.requests._budgets import allow_repeat
 from sassafrasstair.decisions.requests._budgets import BudgetRules
 from sassafrasstair.decisions.requests._budgets import new_window
 from sassafrasstair.decisions.requests._budgets import note_request
@@ -23,7 +23,7 @@
     "Progress",
     "Step",
     "Window",
-    "allow",
+    "allow_repeat",
     "attempt_ended",
     "attempt_sent",
     "new_progress",
--- a/src/sassafrasstair/decisions/requests/_budgets.py
+++ b/src/sassafrasstair/decisions/requests/_budgets.py
@@ -76,7 +76,7 @@
     window.requests[second] = window.requests.get(second, 0) + 1
 
 
-def allow(window: Window, rules: BudgetRules, now: float) -> bool:
+def allow_repeat(window: Window, rules: BudgetRules, now: float) -> bool:
     """Count one repeat if the budget allows it.
 
     Windows slide, and seconds are counted whole: repeats of a second that
--- a/src/sassafrasstair/decisions/requests/_progress.py
+++ b/src/sassafrasstair/decisions/requests/_progress.py
@@ -61,11 +61,11 @@
     rank: float
     deadline: float
     tried: list[str] = dataclasses.field(default_factory=list)
-    arrivals: int = 0
+    handed_over: int = 0
     unsent: int = 0
     turned_away: int = 0
     crashes: int = 0
-    lost: bool = False
+    may_have_run: bool = False
 
 
 def new_progress(
@@ -99,15 +99,15 @@
     elif ending is Ending.TURNED_AWAY:
         progress.turned_away += 1
     else:
-        progress.arrivals += 1
+        progress.handed_over += 1
     if ending is Ending.LOST:
-        progress.lost = True
+        progress.may_have_run = True
     progress.crashes += crashed
     if now + LEAST_SECONDS >= progress.deadline or _exhausted(progress):
         return Step.GIVE_UP
     if ending in (Ending.UNSENT, Ending.TURNED_AWAY):
         return Step.RETRY
-    if _budgets.allow(window, rules, now):
+    if _budgets.allow_repeat(window, rules, now):
         return Step.RETRY
     return Step.GIVE_UP
 
@@ -115,10 +115,10 @@
 def _exhausted(progress: Progress) -> bool:
     """Return whether no further attempt may be made whatever the budget."""
     return (
-        (progress.lost and not progress.route.idempotent)
+        (progress.may_have_run and not progress.route.idempotent)
         or progress.unsent >= UNSENT_MAX
         or progress.turned_away >= TURNED_AWAY_MAX
-        or progress.arrivals >= progress.route.attempts_max
+        or progress.handed_over >= progress.route.attempts_max
         or progress.crashes >= CRASHES_MAX
     )
 
@@ -129,7 +129,7 @@
     One lost attempt leaves the whole request unknown, however the others
     ended.
     """
-    if progress.lost:
+    if progress.may_have_run:
         return outcomes.Outcome.UNKNOWN
     return outcomes.Outcome.NOT_RUN
 
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -43,7 +43,7 @@
         return
     progress = call.progress
     targets = views.targets(daemon.view, progress.service)
-    target = calls.pick(
+    target = calls.pick_target(
         daemon.routes, targets, progress.tried, now, daemon.rng
     )
     if target is None:
@@ -51,11 +51,11 @@
         return
     instance = views.instance(daemon.view, target.vm)
     host = "" if instance is None else instance.host
-    left_for = calls.why_left(
+    left_for = calls.reason_for_crossing(
         daemon.routes, targets, target, progress.tried, now
     )
     requests.attempt_sent(progress, target.vm)
-    calls.sent(daemon.routes, target.vm, now)
+    calls.start_attempt(daemon.routes, target.vm, now)
     left = progress.deadline - now
     ask = _wire.Ask(
         daemon.view.content,
@@ -110,7 +110,7 @@
     attempt, call.attempt = call.attempt, None
     if attempt is None:
         return
-    calls.forget(daemon.routes, attempt.instance)
+    calls.forget_attempt(daemon.routes, attempt.instance)
     if attempt.job is not None:
         attempt.job.abort()
     elif attempt.run:
@@ -249,14 +249,14 @@
         return
     now = daemon.clock.monotonic()
     route = call.progress.route.name
-    here = admission.pressure(state.ahead, state.load.service)
+    here = admission.pressure(state.ahead, state.load.service_seconds)
     busiest = max(here, state.below)
     if state.inner:
         level = math.floor(call.progress.rank)
-        admission.hear_inner(daemon.chains, route, level, busiest, now)
+        admission.observe_inner_load(daemon.chains, route, level, busiest, now)
     else:
-        admission.forget_inner(daemon.chains, route)
-        admission.hear(daemon.gates, route, busiest, now)
+        admission.mark_called_by_clients(daemon.chains, route)
+        admission.observe_load(daemon.gates, route, busiest, now)
     if response is None or state.ending is not None:
         ending = state.ending or requests.Ending.LOST
         _ended(daemon, call, ending, state.reason, state)
@@ -291,7 +291,7 @@
     answer = calls.Answer(
         outcomes.Outcome.UNKNOWN if lost else outcomes.Outcome.NOT_RUN,
         reason,
-        calls.Load() if state is None else state.load,
+        calls.LoadReport() if state is None else state.load,
         incarnation="" if state is None else attempt.instance,
     )
     _learn_from(daemon, attempt, answer, now)
@@ -333,10 +333,10 @@
 ) -> None:
     """Take what an attempt's end tells of the instance that was asked."""
     if not _is_current(daemon, attempt):
-        calls.forget(daemon.routes, attempt.instance)
+        calls.forget_attempt(daemon.routes, attempt.instance)
         return
     taken = now - attempt.sent
-    calls.ended(daemon.routes, attempt.instance, answer, taken, now)
+    calls.end_attempt(daemon.routes, attempt.instance, answer, taken, now)
 
 
 def _is_current(daemon: _state.Daemon, attempt: _records.Attempt) -> bool:
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -150,7 +150,7 @@
             continue
         if isinstance(effect, load.Start):
             _start(daemon, effect.attempt_id, run)
-        elif isinstance(effect, load.Turn):
+        elif isinstance(effect, load.TurnAway):
             del daemon.runs[effect.attempt_id]
             _end(daemon, run, requests.Ending.TURNED_AWAY, effect.reason, None)
         else:
@@ -352,17 +352,17 @@
     now = daemon.clock.monotonic()
     guard = _guards.of_instance(daemon, order.ask.instance, now)
     level = math.floor(order.ask.rank)
-    told = calls.Load(
+    told = calls.LoadReport(
         load.busy(guard),
         limit=load.limit(guard, now),
-        service=load.service(guard),
+        service_seconds=load.service_seconds(guard),
     )
     return _wire.State(
         daemon.view.content,
         daemon.upstream_leaving,
         told,
-        load.busy_at(guard, level),
-        admission.below(daemon.chains, level, now),
+        load.busy_at_or_above(guard, level),
+        admission.busiest_callee_load(daemon.chains, level, now),
         admission.is_inner(daemon.callers, order.ask.route, daemon.services),
         ending,
         reason,
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -130,7 +130,7 @@
     if call.attempt is not None and _attempts.may_have_run(
         daemon, call.attempt
     ):
-        call.progress.lost = True
+        call.progress.may_have_run = True
     _attempts.drop(daemon, call)
     _endings.give_up(daemon, call, outcomes.Reason.DEADLINE_PASSED)
 
@@ -178,7 +178,7 @@
 
     Only the own upstream calls an inner route here.
     """
-    if admission.calls_on(daemon.chains, route.name):
+    if admission.called_only_by_upstreams(daemon.chains, route.name):
         running = [run for run in daemon.runs.values() if run.job is not None]
         rank = admission.parent_rank(
             daemon.parents, route.name, expires, running
--- a/src/sassafrasstair/forwarding/_guards.py
+++ b/src/sassafrasstair/forwarding/_guards.py
@@ -77,7 +77,7 @@
     if len(daemon.guards) <= GUARDS_KEPT:
         return
     oldest = next(iter(daemon.guards))
-    if not daemon.guards[oldest].works:
+    if not daemon.guards[oldest].running_work:
         del daemon.guards[oldest]
 
 
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -118,7 +118,7 @@
     state = _wire.State(
         daemon.view.content,
         daemon.upstream_leaving or daemon.upstream_down,
-        calls.Load(),
+        calls.LoadReport(),
         0.0,
         0.0,
         False,
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -152,7 +152,7 @@
     for news, key in told:
         _counters.believed(daemon.counters, news.value)
         if news is views.News.RESTARTED:
-            calls.restarted(daemon.routes, key, daemon.clock.monotonic())
+            calls.record_restart(daemon.routes, key, daemon.clock.monotonic())
         _log(daemon, news, key, source)
     if not told:
         return
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -24,7 +24,7 @@
         instance = views.instance(daemon.view, vm)
         own = daemon.settings.host
         if instance is None or instance.host == own:
-            calls.probed(daemon.routes, vm, instance is not None, now)
+            calls.probe_ended(daemon.routes, vm, instance is not None, now)
             continue
         _ping(daemon, vm, instance.host)
 
@@ -59,9 +59,9 @@
     _peers.heard(daemon, host, state.content)
     now = daemon.clock.monotonic()
     peer = daemon.routes.peers.get(vm)
-    if peer is not None and peer.dead and not state.leaving:
+    if peer is not None and peer.unreachable and not state.leaving:
         daemon.journal.note("peer_back", peer=host, instance=vm)
-    calls.probed(daemon.routes, vm, not state.leaving, now)
+    calls.probe_ended(daemon.routes, vm, not state.leaving, now)
 
 
 def _late(daemon: _state.Daemon, vm: str, host: str, job: httpio.Job) -> None:
@@ -73,8 +73,8 @@
 def _silent(daemon: _state.Daemon, vm: str, host: str, reason: str) -> None:
     now = daemon.clock.monotonic()
     peer = daemon.routes.peers.get(vm)
-    if peer is not None and not peer.dead:
+    if peer is not None and not peer.unreachable:
         daemon.journal.note("peer_lost", peer=host, instance=vm, reason=reason)
-    calls.probed(daemon.routes, vm, False, now)
+    calls.probe_ended(daemon.routes, vm, False, now)
     _state.pool(daemon, host).drop_idle()
     _attempts.lose_all(daemon, vm)
--- a/src/sassafrasstair/forwarding/_records.py
+++ b/src/sassafrasstair/forwarding/_records.py
@@ -94,7 +94,7 @@
     ask: _wire.Ask
     fields: httpio.Fields
     trial: int = 0
-    left: calls.Leaving | None = None
+    left: calls.CrossingReason | None = None
     job: httpio.Job | None = None
     run: str = ""
 
--- a/src/sassafrasstair/forwarding/_state.py
+++ b/src/sassafrasstair/forwarding/_state.py
@@ -95,8 +95,8 @@
     callers: admission.Callers = dataclasses.field(
         default_factory=admission.Callers
     )
-    chains: admission.Chains = dataclasses.field(
-        default_factory=admission.Chains
+    chains: admission.CalleeLoads = dataclasses.field(
+        default_factory=admission.CalleeLoads
     )
     parents: admission.Parents = dataclasses.field(
         default_factory=admission.Parents
@@ -181,7 +181,7 @@
         feed=feeds.new_feed(
             settings.host, _timing(settings), clock.monotonic()
         ),
-        routes=calls.Routes(domain, region, try_dead=False),
+        routes=calls.Routes(domain, region, try_unreachable=False),
         mark=b"%s.%08x" % (settings.vm.encode(), rng.getrandbits(32)),
     )
 
--- a/src/sassafrasstair/forwarding/_wire.py
+++ b/src/sassafrasstair/forwarding/_wire.py
@@ -63,7 +63,7 @@
 
     content: int
     leaving: bool
-    load: calls.Load
+    load: calls.LoadReport
     ahead: float
     below: float
     inner: bool
@@ -114,7 +114,7 @@
         load.busy,
         state.ahead,
         load.limit,
-        load.service,
+        load.service_seconds,
         state.below,
         state.inner,
         ending.encode(),
@@ -131,7 +131,9 @@
         return State(
             int(content),
             leaving == "1",
-            calls.Load(_amount(busy), 0.0, _amount(limit), _amount(service)),
+            calls.LoadReport(
+                _amount(busy), 0.0, _amount(limit), _amount(service)
+            ),
             _amount(ahead),
             _amount(below),
             inner == "1",
--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -34,7 +34,7 @@
         spent=attempt.spent,
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
-        service_seconds=load.service(slot.guard),
+        service_seconds=load.service_seconds(slot.guard),
         floor=_slots.floor(
             slot, attempt.run.request_class, attempt.run.tenant
         ),
@@ -65,7 +65,7 @@
         spent=spent,
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
-        service_seconds=load.service(slot.guard),
+        service_seconds=load.service_seconds(slot.guard),
         floor=_slots.floor(slot, message.request_class, message.tenant),
     )
 
@@ -101,7 +101,7 @@
         reason=outcomes.Reason.NONE.value,
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
-        service_seconds=load.service(slot.guard),
+        service_seconds=load.service_seconds(slot.guard),
         floor=_slots.floor(slot, message.request_class, message.tenant),
         status=result.status,
         headers=tuple(
--- a/src/sassafrasstair/runtime/_attempts.py
+++ b/src/sassafrasstair/runtime/_attempts.py
@@ -38,7 +38,7 @@
 
     run: daemons.Run
     deadline: float
-    verdict: asyncio.Future[load.Start | load.Turn]
+    verdict: asyncio.Future[load.Start | load.TurnAway]
     parts: asyncio.Queue[daemons.BodyPart]
     spent: int = 0
     child_retry_after: float = 0.0
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -95,7 +95,9 @@
     for _ in range(TICKET_TRIES):
         now = entry.clock.monotonic()
         targets = fleet.targets(entry.node, ask.service, now)
-        target = calls.choose(entry.entrance, targets, tried, now, entry.rng)
+        target = calls.choose_target(
+            entry.entrance, targets, tried, now, entry.rng
+        )
         if target is None:
             return refusal
         tried.append(target.vm)
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -160,7 +160,7 @@
 
 def _start_periodic(daemon: Daemon) -> list[asyncio.Task[None]]:
     steps: tuple[tuple[abc.Callable[[], None], float], ...] = (
-        (functools.partial(_beat, daemon), calls.BEAT_SECONDS),
+        (functools.partial(_beat, daemon), calls.HEARTBEAT_SECONDS),
         (functools.partial(_tick, daemon), _control.TICK_SECONDS),
         (
             functools.partial(daemons.close_idle, daemon.links),
@@ -194,7 +194,7 @@
     # closed socket at once would show them as lost answers.
     await asyncio.sleep(LEAVE_SECONDS)
     while daemon.slot.attempts or daemon.entry.in_flight:
-        await asyncio.sleep(calls.BEAT_SECONDS)
+        await asyncio.sleep(calls.HEARTBEAT_SECONDS)
 
 
 async def _repeat(step: abc.Callable[[], None], period: float) -> None:
@@ -213,7 +213,7 @@
 def _beat(daemon: Daemon) -> None:
     now = daemon.clock.monotonic()
     if calls.note_beat(daemon.slot.pauses, now):
-        gap = daemon.slot.pauses.gap
+        gap = daemon.slot.pauses.last_pause
         logs.event(_LOG, logging.WARNING, "woke_late", seconds=gap)
     _slots.tick(daemon.slot)
     _ping_ejected(daemon, now)
@@ -268,7 +268,7 @@
         fleet.observed(daemon.control.node, vm, False, "", now)
         _drop_lost(daemon, vm)
     now = daemon.clock.monotonic()
-    calls.probed(daemon.entry.entrance.routes, vm, serving, now)
+    calls.probe_ended(daemon.entry.entrance.routes, vm, serving, now)
 
 
 def _drop_lost(daemon: Daemon, vm: str) -> None:
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -107,7 +107,7 @@
 async def _drive(
     entry: _entries.Entry, ready: _entries.Ready, request: callers.Request
 ) -> callers.Reply | callers.Refusal:
-    key, effect = calls.begin(
+    key, effect = calls.begin_call(
         entry.entrance,
         ready.bundle,
         ready.call,
@@ -149,7 +149,7 @@
         # The rest of the body was passed on once and is not kept, so no
         # other instance could get the whole of it.
         usable = ()
-    effect = calls.answered(
+    effect = calls.apply_answer(
         entry.entrance,
         ready.bundle,
         progress.key,
@@ -237,7 +237,7 @@
 def _tell_parent(
     parent: _attempts.Attempt, effect: calls.Refuse | calls.Deliver
 ) -> None:
-    parent.spent += effect.spent
+    parent.spent += effect.retries_spent
     if isinstance(effect, calls.Refuse):
         parent.child_refused = True
         parent.child_retry_after = max(
@@ -247,7 +247,7 @@
 
 def _abandon(entry: _entries.Entry, progress: _Progress) -> None:
     now = entry.clock.monotonic()
-    attempt_id = calls.abandon(entry.entrance, progress.key, now)
+    attempt_id = calls.abandon_call(entry.entrance, progress.key, now)
     if attempt_id:
         _transfers.cancel(entry, progress.vm, attempt_id)
 
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -121,7 +121,7 @@
 async def _run(
     slot: _slots.Slot, message: daemons.Run, now: float
 ) -> daemons.RunAnswer:
-    late = calls.lateness(slot.pauses, now)
+    late = calls.max_message_age(slot.pauses, now)
     deadline = now + message.remaining_ms / 1000 - late
     attempt = _attempts.new_attempt(message, deadline)
     _slots.arrived(slot, attempt)
@@ -138,7 +138,7 @@
     result: once.Result
     try:
         verdict = await _admit(slot, attempt)
-        if isinstance(verdict, load.Turn):
+        if isinstance(verdict, load.TurnAway):
             result = once.NotRun(verdict.reason)
             result = _slots.end_ticket(slot, attempt, result)
             _slots.forget(slot, attempt)
@@ -160,7 +160,7 @@
 
 async def _admit(
     slot: _slots.Slot, attempt: _attempts.Attempt
-) -> load.Start | load.Turn:
+) -> load.Start | load.TurnAway:
     now = slot.clock.monotonic()
     work = _to_work(slot, attempt)
     _slots.apply(slot, load.offer(slot.guard, work, now))
@@ -271,6 +271,6 @@
         tenant=message.tenant,
         rank=load.rank(rules.importance, message.caller, bundle.version),
         deadline=attempt.deadline,
-        queue_limit=rules.refusal.queue_ms / 1000,
-        share=tenant.share if tenant is not None else NO_TENANT_SHARE,
+        max_wait_seconds=rules.refusal.queue_ms / 1000,
+        tenant_share=tenant.share if tenant is not None else NO_TENANT_SHARE,
     )
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -116,6 +116,6 @@
     if current is None or service not in current.services:
         return 0.0
     now = clock.monotonic()
-    return calls.floor_below(
+    return calls.max_callee_floor(
         entrance, current, service, request_class, now, tenant
     )
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -194,7 +194,7 @@
         # has forgotten it: it stays here for ever, a planned stop waits for
         # it without end, and so do the callers that joined its ticket.
         reason = outcomes.Reason.CANCELLED
-        attempt.verdict.set_result(load.Turn(attempt_id, reason, 0.0))
+        attempt.verdict.set_result(load.TurnAway(attempt_id, reason, 0.0))
 
 
 def _abort(attempt: _attempts.Attempt) -> None:
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -112,10 +112,10 @@
     answer = calls.Answer(
         outcome=outcome,
         reason=reason,
-        load=calls.Load(
+        load=calls.LoadReport(
             reply.busy, reply.floor, reply.limit, reply.service_seconds
         ),
-        spent=reply.spent,
+        retries_spent=reply.spent,
         retry_after=reply.retry_after_ms / 1000,
         incarnation=reply.incarnation,
     )
--- a/tests/decisions/admission/test_admissions.py
+++ b/tests/decisions/admission/test_admissions.py
@@ -44,7 +44,7 @@
         work = max(0.0, work - SLOTS * STEP)
         load = min(5.0, work / SERVICE / SLOTS + 0.9)
         for route in demand:
-            admission.hear(gates, route, load, now)
+            admission.observe_load(gates, route, load, now)
         if step % 100 == 99:
             for route in demand:
                 shares[route].append(let_in[route] / max(1, asked[route]))
@@ -83,7 +83,7 @@
     """Overload the chain of route ``r`` from 100 to 110 s."""
     for step in range(100):
         now = 100.0 + step * 0.1
-        admission.hear(gates, "r", 5.0, now)
+        admission.observe_load(gates, "r", 5.0, now)
         admission.admit(gates, "r", 0, now, rng)
 
 
@@ -97,7 +97,7 @@
     _shut(gates, rng)
     for step in range(60):
         now = 110.0 + step * 0.05
-        admission.hear(gates, "r", 0.4, now)
+        admission.observe_load(gates, "r", 0.4, now)
         admission.admit(gates, "r", 0, now, rng)
     assert gates.gates["r"].share == 1.0
 
@@ -164,11 +164,11 @@
 
 def test_load_below_fades_when_it_is_not_heard() -> None:
     """The service below has gone; its last load must not stay for ever."""
-    chains = admission.Chains()
-    admission.hear_inner(chains, "r", 5, 3.0, 100.0)
-    admission.hear_inner(chains, "q", 5, 0.5, 100.0)
-    assert admission.below(chains, 5, 100.1) == 3.0
-    assert admission.below(chains, 5, 100.5) == 0.0
+    chains = admission.CalleeLoads()
+    admission.observe_inner_load(chains, "r", 5, 3.0, 100.0)
+    admission.observe_inner_load(chains, "q", 5, 0.5, 100.0)
+    assert admission.busiest_callee_load(chains, 5, 100.1) == 3.0
+    assert admission.busiest_callee_load(chains, 5, 100.5) == 0.0
 
 
 def test_load_heard_of_a_chain_falls_with_few_answers() -> None:
@@ -177,20 +177,20 @@
     Each answer moved the average by a tenth, so that one answer a second
     kept it high for long, and nothing more was let in.
     """
-    chains = admission.Chains()
+    chains = admission.CalleeLoads()
     for at in range(20):
-        admission.hear_inner(chains, "r", 5, 4.0, 100.0 + 0.01 * at)
-    assert admission.below(chains, 5, 100.2) > 3.0
-    admission.hear_inner(chains, "r", 5, 0.1, 101.2)
-    assert admission.below(chains, 5, 101.2) < 0.2
+        admission.observe_inner_load(chains, "r", 5, 4.0, 100.0 + 0.01 * at)
+    assert admission.busiest_callee_load(chains, 5, 100.2) > 3.0
+    admission.observe_inner_load(chains, "r", 5, 0.1, 101.2)
+    assert admission.busiest_callee_load(chains, 5, 101.2) < 0.2
 
 
 def test_load_heard_at_one_importance_says_nothing_of_another() -> None:
-    chains = admission.Chains()
-    admission.hear_inner(chains, "r", 7, 4.0, 100.0)
-    admission.hear_inner(chains, "r", 9, 0.4, 100.0)
-    assert admission.below(chains, 7, 100.1) == 4.0
-    assert admission.below(chains, 9, 100.1) == 0.4
+    chains = admission.CalleeLoads()
+    admission.observe_inner_load(chains, "r", 7, 4.0, 100.0)
+    admission.observe_inner_load(chains, "r", 9, 0.4, 100.0)
+    assert admission.busiest_callee_load(chains, 7, 100.1) == 4.0
+    assert admission.busiest_callee_load(chains, 9, 100.1) == 0.4
 
 
 @pytest.mark.parametrize("per_second", [1.5, 3.0, 20.0])
@@ -205,13 +205,13 @@
     rng = random.Random(3)
     now = 100.0
     while now < 103.0:
-        admission.hear(gates, "s", 3.0, now)
+        admission.observe_load(gates, "s", 3.0, now)
         admission.admit(gates, "s", 0, now, rng)
         now += 0.1
     assert admission.gate_of(gates, "s").share < 0.1
     until = now + 3.5
     while now < until:
-        admission.hear(gates, "s", 0.4, now)
+        admission.observe_load(gates, "s", 0.4, now)
         admission.admit(gates, "s", 0, now, rng)
         now += 1.0 / per_second
     assert admission.gate_of(gates, "s").share > 0.8
--- a/tests/decisions/calls/test_late_answers.py
+++ b/tests/decisions/calls/test_late_answers.py
@@ -25,11 +25,11 @@
         for vm in ("poster-a", "poster-b")
     )
     call = calls.Call("root", "poster", "lookup", "shop", "c", 9.0, retries=2)
-    key, sent = calls.begin(entrance, bundle, call, targets, 0.0, rng)
+    key, sent = calls.begin_call(entrance, bundle, call, targets, 0.0, rng)
     assert isinstance(sent, calls.Send)
 
     def answered(attempt_id: str, answer: calls.Answer) -> calls.Effect | None:
-        return calls.answered(
+        return calls.apply_answer(
             entrance, bundle, key, attempt_id, answer, targets, 1.0, rng
         )
 
--- a/tests/decisions/calls/test_outcome_of_all.py
+++ b/tests/decisions/calls/test_outcome_of_all.py
@@ -39,7 +39,7 @@
     rng = random.Random(1)
     entrance = calls.new_entrance("i", "pos-a", "tt-north")
     call = calls.Call("1", "pricer", "lookup", "t", "c", 9.0, retries=1)
-    key, effect = calls.begin(entrance, BUNDLE, call, TARGETS, 0.0, rng)
+    key, effect = calls.begin_call(entrance, BUNDLE, call, TARGETS, 0.0, rng)
     ends = [
         calls.Answer(outcomes.Outcome(first), outcomes.Reason.PEER_LOST),
         calls.Answer(
@@ -48,7 +48,7 @@
     ]
     for end in ends:
         assert isinstance(effect, calls.Send)
-        now_effect = calls.answered(
+        now_effect = calls.apply_answer(
             entrance, BUNDLE, key, effect.attempt_id, end, TARGETS, 1.0, rng
         )
         assert now_effect is not None
--- a/tests/decisions/calls/test_retries.py
+++ b/tests/decisions/calls/test_retries.py
@@ -19,7 +19,7 @@
     rules: bundles.Bundle, taken: calls.Call, now: float = 0.0
 ) -> tuple[calls.Entrance, str, calls.Effect]:
     entrance = calls.new_entrance("me", "domain-a", "region")
-    key, effect = calls.begin(
+    key, effect = calls.begin_call(
         entrance, rules, taken, samples.TARGETS, now, RNG
     )
     return entrance, key, effect
@@ -48,7 +48,7 @@
     entrance, key, sent = _begin(rules, samples.call())
     assert isinstance(sent, calls.Send)
     answer = calls.Answer(outcome, reason)
-    effect = calls.answered(
+    effect = calls.apply_answer(
         entrance,
         rules,
         key,
@@ -88,7 +88,7 @@
     sends = []
     while isinstance(effect, calls.Send):
         sends.append(effect)
-        effect_or_none = calls.answered(
+        effect_or_none = calls.apply_answer(
             entrance,
             rules,
             key,
@@ -103,7 +103,7 @@
     own = len(sends) - 1
     assert own + sum(send.retries for send in sends) <= 2
     assert isinstance(effect, calls.Refuse)
-    assert effect.spent == 2
+    assert effect.retries_spent == 2
 
 
 def test_budget_is_a_share_of_successes() -> None:
--- a/tests/decisions/calls/test_routing.py
+++ b/tests/decisions/calls/test_routing.py
@@ -27,22 +27,24 @@
     now: float,
     service: float = 0.1,
 ) -> None:
-    told = calls.Load(busy=busy, limit=20.0, service=service)
+    told = calls.LoadReport(busy=busy, limit=20.0, service_seconds=service)
     answer = calls.Answer(outcomes.Outcome.DONE, load=told, incarnation="one")
-    _peers.sent(routes, vm, now)
-    _peers.ended(routes, vm, answer, 0.1, now)
+    _peers.start_attempt(routes, vm, now)
+    _peers.end_attempt(routes, vm, answer, 0.1, now)
 
 
 def _picked(routes: _peers.Routes, now: float) -> collections.Counter[str]:
     rng = random.Random(1)
-    found = [_routing.pick(routes, TARGETS, (), now, rng) for _ in range(100)]
+    found = [
+        _routing.pick_target(routes, TARGETS, (), now, rng) for _ in range(100)
+    ]
     return collections.Counter(target.vm for target in found if target)
 
 
 def _fail(routes: _peers.Routes, vm: str, now: float) -> None:
     for _ in range(_peers.FAILURES_TO_EJECT):
-        _peers.sent(routes, vm, now)
-        _peers.ended(routes, vm, LOST, 0.0, now)
+        _peers.start_attempt(routes, vm, now)
+        _peers.end_attempt(routes, vm, LOST, 0.0, now)
 
 
 @pytest.mark.parametrize(
@@ -130,7 +132,7 @@
     assert "near" not in _picked(routes, 50.0)
     assert calls.probe_due(routes, 1.0) == ["near"]
     assert calls.probe_due(routes, 1.05) == []
-    calls.probed(routes, "near", True, 1.1)
+    calls.probe_ended(routes, "near", True, 1.1)
     assert "near" in _picked(routes, 1.1)
 
 
@@ -144,7 +146,7 @@
         _fail(routes, target.vm, 1.0)
     assert sum(_picked(routes, 1.0).values()) == 100
     for target in TARGETS:
-        calls.probed(routes, target.vm, False, 1.2)
+        calls.probe_ended(routes, target.vm, False, 1.2)
     assert sum(_picked(routes, 1.2).values()) == 100
 
 
@@ -155,13 +157,13 @@
     or was lost on a kept one, and its client could not try again. The first
     ping that is answered brings the service back.
     """
-    routes = _peers.Routes(HERE, "region", try_dead=False)
+    routes = _peers.Routes(HERE, "region", try_unreachable=False)
     for target in TARGETS:
         _fail(routes, target.vm, 1.0)
-        calls.probed(routes, target.vm, False, 1.2)
+        calls.probe_ended(routes, target.vm, False, 1.2)
     assert not _picked(routes, 1.2)
     assert set(calls.probe_due(routes, 1.7)) == {t.vm for t in TARGETS}
-    calls.probed(routes, "far-1", True, 1.71)
+    calls.probe_ended(routes, "far-1", True, 1.71)
     assert _picked(routes, 1.71) == {"far-1": 100}
 
 
@@ -170,7 +172,7 @@
     _hear(routes, "near", 3.0, 1.0)
     for target in FAR:
         _fail(routes, target.vm, 1.0)
-        calls.probed(routes, target.vm, False, 1.1)
+        calls.probe_ended(routes, target.vm, False, 1.1)
     assert set(_picked(routes, 1.1)) == {"near"}
 
 
@@ -182,10 +184,10 @@
     """
     routes = _peers.Routes(HERE, "region")
     _hear(routes, "near", 0.1, 1.0)
-    _peers.sent(routes, "near", 1.0)
+    _peers.start_attempt(routes, "near", 1.0)
     assert calls.probe_due(routes, 1.05) == []
     assert calls.probe_due(routes, 1.2) == ["near"]
-    calls.probed(routes, "near", False, 1.3)
+    calls.probe_ended(routes, "near", False, 1.3)
     assert "near" not in _picked(routes, 1.3)
 
 
@@ -197,12 +199,12 @@
     """
     routes = _peers.Routes(HERE, "region")
     _hear(routes, "near", 0.1, 1.0)
-    _peers.sent(routes, "near", 1.0)
+    _peers.start_attempt(routes, "near", 1.0)
     assert set(_picked(routes, 1.05)) == {"near"}
     assert "near" not in _picked(routes, 1.2)
     assert calls.probe_due(routes, 1.2) == ["near"]
     assert "near" not in _picked(routes, 1.4)
-    calls.probed(routes, "near", True, 1.4)
+    calls.probe_ended(routes, "near", True, 1.4)
     assert set(_picked(routes, 1.4)) == {"near"}
 
 
@@ -218,14 +220,14 @@
 
     It was left alone, and its old load and latency were held against it.
     """
-    routes = _peers.Routes(HERE, "region", try_dead=False)
+    routes = _peers.Routes(HERE, "region", try_unreachable=False)
     _hear(routes, "near", 5.0, 1.0, service=3.0)
     _fail(routes, "near", 1.1)
-    _peers.sent(routes, "near", 1.1)
-    _peers.probed(routes, "near", alive=False, now=1.2)
+    _peers.start_attempt(routes, "near", 1.1)
+    _peers.probe_ended(routes, "near", alive=False, now=1.2)
     assert "near" not in _picked(routes, 1.3)
-    _peers.restarted(routes, "near", 1.3)
+    _peers.record_restart(routes, "near", 1.3)
     assert set(_picked(routes, 1.3)) == {"near"}
-    assert routes.peers["near"].inflight == 1
-    _peers.restarted(routes, "unknown", 1.3)
+    assert routes.peers["near"].in_flight == 1
+    _peers.record_restart(routes, "unknown", 1.3)
     assert "unknown" not in routes.peers
--- a/tests/decisions/calls/test_shed_floors.py
+++ b/tests/decisions/calls/test_shed_floors.py
@@ -17,14 +17,16 @@
 ) -> None:
     """Let one call through that answers with the floor."""
     taken = calls.Call("c", "intake", "lookup", "main", "x", now + 1)
-    key, sent = calls.begin(entrance, rules, taken, samples.TARGETS, now, RNG)
+    key, sent = calls.begin_call(
+        entrance, rules, taken, samples.TARGETS, now, RNG
+    )
     assert isinstance(sent, calls.Send)
     answer = calls.Answer(
         outcomes.Outcome.DONE,
-        load=calls.Load(floor=floor),
+        load=calls.LoadReport(floor=floor),
         incarnation="one",
     )
-    calls.answered(
+    calls.apply_answer(
         entrance,
         rules,
         key,
@@ -58,7 +60,7 @@
     entrance = calls.new_entrance("me", "domain-a", "region")
     _told(entrance, rules, floor, 1.0)
     taken = calls.Call("d", "intake", "lookup", "main", "me", 5.0)
-    _, effect = calls.begin(
+    _, effect = calls.begin_call(
         entrance, rules, taken, samples.TARGETS, 1.0 + after, RNG
     )
     assert isinstance(effect, calls.Refuse) is refused
@@ -78,5 +80,7 @@
     entrance = calls.new_entrance("me", "domain-a", "region")
     _told(entrance, rules, 6.0, 1.0)
     assert calls.floor(entrance, "intake", "lookup", 1.0, "main") == 6.0
-    below = calls.floor_below(entrance, rules, "intake", "lookup", 1.0, "main")
+    below = calls.max_callee_floor(
+        entrance, rules, "intake", "lookup", 1.0, "main"
+    )
     assert below == 0.0
--- a/tests/decisions/load/test_guards.py
+++ b/tests/decisions/load/test_guards.py
@@ -31,7 +31,7 @@
     return {
         effect.attempt_id: effect.reason
         for effect in effects
-        if isinstance(effect, load.Turn)
+        if isinstance(effect, load.TurnAway)
     }
 
 
--- a/tests/decisions/requests/test_budgets.py
+++ b/tests/decisions/requests/test_budgets.py
@@ -85,7 +85,7 @@
         sent.append(now)
         calm = step % (7 * per_second) < 2 * per_second
         if not calm and rng.random() < failing:
-            if requests.allow(windows[own], rules, now):
+            if requests.allow_repeat(windows[own], rules, now):
                 repeats.append(now)
     hypothesis.note(f"{len(repeats)} repeats, {restarts} restarts")
     spare = 0.5 * rules.slack
@@ -123,6 +123,6 @@
     """Two bursts, nine and a bit seconds apart, in one sliding window."""
     rules = requests.BudgetRules(0.2, 5.0, WINDOW)
     window = requests.new_window(1.0)
-    assert requests.allow(window, rules, 1000.9)
-    assert not requests.allow(window, rules, 1010.1)
-    assert requests.allow(window, rules, 1011.0)
+    assert requests.allow_repeat(window, rules, 1000.9)
+    assert not requests.allow_repeat(window, rules, 1010.1)
+    assert requests.allow_repeat(window, rules, 1011.0)
--- a/tests/forwarding/measure_hop.py
+++ b/tests/forwarding/measure_hop.py
@@ -90,7 +90,7 @@
 async def _main() -> None:
     world = await _world()
     daemons = [running.daemon for running in world.daemons.values()]
-    gate = admission.Gate(share=0.0, load=99.0, updated=1e12)
+    gate = admission.Gate(share=0.0, load=99.0, updated_at=1e12)
     daemons[0].gates.gates["t"] = gate
     taken: dict[str, list[float]] = {"logs": [], "none": [], "refused": []}
     await _measure(world, b"/s/")
--- a/tests/forwarding/test_path.py
+++ b/tests/forwarding/test_path.py
@@ -264,7 +264,7 @@
         await world.knows(A)
         assert (await world.call(A, "/s/", "POST")).status == 503
         peers = world.daemons[A].daemon.routes.peers
-        while not peers[f"i-{C}"].dead:
+        while not peers[f"i-{C}"].unreachable:
             await asyncio.sleep(0.02)
         got = await world.call(A, "/s/", "POST")
         assert got.status == 503
--- a/tests/forwarding/test_restarts.py
+++ b/tests/forwarding/test_restarts.py
@@ -95,13 +95,13 @@
         (before,) = world.daemons[B].daemon.guards.values()
         peers = world.daemons[A].daemon.routes.peers
         peers[instance].ejected = True
-        peers[instance].service = 9.0
+        peers[instance].service_seconds = 9.0
         await asyncio.sleep(0.3)
         await _restart(world)
         assert (await call).status == 200
         assert not peers[instance].ejected
-        assert peers[instance].service < 1.0
-        assert peers[instance].inflight == 0
+        assert peers[instance].service_seconds < 1.0
+        assert peers[instance].in_flight == 0
         answers = [await world.call(B, "/s/") for _ in range(20)]
         assert {answer.status for answer in answers} == {200}
         guards = world.daemons[B].daemon.guards
--- a/tests/forwarding/test_walks.py
+++ b/tests/forwarding/test_walks.py
@@ -112,7 +112,7 @@
     async def test() -> None:
         world = await test_path._world()
         daemon = world.daemons[test_path.A].daemon
-        gate = admission.Gate(share=0.0, load=3.5, updated=1e12)
+        gate = admission.Gate(share=0.0, load=3.5, updated_at=1e12)
         daemon.gates.gates["s"] = gate
         assert (await world.call(test_path.A, "/s/")).status == 503
         _daemon._log_shares(daemon)
--- a/tests/forwarding/test_wire.py
+++ b/tests/forwarding/test_wire.py
@@ -21,7 +21,7 @@
 STATE = _wire.State(
     7,
     False,
-    calls.Load(0.5, 0.0, 20.0, 0.03),
+    calls.LoadReport(0.5, 0.0, 20.0, 0.03),
     0.4,
     0.25,
     True,
--- a/tests/fuzz/daemons.py
+++ b/tests/fuzz/daemons.py
@@ -105,7 +105,9 @@
                 reply(peer.bundle is not None and not peer.guard.leaving)
 
             def replied(daemon: Daemon, alive: bool, vm: str = vm) -> None:
-                calls.probed(daemon.entrance.routes, vm, alive, daemon.now)
+                calls.probe_ended(
+                    daemon.entrance.routes, vm, alive, daemon.now
+                )
 
             def failed(sent: bool) -> None:
                 """Leave it ejected."""
@@ -154,7 +156,7 @@
                 tell(*self.refusal(call, outcomes.Reason.OWNER_GONE))
                 return ""
             targets = (calls.Target(name.vm, call.service, name.vm[-1], "r"),)
-        key, effect = calls.begin(
+        key, effect = calls.begin_call(
             self.entrance, self.bundle, call, targets, self.now, self.rng
         )
         if key:
@@ -177,7 +179,7 @@
         self.calls.pop(key, None)
         tell = asked.tell
         if asked.parent is not None:
-            asked.parent.spent += effect.spent
+            asked.parent.spent += effect.retries_spent
         if isinstance(effect, calls.Deliver):
             body = self.bodies.pop(effect.attempt_id)
             tell(outcomes.Outcome.DONE, outcomes.Reason.NONE, body)
@@ -231,7 +233,7 @@
         targets = fleet.targets(self.node, call.service, self.now)
         if call.ticket:
             targets = ()
-        effect = calls.answered(
+        effect = calls.apply_answer(
             self.entrance,
             self.bundle,
             key,
@@ -251,7 +253,7 @@
         """Give up a call whose caller went away, and its attempt."""
         self.calls.pop(key, None)
         pending = self.entrance.pending.get(key)
-        attempt_id = calls.abandon(self.entrance, key, self.now)
+        attempt_id = calls.abandon_call(self.entrance, key, self.now)
         if pending is not None and attempt_id:
             vm = pending.tried[-1]
             self.world.carry(
@@ -313,14 +315,14 @@
             local = effect.attempt_id
             if isinstance(effect, load.Start):
                 self.start(local)
-            elif isinstance(effect, load.Turn):
+            elif isinstance(effect, load.TurnAway):
                 self.check_turn(effect)
                 self.end(local, once.NotRun(effect.reason))
             else:
                 aborted = functools.partial(self.ended, local, CANCELLED)
                 self.at(0.001, aborted)
 
-    def check_turn(self, turn: load.Turn) -> None:
+    def check_turn(self, turn: load.TurnAway) -> None:
         """Check that nothing less important was kept instead."""
         attempt = self.attempts.get(turn.attempt_id)
         if turn.reason is not outcomes.Reason.QUEUE_FULL or not attempt:
@@ -391,7 +393,7 @@
             outcome, reason = outcomes.Outcome.UNKNOWN, result.reason
             if isinstance(result, once.NotRun):
                 outcome = outcomes.Outcome.NOT_RUN
-        told = calls.Load(
+        told = calls.LoadReport(
             load.busy(self.guard), load.floor(self.guard, self.now)
         )
         answer = calls.Answer(
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -36,7 +36,7 @@
     rng = random.Random(1)
     return (
         entrance,
-        *calls.begin(entrance, bundle, call, targets, 0.0, rng),
+        *calls.begin_call(entrance, bundle, call, targets, 0.0, rng),
     )
 
 
@@ -61,7 +61,7 @@
     target = calls.Target("poster-a", "poster", "a", "r")
     entrance, key, sent = begin(repeat, (target,))
     assert isinstance(sent, calls.Send)
-    refused = calls.answered(
+    refused = calls.apply_answer(
         entrance,
         worlds.verify(worlds.envelope(1)),
         key,
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -206,7 +206,7 @@
     state = _wire.State(
         9,
         True,
-        calls.Load(0.5, 0.0, 8.0, 0.25),
+        calls.LoadReport(0.5, 0.0, 8.0, 0.25),
         0.75,
         1.25,
         True,
--- a/tests/loads/chains.py
+++ b/tests/loads/chains.py
@@ -119,9 +119,11 @@
         self.refusing: abc.Callable[[float], float] = lambda now: 0.0
         self.tallies = {kind.name: Tally() for kind in kinds}
         self.gates = [admission.Admission() for _ in range(entrances)]
-        self.heard = [admission.Chains() for _ in range(callers)]
+        self.heard = [admission.CalleeLoads() for _ in range(callers)]
         self.routes = [
-            calls.Routes(f"d{caller % len(speeds)}", "r", try_dead=False)
+            calls.Routes(
+                f"d{caller % len(speeds)}", "r", try_unreachable=False
+            )
             for caller in range(callers)
         ]
         self.targets = tuple(
@@ -213,7 +215,7 @@
         request = peek.request
         left = request.came + request.kind.timeout - self.now
         routes = self.routes[request.caller]
-        target = calls.pick(
+        target = calls.pick_target(
             routes, self.targets, peek.tried, self.now, self.rng
         )
         if request.failed or left <= 0.0 or target is None:
@@ -223,7 +225,7 @@
         self.crossed += target.failure_domain != routes.failure_domain
         peek.tried.append(target.vm)
         peek.sent = self.now
-        calls.sent(routes, target.vm, self.now)
+        calls.start_attempt(routes, target.vm, self.now)
         attempt = f"{next(self._serial)}"
         self._attempts[attempt] = peek, target.vm
         guard = self.guards[target.vm]
@@ -251,7 +253,7 @@
                     attempt,
                     refused,
                 )
-            elif isinstance(effect, load.Turn):
+            elif isinstance(effect, load.TurnAway):
                 self._answered(attempt, effect.reason)
             else:
                 guard = self.guards[vm]
@@ -276,20 +278,22 @@
         request = peek.request
         guard = self.guards[vm]
         level = int(rank_of(request))
-        service = load.service(guard)
-        told = calls.Load(
+        service = load.service_seconds(guard)
+        told = calls.LoadReport(
             load.busy(guard),
             limit=load.limit(guard, self.now),
-            service=service,
+            service_seconds=service,
         )
         good = reason is outcomes.Reason.NONE
         outcome = outcomes.Outcome.DONE if good else outcomes.Outcome.NOT_RUN
         answer = calls.Answer(outcome, reason, told, incarnation=vm)
         routes = self.routes[request.caller]
         taken = self.now - peek.sent
-        calls.ended(routes, vm, answer, taken, self.now)
-        pressure = admission.pressure(load.busy_at(guard, level), service)
-        admission.hear_inner(
+        calls.end_attempt(routes, vm, answer, taken, self.now)
+        pressure = admission.pressure(
+            load.busy_at_or_above(guard, level), service
+        )
+        admission.observe_inner_load(
             self.heard[request.caller], PEEK, level, pressure, self.now
         )
         if good:
@@ -308,10 +312,10 @@
         if request.rows:
             return
         kind, tally = request.kind, self.tallies[request.kind.name]
-        below = admission.below(
+        below = admission.busiest_callee_load(
             self.heard[request.caller], kind.importance, self.now
         )
-        admission.hear(
+        admission.observe_load(
             self.gates[request.entrance], kind.name, below, self.now
         )
         second = int(request.came)
--- a/tests/loads/test_patterns.py
+++ b/tests/loads/test_patterns.py
@@ -109,9 +109,9 @@
 
 def test_gate_hears_what_its_importance_must_yield_to() -> None:
     """A last service is full of calls that matter less."""
-    heard = admission.Chains()
+    heard = admission.CalleeLoads()
     for at in range(10):
-        admission.hear_inner(heard, "peek", 7, 3.0, 100.0 + 0.01 * at)
-        admission.hear_inner(heard, "peek", 9, 0.6, 100.0 + 0.01 * at)
-    assert admission.below(heard, 9, 100.1) < 1.0
-    assert admission.below(heard, 7, 100.1) > 2.0
+        admission.observe_inner_load(heard, "peek", 7, 3.0, 100.0 + 0.01 * at)
+        admission.observe_inner_load(heard, "peek", 9, 0.6, 100.0 + 0.01 * at)
+    assert admission.busiest_callee_load(heard, 9, 100.1) < 1.0
+    assert admission.busiest_callee_load(heard, 7, 100.1) > 2.0
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -107,7 +107,7 @@
         slot.bundle = busy_slot().bundle
         late = await (await arrived(slot, unused, "2.2"))
         assert late.reason == Reason.TICKET_VOID.value
-        turn = load.Turn("1.1", Reason.QUEUE_FULL, 1.0)
+        turn = load.TurnAway("1.1", Reason.QUEUE_FULL, 1.0)
         slot.attempts["1.1"].verdict.set_result(turn)
         assert (await first).outcome == (await again).outcome == "not run"
 
