--- a/src/sassafrasstair/decisions/feeds/__init__.py
+++ b/src/sassafrasstair/decisions/feeds/__init__.py
@@ -3,40 +3,40 @@
 from __future__ import annotations
 
 from sassafrasstair.decisions.feeds._feeds import adopt_address
-from sassafrasstair.decisions.feeds._feeds import believes
+from sassafrasstair.decisions.feeds._feeds import can_recheck
 from sassafrasstair.decisions.feeds._feeds import check_answered
 from sassafrasstair.decisions.feeds._feeds import check_due
 from sassafrasstair.decisions.feeds._feeds import check_sent
-from sassafrasstair.decisions.feeds._feeds import choose
-from sassafrasstair.decisions.feeds._feeds import doubt
+from sassafrasstair.decisions.feeds._feeds import choose_parent
+from sassafrasstair.decisions.feeds._feeds import expedite_read
 from sassafrasstair.decisions.feeds._feeds import Feed
 from sassafrasstair.decisions.feeds._feeds import is_stalled
-from sassafrasstair.decisions.feeds._feeds import learn
-from sassafrasstair.decisions.feeds._feeds import lost_from
-from sassafrasstair.decisions.feeds._feeds import missed
+from sassafrasstair.decisions.feeds._feeds import learn_hosts
+from sassafrasstair.decisions.feeds._feeds import lost_since
+from sassafrasstair.decisions.feeds._feeds import mark_change_missed
 from sassafrasstair.decisions.feeds._feeds import new_feed
 from sassafrasstair.decisions.feeds._feeds import next_step
-from sassafrasstair.decisions.feeds._feeds import patience
+from sassafrasstair.decisions.feeds._feeds import peer_ahead_limit
 from sassafrasstair.decisions.feeds._feeds import peer_answered
 from sassafrasstair.decisions.feeds._feeds import peer_failed
 from sassafrasstair.decisions.feeds._feeds import read_done
 from sassafrasstair.decisions.feeds._feeds import read_failed
-from sassafrasstair.decisions.feeds._feeds import readers
-from sassafrasstair.decisions.feeds._feeds import reads
-from sassafrasstair.decisions.feeds._feeds import reread
+from sassafrasstair.decisions.feeds._feeds import reader_hosts
+from sassafrasstair.decisions.feeds._feeds import reads_store
+from sassafrasstair.decisions.feeds._feeds import request_full_read
 from sassafrasstair.decisions.feeds._feeds import STORE
 from sassafrasstair.decisions.feeds._feeds import without_store
-from sassafrasstair.decisions.feeds._orders import earlier
+from sassafrasstair.decisions.feeds._orders import earlier_hosts
 from sassafrasstair.decisions.feeds._orders import FANOUT
-from sassafrasstair.decisions.feeds._orders import leads
-from sassafrasstair.decisions.feeds._orders import parent
+from sassafrasstair.decisions.feeds._orders import is_first
+from sassafrasstair.decisions.feeds._orders import select_parent
 from sassafrasstair.decisions.feeds._types import PeerStatus
 from sassafrasstair.decisions.feeds._types import Poll
 from sassafrasstair.decisions.feeds._types import Read
-from sassafrasstair.decisions.feeds._types import Rest
+from sassafrasstair.decisions.feeds._types import Sleep
 from sassafrasstair.decisions.feeds._types import Step
 from sassafrasstair.decisions.feeds._types import Timing
-from sassafrasstair.decisions.feeds._types import timing
+from sassafrasstair.decisions.feeds._types import timing_for_bound
 from sassafrasstair.decisions.feeds._types import Watch
 
 __all__ = [
@@ -45,35 +45,35 @@
     "PeerStatus",
     "Poll",
     "Read",
-    "Rest",
+    "Sleep",
     "STORE",
     "Step",
     "Timing",
     "Watch",
     "adopt_address",
-    "believes",
+    "can_recheck",
     "check_answered",
     "check_due",
     "check_sent",
-    "choose",
-    "doubt",
-    "earlier",
+    "choose_parent",
+    "expedite_read",
+    "earlier_hosts",
     "is_stalled",
-    "leads",
-    "learn",
-    "lost_from",
-    "missed",
+    "is_first",
+    "learn_hosts",
+    "lost_since",
+    "mark_change_missed",
     "new_feed",
     "next_step",
-    "parent",
-    "patience",
+    "select_parent",
+    "peer_ahead_limit",
     "peer_answered",
     "peer_failed",
     "read_done",
     "read_failed",
-    "readers",
-    "reads",
-    "reread",
-    "timing",
+    "reader_hosts",
+    "reads_store",
+    "request_full_read",
+    "timing_for_bound",
     "without_store",
 ]
--- a/src/sassafrasstair/decisions/feeds/_checks.py
+++ b/src/sassafrasstair/decisions/feeds/_checks.py
@@ -69,9 +69,9 @@
     after_last = checks.sent + checks.pause
     if checks.unanswered_from is not None:
         return after_last
-    quiet = timing.quiet if first else OTHERS_QUIET * timing.quiet
-    if timing.confirm is not None:
-        quiet = timing.confirm
+    quiet = timing.quiet_limit if first else OTHERS_QUIET * timing.quiet_limit
+    if timing.confirm_interval is not None:
+        quiet = timing.confirm_interval
     return max(after_last, heard + quiet)
 
 
@@ -86,11 +86,11 @@
     checks.sent = now
     if checks.unanswered_from is None:
         checks.unanswered_from = now
-        checks.pause = SECOND_SHARE * timing.answer
+        checks.pause = SECOND_SHARE * timing.answer_timeout
         return
     share = PAUSE_SHARE_MIN + (1.0 - PAUSE_SHARE_MIN) * rng.random()
     pauses = STAND_IN_PAUSES if stand_in else 1.0
-    checks.pause = pauses * share * timing.check
+    checks.pause = pauses * share * timing.check_interval
 
 
 def restart(checks: Checks) -> None:
@@ -118,7 +118,7 @@
 ) -> float | None:
     """Return since when the store has been lost, None if it is not."""
     first = checks.unanswered_from
-    if first is None or now - first < timing.answer:
+    if first is None or now - first < timing.answer_timeout:
         return None
     return first
 
--- a/src/sassafrasstair/decisions/feeds/_feeds.py
+++ b/src/sassafrasstair/decisions/feeds/_feeds.py
@@ -92,19 +92,19 @@
     answer that may be seconds old, from which no watch can go on.
     """
 
-    own: str
+    own_host: str
     timing: _types.Timing
     started: float
     hosts: frozenset[str] = frozenset()
     present: frozenset[str] = frozenset()
     vanished: dict[str, float] = dataclasses.field(default_factory=dict)
-    before: tuple[str, ...] = ()
+    earlier_hosts: tuple[str, ...] = ()
     known: bool = False
     whole: bool = True
     avoided: dict[str, float] = dataclasses.field(default_factory=dict)
     lost: dict[str, float] = dataclasses.field(default_factory=dict)
     parent: str | None = None
-    since: float = 0.0
+    parent_since: float = 0.0
     answered: bool = False
     behind_from: float = math.inf
     failures: int = 0
@@ -114,7 +114,7 @@
     retry: float = RETRY_SECONDS
     doubted: bool = False
     checks: _checks.Checks = dataclasses.field(default_factory=_checks.Checks)
-    first: bool = True
+    checks_for_all: bool = True
     stale: bool = False
 
 
@@ -123,9 +123,9 @@
     return Feed(own, timing, now)
 
 
-def learn(feed: Feed, hosts: frozenset[str], now: float) -> None:
+def learn_hosts(feed: Feed, hosts: frozenset[str], now: float) -> None:
     """Take the hosts of the own failure domain that the view holds."""
-    feed.known = feed.known or feed.own in hosts
+    feed.known = feed.known or feed.own_host in hosts
     vanished = feed.vanished | dict.fromkeys(feed.present - hosts, now)
     feed.present = hosts
     feed.vanished = {
@@ -137,7 +137,7 @@
     if known == feed.hosts:
         return
     feed.hosts = known
-    feed.before = _orders.earlier(feed.hosts, feed.own)
+    feed.earlier_hosts = _orders.earlier_hosts(feed.hosts, feed.own_host)
     for passed in (feed.avoided, feed.lost):
         for gone in [host for host in passed if host not in feed.hosts]:
             del passed[gone]
@@ -149,45 +149,49 @@
     Otherwise the daemon would follow itself, and order its domain differently
     from its peers.
     """
-    feed.own = own
+    feed.own_host = own
     feed.known = feed.known or own in feed.hosts
-    feed.before = _orders.earlier(feed.hosts, own)
+    feed.earlier_hosts = _orders.earlier_hosts(feed.hosts, own)
 
 
 def next_step(feed: Feed, now: float) -> _types.Step:
     """Return what to do now."""
     if _starting(feed, now):
-        return _paced(feed.read_from, now) or _types.Read(stale=True)
-    parent = choose(feed, now)
+        return _paced(feed.read_from, now) or _types.Read(allow_stale=True)
+    parent = choose_parent(feed, now)
     if parent != feed.parent:
-        feed.parent, feed.since = parent, now
+        feed.parent, feed.parent_since = parent, now
         feed.answered = False
         feed.behind_from = math.inf
         _checks.restart(feed.checks)
     if parent == STORE:
         return _paced(feed.read_from, now) or _read(feed)
-    hold = feed.timing.hold if feed.answered else 0.0
-    within = hold + feed.timing.margin
+    hold = feed.timing.poll_hold if feed.answered else 0.0
+    within = hold + feed.timing.poll_margin
     return _paced(feed.poll_from, now) or _types.Poll(parent, hold, within)
 
 
-def choose(feed: Feed, now: float) -> str:
+def choose_parent(feed: Feed, now: float) -> str:
     """Return whom to follow, ``STORE`` for the store itself."""
     if now < feed.alone_until:
         return STORE
-    live = [host for host in feed.before if _is_over(feed.avoided, host, now)]
+    live = [
+        host
+        for host in feed.earlier_hosts
+        if _is_over(feed.avoided, host, now)
+    ]
     fit = [host for host in live if _is_over(feed.lost, host, now)]
     if fit:
-        return _orders.parent(fit)
+        return _orders.select_parent(fit)
     if len(live) < READERS_MAX:
         return STORE
-    return _orders.parent(live)
+    return _orders.select_parent(live)
 
 
 def read_done(feed: Feed, now: float, stale: bool, news: bool = True) -> None:
     """Note an answer of the store, with ``news`` or without."""
     starts = stale or feed.stale
-    pace = START_PACE_SECONDS if starts else feed.timing.pace
+    pace = START_PACE_SECONDS if starts else feed.timing.watch_interval
     feed.read_from = now + pace
     if stale and not _starting(feed, now):
         feed.read_from = now
@@ -237,7 +241,7 @@
     feed.lost.pop(host, None)
     if status.leaving:
         feed.avoided[host] = now + _spread(AVOID_SECONDS, rng)
-    if status.lost is not None or status.age > AGE_SECONDS_MAX:
+    if status.lost is not None or status.age_seconds > AGE_SECONDS_MAX:
         feed.lost[host] = now + _spread(AVOID_SECONDS, rng)
     _check_behind(feed, host, status.revision < content, now, rng)
 
@@ -253,7 +257,7 @@
         feed.read_from = max(feed.read_from, now + _spread(STEP_SECONDS, rng))
 
 
-def doubt(feed: Feed, now: float) -> None:
+def expedite_read(feed: Feed, now: float) -> None:
     """Ask the store at once: a peer told more than it did."""
     feed.read_from = min(feed.read_from, now)
     feed.doubted = True
@@ -266,7 +270,7 @@
     """
     if feed.parent != STORE or _starting(feed, now):
         return False
-    due = _checks.due(feed.checks, feed.timing, feed.first, heard)
+    due = _checks.due(feed.checks, feed.timing, feed.checks_for_all, heard)
     return now >= due
 
 
@@ -277,7 +281,7 @@
     would not show its return.
     """
     fresh = feed.checks.unanswered_from is not None
-    stand_in = bool(feed.before)
+    stand_in = bool(feed.earlier_hosts)
     _checks.sent(feed.checks, feed.timing, stand_in, now, rng)
     return fresh
 
@@ -288,38 +292,38 @@
     A watch from before an outage never returns, so the store is watched anew.
     """
     away = _checks.answered(feed.checks, sent_at)
-    if away and reads(feed):
+    if away and reads_store(feed):
         feed.read_from = min(feed.read_from, now)
     return away
 
 
-def lost_from(feed: Feed, now: float) -> float | None:
+def lost_since(feed: Feed, now: float) -> float | None:
     """Return since when checks have had no answer, None if that is short."""
     if feed.parent != STORE:
         return None
     return _checks.lost_from(feed.checks, feed.timing, now)
 
 
-def believes(feed: Feed, now: float) -> bool:
+def can_recheck(feed: Feed, now: float) -> bool:
     """Return whether a greater revision of the store is acted on.
 
     A full read of a large and slow store takes longer than a check, and would
     never end if it was restarted each time.
     """
-    watches = reads(feed) and not feed.whole
+    watches = reads_store(feed) and not feed.whole
     return watches and _checks.believes(feed.checks, now)
 
 
-def missed(feed: Feed, now: float) -> None:
+def mark_change_missed(feed: Feed, now: float) -> None:
     """Ask the store at once: its revision says that a watch told too little.
 
     After a short outage no check is lost, but a watch event may be.
     """
-    doubt(feed, now)
+    expedite_read(feed, now)
     feed.checks.acted = True
 
 
-def reread(feed: Feed, now: float) -> bool:
+def request_full_read(feed: Feed, now: float) -> bool:
     """Read the whole store at once, as no watch tells all that it holds.
 
     Return False if that is under way: it is not begun anew.
@@ -333,36 +337,36 @@
 
 def is_stalled(feed: Feed, heard: float, now: float) -> bool:
     """Return whether nobody that is known has heard of the store for long."""
-    return now - heard > _checks.DEAF_QUIET * feed.timing.quiet
+    return now - heard > _checks.DEAF_QUIET * feed.timing.quiet_limit
 
 
-def patience(feed: Feed, heard: float, now: float) -> float:
+def peer_ahead_limit(feed: Feed, heard: float, now: float) -> float:
     """Return for how long a peer may know more before it is asked.
 
     A reader's own watch tells at once, but for the pace between two, and not
     at all if the daemon is deaf.
     """
-    if not reads(feed):
-        return feed.timing.behind
+    if not reads_store(feed):
+        return feed.timing.lag_limit
     if is_stalled(feed, heard, now):
         return 0.0
-    pace = min(feed.timing.pace, max(0.0, feed.read_from - now))
-    return pace + feed.timing.grace
+    pace = min(feed.timing.watch_interval, max(0.0, feed.read_from - now))
+    return pace + feed.timing.lag_grace
 
 
-def readers(hosts: abc.Iterable[str]) -> tuple[str, ...]:
+def reader_hosts(hosts: abc.Iterable[str]) -> tuple[str, ...]:
     """Return who reads the store, or is the next to, of some hosts."""
     return _orders.first(hosts, READERS_MAX)
 
 
-def reads(feed: Feed) -> bool:
+def reads_store(feed: Feed) -> bool:
     """Return whether the daemon reads the store itself, or starts."""
     return not feed.parent
 
 
 def without_store(feed: Feed, now: float) -> bool:
     """Return whether the daemon that is followed has lost the store."""
-    parent = choose(feed, now)
+    parent = choose_parent(feed, now)
     return parent != STORE and not _is_over(feed.lost, parent, now)
 
 
@@ -374,26 +378,28 @@
         feed.behind_from = math.inf
         return
     feed.behind_from = min(feed.behind_from, now)
-    if now - feed.behind_from >= feed.timing.behind:
+    if now - feed.behind_from >= feed.timing.lag_limit:
         feed.avoided[host] = now + _spread(AVOID_SECONDS, rng)
 
 
 def _read(feed: Feed) -> _types.Step:
     if feed.whole or feed.stale:
-        return _types.Read(stale=False)
+        return _types.Read(allow_stale=False)
     if feed.doubted:
         return _types.Watch(CHECK_SECONDS)
-    return _types.Watch(STAND_IN_SECONDS if feed.before else WATCH_SECONDS)
+    return _types.Watch(
+        STAND_IN_SECONDS if feed.earlier_hosts else WATCH_SECONDS
+    )
 
 
 def _starting(feed: Feed, now: float) -> bool:
-    alone = not feed.known and not feed.before
+    alone = not feed.known and not feed.earlier_hosts
     return alone and now - feed.started < START_SECONDS
 
 
-def _paced(not_before: float, now: float) -> _types.Rest | None:
+def _paced(not_before: float, now: float) -> _types.Sleep | None:
     left = not_before - now
-    return _types.Rest(left) if left >= GRAIN_SECONDS else None
+    return _types.Sleep(left) if left >= GRAIN_SECONDS else None
 
 
 def _is_over(passed: abc.Mapping[str, float], host: str, now: float) -> bool:
--- a/src/sassafrasstair/decisions/feeds/_orders.py
+++ b/src/sassafrasstair/decisions/feeds/_orders.py
@@ -32,7 +32,7 @@
     return hashlib.blake2b(host.encode(), digest_size=8).digest()
 
 
-def earlier(hosts: abc.Iterable[str], own: str) -> tuple[str, ...]:
+def earlier_hosts(hosts: abc.Iterable[str], own: str) -> tuple[str, ...]:
     """Return the hosts that come before ``own``, the first one first."""
     mark = place(own)
     before = [host for host in hosts if place(host) < mark]
@@ -44,12 +44,12 @@
     return tuple(sorted(hosts, key=place)[:count])
 
 
-def leads(own: abc.Iterable[str], others: abc.Iterable[str]) -> bool:
+def is_first(own: abc.Iterable[str], others: abc.Iterable[str]) -> bool:
     """Return whether the first of the own hosts comes before all others."""
     mark = min(map(place, own), default=b"")
     return all(mark <= place(host) for host in others)
 
 
-def parent(before: abc.Sequence[str]) -> str:
+def select_parent(before: abc.Sequence[str]) -> str:
     """Return whom the daemon behind these hosts follows: a heap by rank."""
     return before[(len(before) - 1) // FANOUT]
--- a/src/sassafrasstair/decisions/feeds/_types.py
+++ b/src/sassafrasstair/decisions/feeds/_types.py
@@ -61,19 +61,19 @@
     confirmed, whatever else it hears.
     """
 
-    pace: float
-    hold: float
-    margin: float
-    compare: float
-    behind: float
-    grace: float
-    quiet: float
-    answer: float
-    check: float
-    confirm: float | None = None
-
-
-def timing(
+    watch_interval: float
+    poll_hold: float
+    poll_margin: float
+    compare_interval: float
+    lag_limit: float
+    lag_grace: float
+    quiet_limit: float
+    answer_timeout: float
+    check_interval: float
+    confirm_interval: float | None = None
+
+
+def timing_for_bound(
     bound_seconds: float, revocation_seconds: float | None = None
 ) -> Timing:
     """Return the timing for changes to be known within a bound.
@@ -99,7 +99,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rest:
+class Sleep:
     """Do nothing for so many seconds."""
 
     seconds: float
@@ -110,15 +110,15 @@
     """Ask a daemon for what changed, and let it wait for news."""
 
     host: str
-    hold: float
-    within: float
+    hold_seconds: float
+    timeout: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Read:
     """Read the whole store; ``stale`` takes an answer that may be old."""
 
-    stale: bool
+    allow_stale: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -128,7 +128,7 @@
     seconds: float
 
 
-Step = Rest | Poll | Read | Watch
+Step = Sleep | Poll | Read | Watch
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -145,6 +145,6 @@
 
     revision: int
     lost: float | None
-    unsteady: float
+    unsteady_seconds: float
     leaving: bool
-    age: float = 0.0
+    age_seconds: float = 0.0
--- a/src/sassafrasstair/decisions/policies/__init__.py
+++ b/src/sassafrasstair/decisions/policies/__init__.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from sassafrasstair.decisions.policies._checks import unsound
-from sassafrasstair.decisions.policies._customers import digest
-from sassafrasstair.decisions.policies._customers import identify
+from sassafrasstair.decisions.policies._checks import find_fault
+from sassafrasstair.decisions.policies._customers import digest_key
+from sassafrasstair.decisions.policies._customers import identify_customer
 from sassafrasstair.decisions.policies._customers import Unidentified
 from sassafrasstair.decisions.policies._policies import ClientLimits
 from sassafrasstair.decisions.policies._policies import Customer
@@ -12,7 +12,7 @@
 from sassafrasstair.decisions.policies._policies import Route
 from sassafrasstair.decisions.policies._policies import Share
 from sassafrasstair.decisions.policies._tables import choose_service
-from sassafrasstair.decisions.policies._tables import match
+from sassafrasstair.decisions.policies._tables import match_route
 from sassafrasstair.decisions.policies._tables import new_table
 from sassafrasstair.decisions.policies._tables import Table
 
@@ -25,9 +25,9 @@
     "Table",
     "Unidentified",
     "choose_service",
-    "digest",
-    "identify",
-    "match",
+    "digest_key",
+    "identify_customer",
+    "match_route",
     "new_table",
-    "unsound",
+    "find_fault",
 ]
--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -16,7 +16,7 @@
 _CUSTOMER = re.compile(r"[!-~]{1,200}")
 
 
-def unsound(policy: _policies.Policy) -> str:
+def find_fault(policy: _policies.Policy) -> str:
     """Return what is wrong with a policy, or an empty string."""
     if policy.version < 0:
         return "version"
--- a/src/sassafrasstair/decisions/policies/_customers.py
+++ b/src/sassafrasstair/decisions/policies/_customers.py
@@ -22,7 +22,7 @@
     UNKNOWN_KEY = "unknown_key"
 
 
-def digest(key: bytes) -> bytes:
+def digest_key(key: bytes) -> bytes:
     """Return the digest by which a key is known; keys are not kept."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest()
 
@@ -38,7 +38,7 @@
     }
 
 
-def identify(
+def identify_customer(
     table: _tables.Table, route: _policies.Route, key: bytes | None
 ) -> _policies.Customer | Unidentified:
     """Return whose request it is, by the digest of its key if it has one."""
--- a/src/sassafrasstair/decisions/policies/_tables.py
+++ b/src/sassafrasstair/decisions/policies/_tables.py
@@ -22,8 +22,8 @@
     """
 
     policy: _policies.Policy
-    hosts: dict[str, dict[str, _policies.Route]]
-    routes: dict[str, _policies.Route]
+    routes_by_host: dict[str, dict[str, _policies.Route]]
+    routes_by_name: dict[str, _policies.Route]
     services: frozenset[str]
     customers: dict[bytes, _policies.Customer] | None
 
@@ -45,16 +45,16 @@
     )
 
 
-def match(table: Table, host: str, path: str) -> _policies.Route | None:
+def match_route(table: Table, host: str, path: str) -> _policies.Route | None:
     """Return the route with the longest prefix of ``path``.
 
     ``host`` may have a port. Prefixes begin and end with a slash, so only
     the path up to each of its slashes is looked up.
     """
     name = host.lower()
-    prefixes = table.hosts.get(name)
+    prefixes = table.routes_by_host.get(name)
     if prefixes is None:
-        prefixes = table.hosts.get(name.partition(":")[0])
+        prefixes = table.routes_by_host.get(name.partition(":")[0])
     if prefixes is None:
         return None
     end = path.rfind("/")
--- a/src/sassafrasstair/decisions/views/__init__.py
+++ b/src/sassafrasstair/decisions/views/__init__.py
@@ -3,33 +3,33 @@
 from __future__ import annotations
 
 from sassafrasstair.decisions.views._confirmations import active_version
-from sassafrasstair.decisions.views._confirmations import confirm
+from sassafrasstair.decisions.views._confirmations import apply_confirmation
 from sassafrasstair.decisions.views._confirmations import Confirmation
-from sassafrasstair.decisions.views._confirmations import note_watched
-from sassafrasstair.decisions.views._confirmations import note_whole
+from sassafrasstair.decisions.views._confirmations import note_changes_read
+from sassafrasstair.decisions.views._confirmations import note_full_read
 from sassafrasstair.decisions.views._confirmations import own_confirmation
-from sassafrasstair.decisions.views._confirmations import receive
+from sassafrasstair.decisions.views._confirmations import receive_confirmation
 from sassafrasstair.decisions.views._confirmations import unconfirmed_seconds
-from sassafrasstair.decisions.views._confirmations import vouches
-from sassafrasstair.decisions.views._queries import born
+from sassafrasstair.decisions.views._confirmations import up_to_date_at
+from sassafrasstair.decisions.views._queries import born_at
 from sassafrasstair.decisions.views._queries import count_services
-from sassafrasstair.decisions.views._queries import delta
+from sassafrasstair.decisions.views._queries import delta_since
 from sassafrasstair.decisions.views._queries import hosts_by_domain
-from sassafrasstair.decisions.views._queries import instance
+from sassafrasstair.decisions.views._queries import instance_by_id
 from sassafrasstair.decisions.views._queries import is_behind
 from sassafrasstair.decisions.views._queries import is_replaced
 from sassafrasstair.decisions.views._queries import is_restored
 from sassafrasstair.decisions.views._queries import is_stale
-from sassafrasstair.decisions.views._queries import knows
+from sassafrasstair.decisions.views._queries import knows_policy
 from sassafrasstair.decisions.views._queries import least_importance
-from sassafrasstair.decisions.views._queries import lost_seconds
-from sassafrasstair.decisions.views._queries import neighbours
+from sassafrasstair.decisions.views._queries import lost_store_seconds
+from sassafrasstair.decisions.views._queries import other_hosts
 from sassafrasstair.decisions.views._queries import snapshot
 from sassafrasstair.decisions.views._queries import targets
-from sassafrasstair.decisions.views._revisions import era
-from sassafrasstair.decisions.views._revisions import number
+from sassafrasstair.decisions.views._revisions import era_of
+from sassafrasstair.decisions.views._revisions import number_in_era
 from sassafrasstair.decisions.views._revisions import NUMBER_MAX
-from sassafrasstair.decisions.views._revisions import revision
+from sassafrasstair.decisions.views._revisions import pack_revision
 from sassafrasstair.decisions.views._revisions import UNORDERED
 from sassafrasstair.decisions.views._types import Change
 from sassafrasstair.decisions.views._types import Delta
@@ -41,17 +41,17 @@
 from sassafrasstair.decisions.views._types import Unusable
 from sassafrasstair.decisions.views._types import usable_delta
 from sassafrasstair.decisions.views._types import without_unusable
-from sassafrasstair.decisions.views._views import adopt
-from sassafrasstair.decisions.views._views import apply
+from sassafrasstair.decisions.views._views import adopt_snapshot
+from sassafrasstair.decisions.views._views import apply_changes
 from sassafrasstair.decisions.views._views import expire
 from sassafrasstair.decisions.views._views import new_view
-from sassafrasstair.decisions.views._views import note_age
+from sassafrasstair.decisions.views._views import note_peer_age
 from sassafrasstair.decisions.views._views import note_replaced
 from sassafrasstair.decisions.views._views import note_unsteady
-from sassafrasstair.decisions.views._views import replace
-from sassafrasstair.decisions.views._views import source_answered
-from sassafrasstair.decisions.views._views import source_failed
-from sassafrasstair.decisions.views._views import take
+from sassafrasstair.decisions.views._views import replace_all
+from sassafrasstair.decisions.views._views import store_answered
+from sassafrasstair.decisions.views._views import store_failed
+from sassafrasstair.decisions.views._views import take_delta
 from sassafrasstair.decisions.views._views import View
 
 __all__ = [
@@ -68,42 +68,42 @@
     "Unusable",
     "View",
     "active_version",
-    "adopt",
-    "apply",
-    "born",
-    "confirm",
+    "adopt_snapshot",
+    "apply_changes",
+    "born_at",
+    "apply_confirmation",
     "count_services",
-    "delta",
-    "era",
+    "delta_since",
+    "era_of",
     "expire",
     "hosts_by_domain",
-    "instance",
+    "instance_by_id",
     "is_behind",
     "is_replaced",
     "is_restored",
     "is_stale",
-    "knows",
+    "knows_policy",
     "least_importance",
-    "lost_seconds",
-    "neighbours",
+    "lost_store_seconds",
+    "other_hosts",
     "new_view",
-    "note_age",
+    "note_peer_age",
     "note_replaced",
     "note_unsteady",
-    "note_watched",
-    "note_whole",
-    "number",
+    "note_changes_read",
+    "note_full_read",
+    "number_in_era",
     "own_confirmation",
-    "receive",
-    "replace",
-    "revision",
+    "receive_confirmation",
+    "replace_all",
+    "pack_revision",
     "snapshot",
-    "source_answered",
-    "source_failed",
-    "take",
+    "store_answered",
+    "store_failed",
+    "take_delta",
     "targets",
     "unconfirmed_seconds",
     "usable_delta",
-    "vouches",
+    "up_to_date_at",
     "without_unusable",
 ]
--- a/src/sassafrasstair/decisions/views/_confirmations.py
+++ b/src/sassafrasstair/decisions/views/_confirmations.py
@@ -24,8 +24,8 @@
     """
 
     version: int
-    age: float
-    held: float = 0.0
+    age_seconds: float
+    held_seconds: float = 0.0
 
 
 def active_version(view: _views.View) -> int:
@@ -33,7 +33,9 @@
     return -1 if view.table is None else view.table.policy.version
 
 
-def confirm(view: _views.View, version: int, instant: float) -> bool:
+def apply_confirmation(
+    view: _views.View, version: int, instant: float
+) -> bool:
     """Take a confirmation; return whether it holds here.
 
     ``instant`` is in seconds of the clock, and no later than the truth. A
@@ -47,7 +49,7 @@
     return True
 
 
-def receive(
+def receive_confirmation(
     view: _views.View, confirmation: Confirmation, asked_at: float
 ) -> bool:
     """Take the confirmation of a peer that was asked at an instant.
@@ -55,8 +57,8 @@
     The age counts from the answer, which is later than the question by the
     time for which it was held at least.
     """
-    instant = asked_at + confirmation.held - confirmation.age
-    return confirm(view, confirmation.version, instant)
+    instant = asked_at + confirmation.held_seconds - confirmation.age_seconds
+    return apply_confirmation(view, confirmation.version, instant)
 
 
 def own_confirmation(
@@ -74,12 +76,12 @@
     return now - view.confirmed
 
 
-def note_whole(view: _views.View, revision: int) -> None:
+def note_full_read(view: _views.View, revision: int) -> None:
     """Note a reading of the latest state: it has all policies until then."""
     view.vouched = max(view.vouched, revision)
 
 
-def note_watched(view: _views.View, after: int, revision: int) -> None:
+def note_changes_read(view: _views.View, after: int, revision: int) -> None:
     """Note that a watch brought all changes between two revisions.
 
     One that brought none says nothing: a watch that stalls looks the same.
@@ -88,6 +90,6 @@
         view.vouched = max(view.vouched, revision)
 
 
-def vouches(view: _views.View, revision: int) -> bool:
+def up_to_date_at(view: _views.View, revision: int) -> bool:
     """Return whether the view has all policies up to a revision."""
     return revision <= view.vouched
--- a/src/sassafrasstair/decisions/views/_queries.py
+++ b/src/sassafrasstair/decisions/views/_queries.py
@@ -19,7 +19,7 @@
 for a route that is new: it is refused for now instead of denied."""
 
 
-def knows(view: _views.View) -> bool:
+def knows_policy(view: _views.View) -> bool:
     """Return whether there is a policy to serve by."""
     return view.table is not None
 
@@ -39,21 +39,23 @@
     ``revision`` is the store's now. What it was asked for from before that,
     it does not have any more, or has given out anew.
     """
-    later = _revisions.era(revision) > _revisions.era(view.revision)
+    later = _revisions.era_of(revision) > _revisions.era_of(view.revision)
     return view.revision >= 0 and later
 
 
-def lost_seconds(view: _views.View, now: float) -> float | None:
+def lost_store_seconds(view: _views.View, now: float) -> float | None:
     """Return for how long there has been no word of the store, by any way.
 
     None if there is no lack of it.
     """
-    return now - view.failing if view.failing <= now else None
+    return (
+        now - view.store_lost_since if view.store_lost_since <= now else None
+    )
 
 
 def is_stale(view: _views.View, now: float) -> bool:
     """Return whether the store has been away for a while."""
-    return now - view.failing >= STALE_SECONDS
+    return now - view.store_lost_since >= STALE_SECONDS
 
 
 def targets(view: _views.View, service: str) -> tuple[calls.Target, ...]:
@@ -76,7 +78,7 @@
     )
 
 
-def delta(view: _views.View, after: int) -> _types.Delta:
+def delta_since(view: _views.View, after: int) -> _types.Delta:
     """Return what became known after ``after``, a peer's content.
 
     All that is known, where the history does not go back so far.
@@ -114,7 +116,7 @@
     return {domain: frozenset(hosts) for domain, hosts in found.items()}
 
 
-def neighbours(view: _views.View, own_host: str) -> list[str]:
+def other_hosts(view: _views.View, own_host: str) -> list[str]:
     """Return the hosts of all other daemons that are known."""
     known = [entry for entry in view.instances.values() if _named(view, entry)]
     hosts = {entry.host for entry in known}
@@ -206,7 +208,7 @@
     return key in view.replaced
 
 
-def instance(view: _views.View, key: str) -> _types.Instance | None:
+def instance_by_id(view: _views.View, key: str) -> _types.Instance | None:
     """Return an instance by its id, also one whose entry has vanished."""
     found = view.instances.get(key)
     if found is None and key in view.lapsed:
@@ -214,7 +216,7 @@
     return found
 
 
-def born(view: _views.View, key: str) -> int:
+def born_at(view: _views.View, key: str) -> int:
     """Return when the run under an id started, 0 if that was not told."""
     return view.latest.get(key, 0)
 
--- a/src/sassafrasstair/decisions/views/_revisions.py
+++ b/src/sassafrasstair/decisions/views/_revisions.py
@@ -15,16 +15,16 @@
 NUMBER_MAX = (1 << _NUMBER_BITS) - 1
 
 
-def revision(era: int, number: int) -> int:
+def pack_revision(era: int, number: int) -> int:
     """Return the revision that the store counts as ``number`` in an era."""
     return era << _NUMBER_BITS | number
 
 
-def era(revision: int) -> int:
+def era_of(revision: int) -> int:
     """Return the era of a revision, 0 if it is unordered."""
     return max(0, revision) >> _NUMBER_BITS
 
 
-def number(revision: int) -> int:
+def number_in_era(revision: int) -> int:
     """Return the store's own number of a revision, -1 if it is unordered."""
     return revision & NUMBER_MAX if revision >= 0 else revision
--- a/src/sassafrasstair/decisions/views/_views.py
+++ b/src/sassafrasstair/decisions/views/_views.py
@@ -98,8 +98,8 @@
     history: _histories.History = dataclasses.field(
         default_factory=_histories.History
     )
-    answered: float = -math.inf
-    failing: float = math.inf
+    store_answered_at: float = -math.inf
+    store_lost_since: float = math.inf
     unsteady_until: float = -math.inf
     confirmed: float = -math.inf
     settled_from: float = -math.inf
@@ -114,33 +114,33 @@
     return View()
 
 
-def source_answered(view: View, now: float, age: float = 0.0) -> bool:
+def store_answered(view: View, now: float, age: float = 0.0) -> bool:
     """Note an answer of the store; True when it had been away.
 
     ``age`` is how long ago it was given, to another daemon. One that was
     given before the loss says nothing of a return.
     """
-    view.answered = max(view.answered, now - age)
-    if view.failing == math.inf or now - age <= view.failing:
+    view.store_answered_at = max(view.store_answered_at, now - age)
+    if view.store_lost_since == math.inf or now - age <= view.store_lost_since:
         return False
     view.unsteady_until = now + UNSTEADY_SECONDS
-    view.failing = math.inf
+    view.store_lost_since = math.inf
     return True
 
 
-def note_age(view: View, age: float, now: float) -> None:
+def note_peer_age(view: View, age: float, now: float) -> None:
     """Take from a peer that knows no more how old its view is at most.
 
     What the store says by another way changes nothing of whether it answers
     this daemon.
     """
-    view.answered = max(view.answered, now - age)
+    view.store_answered_at = max(view.store_answered_at, now - age)
 
 
-def source_failed(view: View, now: float) -> bool:
+def store_failed(view: View, now: float) -> bool:
     """Note a failed call to the store; True when it is the first."""
-    first = view.failing == math.inf
-    view.failing = min(view.failing, now)
+    first = view.store_lost_since == math.inf
+    view.store_lost_since = min(view.store_lost_since, now)
     return first
 
 
@@ -149,7 +149,7 @@
     view.unsteady_until = max(view.unsteady_until, now + seconds)
 
 
-def replace(
+def replace_all(
     view: View,
     known: abc.Sequence[_types.Change],
     revision: int,
@@ -176,7 +176,7 @@
     if restored:
         note_unsteady(view, UNSTEADY_SECONDS, now)
         view.settled_from = now + SETTLE_SECONDS
-    updates = apply(view, [*vanished, *known], revision, content, now)
+    updates = apply_changes(view, [*vanished, *known], revision, content, now)
     if not restored:
         return updates
     return [(_types.News.RESTORED, ""), *updates, *_doubt(view, back, now)]
@@ -189,7 +189,7 @@
     return [(_types.News.DOUBTED, key) for key in sorted(keys)]
 
 
-def apply(
+def apply_changes(
     view: View,
     changes: abc.Sequence[_types.Change],
     revision: int,
@@ -238,7 +238,7 @@
     ]
 
 
-def take(view: View, delta: _types.Delta, now: float) -> Updates:
+def take_delta(view: View, delta: _types.Delta, now: float) -> Updates:
     """Take what a peer told after this view's content.
 
     One that is older than what is known is dropped, whoever tells it.
@@ -253,7 +253,7 @@
         changes.append(delta.policy)
     changes += [_types.Removed(key) for key in delta.removed]
     changes += [_types.Unusable(key) for key in delta.unusable]
-    step = replace if delta.whole else apply
+    step = replace_all if delta.whole else apply_changes
     updates = step(view, changes, delta.revision, delta.content, now)
     view.content = max(view.content, delta.content)
     return updates
@@ -269,14 +269,16 @@
     return _set_instance(view, change)
 
 
-def adopt(view: View, snapshot: _types.Snapshot, now: float) -> Updates:
+def adopt_snapshot(
+    view: View, snapshot: _types.Snapshot, now: float
+) -> Updates:
     """Take what a peer knows, if its revision is greater."""
     if snapshot.revision <= view.revision:
         return []
     known: list[_types.Change] = list(snapshot.instances)
     if snapshot.policy is not None:
         known.append(snapshot.policy)
-    return replace(view, known, snapshot.revision, snapshot.content, now)
+    return replace_all(view, known, snapshot.revision, snapshot.content, now)
 
 
 def expire(view: View, now: float) -> Updates:
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -49,7 +49,7 @@
     if target is None:
         _endings.give_up(daemon, call, before)
         return
-    instance = views.instance(daemon.view, target.vm)
+    instance = views.instance_by_id(daemon.view, target.vm)
     host = "" if instance is None else instance.host
     left_for = calls.reason_for_crossing(
         daemon.routes, targets, target, progress.tried, now
@@ -69,7 +69,7 @@
         target.vm,
         host,
         now,
-        views.born(daemon.view, target.vm),
+        views.born_at(daemon.view, target.vm),
         ask,
         [*call.fields, (daemon.names.target, target.vm.encode())],
         _crashes.trial(verdict),
@@ -316,7 +316,7 @@
         step=step,
         taken=now - attempt.sent,
         left=progress.deadline - now,
-        revision=views.number(daemon.view.revision),
+        revision=views.number_in_era(daemon.view.revision),
     )
     blocked = reason is outcomes.Reason.CRASHES_INSTANCES
     if step is requests.Step.RETRY and not blocked:
@@ -344,7 +344,7 @@
 
     Late failures of an earlier run under the same id must not eject it.
     """
-    born = views.born(daemon.view, attempt.instance)
+    born = views.born_at(daemon.view, attempt.instance)
     return not attempt.born or attempt.born == born
 
 
--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -22,12 +22,14 @@
 
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Send a check when one is due, and note that the store has gone."""
-    since = feeds.lost_from(daemon.feed, now)
+    since = feeds.lost_since(daemon.feed, now)
     if since is not None:
         reason = _dialect.SourceReason.TIMEOUT.value
         _learning.note_failure(daemon, since, reason, VERB)
     demanded = _confirmations.is_demanded(daemon)
-    heard = daemon.view.confirmed if demanded else daemon.view.answered
+    heard = (
+        daemon.view.confirmed if demanded else daemon.view.store_answered_at
+    )
     if feeds.check_due(daemon.feed, heard, now):
         _send(daemon, now)
 
@@ -62,15 +64,15 @@
     # reader that hangs would else pass for one that reads.
     restored = views.is_restored(daemon.view, revision)
     behind = restored or _is_behind(daemon, revision, now)
-    age = now - daemon.view.answered if behind else 0.0
+    age = now - daemon.view.store_answered_at if behind else 0.0
     _learning.note_answer(daemon, now, age)
     _policy_checks.check_answered(daemon, revision, sent_at)
-    if restored and feeds.reads(daemon.feed):
-        if feeds.reread(daemon.feed, now):
+    if restored and feeds.reads_store(daemon.feed):
+        if feeds.request_full_read(daemon.feed, now):
             daemon.woken.set()
     elif behind:
         asyncio.get_running_loop().call_later(
-            daemon.feed.timing.grace, _ask_if_behind, daemon, revision
+            daemon.feed.timing.lag_grace, _ask_if_behind, daemon, revision
         )
 
 
@@ -78,11 +80,13 @@
     """Ask the store at once, if the own watch still has not told."""
     now = daemon.clock.monotonic()
     if _is_behind(daemon, revision, now):
-        daemon.journal.note("watch_behind", revision=views.number(revision))
-        feeds.missed(daemon.feed, now)
+        daemon.journal.note(
+            "watch_behind", revision=views.number_in_era(revision)
+        )
+        feeds.mark_change_missed(daemon.feed, now)
         daemon.woken.set()
 
 
 def _is_behind(daemon: _state.Daemon, revision: int, now: float) -> bool:
     greater = revision > daemon.view.revision
-    return greater and feeds.believes(daemon.feed, now)
+    return greater and feeds.can_recheck(daemon.feed, now)
--- a/src/sassafrasstair/forwarding/_confirmations.py
+++ b/src/sassafrasstair/forwarding/_confirmations.py
@@ -46,7 +46,13 @@
     told = views.own_confirmation(daemon.view, now, held)
     if told is None:
         return []
-    return [(FIELD, b"%d %.3f %.3f" % (told.version, told.age, told.held))]
+    return [
+        (
+            FIELD,
+            b"%d %.3f %.3f"
+            % (told.version, told.age_seconds, told.held_seconds),
+        )
+    ]
 
 
 def receive(
@@ -58,7 +64,7 @@
     """
     value = found.get(KEY)
     if value is not None and is_demanded(daemon):
-        views.receive(daemon.view, _decode(value), asked_at)
+        views.receive_confirmation(daemon.view, _decode(value), asked_at)
 
 
 def _decode(value: bytes) -> views.Confirmation:
@@ -67,6 +73,6 @@
         told = views.Confirmation(int(version), float(age), float(held))
     except ValueError as error:
         raise _wire.WireError(f"confirmed: {error}") from error
-    if not (told.age >= 0.0 and told.held >= 0.0):
+    if not (told.age_seconds >= 0.0 and told.held_seconds >= 0.0):
         raise _wire.WireError("confirmed: negative")
     return told
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -66,4 +66,7 @@
     parent = daemon.feed.parent
     if parent is not None and parent != feeds.STORE:
         return [parent]
-    return [*daemon.foreign_readers, *daemon.feed.before[:EARLIER_READERS_MAX]]
+    return [
+        *daemon.foreign_readers,
+        *daemon.feed.earlier_hosts[:EARLIER_READERS_MAX],
+    ]
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -97,7 +97,7 @@
     daemon: _state.Daemon, now: float
 ) -> list[tuple[int, crashes.Verdict]]:
     """Return the requests that may not run freely, and why."""
-    own = daemon.feed.own
+    own = daemon.feed.own_host
     return [
         (each, crashes.judge(daemon.ledger, each, own, now))
         for each in daemon.standings
@@ -161,7 +161,7 @@
     instance = runs[-1].order.ask.instance
     if _is_leaving(daemon, instance):
         return
-    key = instance, views.born(daemon.view, instance)
+    key = instance, views.born_at(daemon.view, instance)
     found = [
         crashes.Run(
             _of_order(run.order),
@@ -210,7 +210,7 @@
 
 def _is_leaving(daemon: _state.Daemon, instance: str) -> bool:
     """Return whether the instance's end was to be expected."""
-    known = views.instance(daemon.view, instance)
+    known = views.instance_by_id(daemon.view, instance)
     if known is None or daemon.leaving:
         return daemon.leaving
     lapsed = instance not in daemon.view.instances
@@ -218,7 +218,7 @@
 
 
 def _judge(daemon: _state.Daemon, fingerprint: int) -> crashes.Verdict:
-    own = daemon.feed.own
+    own = daemon.feed.own_host
     now = daemon.clock.monotonic()
     return crashes.judge(daemon.ledger, fingerprint, own, now)
 
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -35,7 +35,7 @@
     if table is None or table.customers is None:
         return None
     key = request.found.get(daemon.keys.key)
-    return None if key is None else policies.digest(key.strip())
+    return None if key is None else policies.digest_key(key.strip())
 
 
 def identify(
@@ -48,7 +48,7 @@
     table = daemon.view.table
     if table is None or table.customers is None:
         return NOBODY
-    found = policies.identify(table, route, key)
+    found = policies.identify_customer(table, route, key)
     if found is policies.Unidentified.ANONYMOUS:
         return NOBODY
     now = daemon.clock.monotonic()
@@ -73,7 +73,7 @@
     if table is None or table.customers is None:
         return NOBODY if key is None else None
     if key is None:
-        route = table.routes.get(route_name)
+        route = table.routes_by_name.get(route_name)
         return NOBODY if route is not None and route.anonymous else None
     try:
         return table.customers.get(bytes.fromhex(key.decode("ascii")))
--- a/src/sassafrasstair/forwarding/_endings.py
+++ b/src/sassafrasstair/forwarding/_endings.py
@@ -126,7 +126,7 @@
         share=gate.share,
         load=gate.load,
         policy=0 if table is None else table.policy.version,
-        revision=views.number(daemon.view.revision),
+        revision=views.number_in_era(daemon.view.revision),
         **_customer_fields(daemon, call),
         **_crashes.log_fields(call.fingerprint),
     )
@@ -176,7 +176,7 @@
         policy_age=views.unconfirmed_seconds(
             daemon.view, daemon.clock.monotonic()
         ),
-        revision=views.number(daemon.view.revision),
+        revision=views.number_in_era(daemon.view.revision),
     )
     _counters.ended(daemon.counters, "none", 0, status, reason.value, 0.0)
     named = (daemon.names.request_id, request_id)
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -80,7 +80,7 @@
         return None
     host = found.get(b"host", b"").decode("latin-1")
     path = exchange.request.target.partition(b"?")[0].decode("latin-1")
-    route = policies.match(table, host, path)
+    route = policies.match_route(table, host, path)
     if route is None:
         if views.is_stale(daemon.view, daemon.clock.monotonic()):
             _endings.refuse_early(daemon, exchange, outcomes.Reason.NO_BUNDLE)
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -71,9 +71,9 @@
         status.revision,
         content,
         lost.encode(),
-        status.unsteady,
+        status.unsteady_seconds,
         status.leaving,
-        min(status.age, AGE_SHOWN),
+        min(status.age_seconds, AGE_SHOWN),
     )
 
 
@@ -128,7 +128,7 @@
 
 
 def _check_policy(policy: policies.Policy | None) -> None:
-    wrong = "" if policy is None else policies.unsound(policy)
+    wrong = "" if policy is None else policies.find_fault(policy)
     if wrong:
         raise _wire.WireError(f"view: policy: {wrong}")
 
--- a/src/sassafrasstair/forwarding/_guards.py
+++ b/src/sassafrasstair/forwarding/_guards.py
@@ -33,13 +33,13 @@
     daemon: _state.Daemon, instance: str, now: float
 ) -> load.Guard:
     """Return the guard of the instance's latest run."""
-    key = instance, views.born(daemon.view, instance)
+    key = instance, views.born_at(daemon.view, instance)
     guard = daemon.guards.get(key)
     if guard is None:
         # Until its start is told a run is known by its id alone.
         guard = daemon.guards.pop((instance, 0), None)
         if guard is None:
-            slots = _usable_slots(views.instance(daemon.view, instance))
+            slots = _usable_slots(views.instance_by_id(daemon.view, instance))
             guard = load.new_guard(slots, now, patient=True)
         daemon.guards[key] = guard
         _drop_oldest(daemon)
@@ -48,7 +48,7 @@
 
 def resize(daemon: _state.Daemon, instance: str, guard: load.Guard) -> None:
     """Let the guard have the slots that the instance's entry tells."""
-    known = views.instance(daemon.view, instance)
+    known = views.instance_by_id(daemon.view, instance)
     slots = _usable_slots(known)
     if known is not None and slots != guard.limits.slots:
         load.resize(guard, slots)
@@ -57,7 +57,7 @@
 def is_over(daemon: _state.Daemon, key: Key) -> bool:
     """Return whether the run is over: the instance has started again."""
     instance, born = key
-    return 0 < born < views.born(daemon.view, instance)
+    return 0 < born < views.born_at(daemon.view, instance)
 
 
 def began(daemon: _state.Daemon, instance: str, now: float) -> float:
@@ -66,7 +66,7 @@
     Minus infinity where the time of day can't tell: it has been set back
     since, or the start is not known.
     """
-    born = views.born(daemon.view, instance)
+    born = views.born_at(daemon.view, instance)
     age = daemon.clock.wall().timestamp() - born / 1000
     if not born or age < 0.0:
         return -math.inf
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -32,7 +32,7 @@
     note_refused(daemon, reading.refused)
     if views.UNORDERED < reading.revision < daemon.view.revision:
         _note_outdated(daemon, reading)
-    take = views.replace if reading.whole else views.apply
+    take = views.replace_all if reading.whole else views.apply_changes
     told = take(
         daemon.view, reading.changes, reading.revision, reading.content, now
     )
@@ -60,20 +60,20 @@
 ) -> bool:
     """Take what a daemon told; return whether anything became different."""
     now = daemon.clock.monotonic()
-    views.note_unsteady(daemon.view, status.unsteady, now)
-    told = views.take(daemon.view, delta, now)
+    views.note_unsteady(daemon.view, status.unsteady_seconds, now)
+    told = views.take_delta(daemon.view, delta, now)
     learned(daemon, told, f"peer {host}")
     return bool(told)
 
 
 def note_answer(daemon: _state.Daemon, now: float, age: float = 0.0) -> None:
     """Note a word of the store, that a daemon may have had ``age`` ago."""
-    away = views.lost_seconds(daemon.view, now) or 0.0
-    if views.source_answered(daemon.view, now, age):
+    away = views.lost_store_seconds(daemon.view, now) or 0.0
+    if views.store_answered(daemon.view, now, age):
         _counters.believed(daemon.counters, "store_back")
         daemon.journal.note(
             "store_back",
-            revision=views.number(daemon.view.revision),
+            revision=views.number_in_era(daemon.view.revision),
             away=away,
             source=_status.parent_name(daemon.feed.parent),
         )
@@ -84,13 +84,13 @@
     daemon: _state.Daemon, since: float, reason: str, detail: str
 ) -> None:
     """Note that there has been no word of the store since then."""
-    if views.source_failed(daemon.view, since):
+    if views.store_failed(daemon.view, since):
         _counters.believed(daemon.counters, "store_lost")
         daemon.journal.note(
             "store_lost",
             reason=reason,
             detail=detail,
-            revision=views.number(daemon.view.revision),
+            revision=views.number_in_era(daemon.view.revision),
         )
         _polls.answer_all(daemon)
 
@@ -118,10 +118,10 @@
     daemon.journal.request(
         "reading_outdated",
         "whole" if reading.whole else "watch",
-        read=views.number(reading.revision),
-        read_era=views.era(reading.revision),
-        era=views.era(daemon.view.revision),
-        revision=views.number(daemon.view.revision),
+        read=views.number_in_era(reading.revision),
+        read_era=views.era_of(reading.revision),
+        era=views.era_of(daemon.view.revision),
+        revision=views.number_in_era(daemon.view.revision),
     )
 
 
@@ -158,19 +158,19 @@
         return
     view, settings = daemon.view, daemon.settings
     known = daemon.hosts
-    daemon.hosts = views.neighbours(view, daemon.feed.own)
+    daemon.hosts = views.other_hosts(view, daemon.feed.own_host)
     if daemon.hosts != known:
         _state.share_slack(daemon)
     daemon.services = views.count_services(view)
     daemon.least_importance = views.least_importance(view)
     hosts = views.hosts_by_domain(view)
     near = hosts.pop(settings.failure_domain, frozenset())
-    feeds.learn(daemon.feed, near, daemon.clock.monotonic())
+    feeds.learn_hosts(daemon.feed, near, daemon.clock.monotonic())
     daemon.foreign_readers = [
-        reader for far in hosts.values() for reader in feeds.readers(far)
+        reader for far in hosts.values() for reader in feeds.reader_hosts(far)
     ]
-    daemon.feed.first = feeds.leads(
-        {*near, daemon.feed.own}, daemon.foreign_readers
+    daemon.feed.checks_for_all = feeds.is_first(
+        {*near, daemon.feed.own_host}, daemon.foreign_readers
     )
     _polls.answer_news(daemon)
 
@@ -184,7 +184,7 @@
             "policy_in_force",
             version=view.table.policy.version,
             routes=len(view.table.policy.routes),
-            revision=views.number(view.revision),
+            revision=views.number_in_era(view.revision),
             source=source,
         )
         return
@@ -193,17 +193,17 @@
         daemon.refused.clear()
         daemon.journal.note(
             news.value,
-            era=views.era(view.revision),
-            revision=views.number(view.revision),
+            era=views.era_of(view.revision),
+            revision=views.number_in_era(view.revision),
             source=source,
         )
         return
     daemon.journal.note(
         news.value,
         instance=key,
-        revision=views.number(view.revision),
+        revision=views.number_in_era(view.revision),
         source=source,
-        **_shown(views.instance(view, key)),
+        **_shown(views.instance_by_id(view, key)),
     )
 
 
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -44,13 +44,17 @@
     keep its whole domain behind. It asks several: any may be up to date.
     """
     while True:
-        pause = daemon.feed.timing.compare * (0.5 + daemon.rng.random())
+        pause = daemon.feed.timing.compare_interval * (
+            0.5 + daemon.rng.random()
+        )
         await asyncio.sleep(pause)
-        if not feeds.reads(daemon.feed):
+        if not feeds.reads_store(daemon.feed):
             continue
         others = daemon.foreign_readers
         now = daemon.clock.monotonic()
-        deaf = feeds.is_stalled(daemon.feed, daemon.view.answered, now)
+        deaf = feeds.is_stalled(
+            daemon.feed, daemon.view.store_answered_at, now
+        )
         count = min(len(others), ASKED_WHEN_DEAF if deaf else 1)
         for host in daemon.rng.sample(others, count):
             ping(daemon, host, _crash_updates.field(daemon, host))
@@ -62,19 +66,19 @@
         return
     daemon.pulling.add(host)
     now = daemon.clock.monotonic()
-    known = views.knows(daemon.view)
-    heard_at = daemon.view.answered
-    wait = feeds.patience(daemon.feed, heard_at, now) if known else 0.0
+    known = views.knows_policy(daemon.view)
+    heard_at = daemon.view.store_answered_at
+    wait = feeds.peer_ahead_limit(daemon.feed, heard_at, now) if known else 0.0
     asyncio.get_running_loop().call_later(
         wait, _pull_if_behind, daemon, host, content
     )
 
 
 def _is_lost(daemon: _state.Daemon) -> bool:
-    if not views.knows(daemon.view):
+    if not views.knows_policy(daemon.view):
         return True
-    lost = views.lost_seconds(daemon.view, daemon.clock.monotonic())
-    return lost is not None and feeds.reads(daemon.feed)
+    lost = views.lost_store_seconds(daemon.view, daemon.clock.monotonic())
+    return lost is not None and feeds.reads_store(daemon.feed)
 
 
 def _ask_others(daemon: _state.Daemon) -> None:
@@ -85,8 +89,10 @@
     port = daemon.settings.daemons.port
     asked = {
         _dialect.Address(host, port)
-        for host in feeds.readers({*daemon.feed.hosts, daemon.feed.own})
-        if host != daemon.feed.own
+        for host in feeds.reader_hosts(
+            {*daemon.feed.hosts, daemon.feed.own_host}
+        )
+        if host != daemon.feed.own_host
     }
     others = _elsewhere(daemon)
     if others:
@@ -137,7 +143,7 @@
         ):
             status, _ = _feed_wire.decode_answer(field, b"")
             now = daemon.clock.monotonic()
-            views.note_age(daemon.view, status.age, now)
+            views.note_peer_age(daemon.view, status.age_seconds, now)
         _confirmations.receive(daemon, result.found, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
@@ -200,10 +206,10 @@
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
-    doubtful = feeds.reads(daemon.feed) and not _is_lost(daemon)
+    doubtful = feeds.reads_store(daemon.feed) and not _is_lost(daemon)
     if news and doubtful:
         # The own watch should have told it.
-        feeds.doubt(daemon.feed, daemon.clock.monotonic())
+        feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
         daemon.woken.set()
 
 
@@ -214,6 +220,8 @@
         return _learning.take_delta(daemon, status, delta, host)
     # A daemon of the version before tells all that it knows.
     snapshot = _feed_wire.decode_snapshot(result.body)
-    told = views.adopt(daemon.view, snapshot, daemon.clock.monotonic())
+    told = views.adopt_snapshot(
+        daemon.view, snapshot, daemon.clock.monotonic()
+    )
     _learning.learned(daemon, told, f"peer {host}")
     return bool(told)
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -29,10 +29,10 @@
     view = daemon.view
     if after is not None:
         if reading.changes:
-            views.note_watched(view, after, reading.revision)
+            views.note_changes_read(view, after, reading.revision)
         return
     if reading.revision >= view.revision:
-        views.note_whole(view, reading.revision)
+        views.note_full_read(view, reading.revision)
     _confirm(daemon, reading, asked_at)
 
 
@@ -48,7 +48,9 @@
     ):
         return
     now = daemon.clock.monotonic()
-    wait = feeds.patience(daemon.feed, daemon.view.answered, now)
+    wait = feeds.peer_ahead_limit(
+        daemon.feed, daemon.view.store_answered_at, now
+    )
     asyncio.get_running_loop().call_later(
         wait, _confirm_late, daemon, revision, asked_at
     )
@@ -56,9 +58,9 @@
 
 def _vouch(daemon: _state.Daemon, revision: int, asked_at: float) -> bool:
     view = daemon.view
-    if not views.vouches(view, revision):
+    if not views.up_to_date_at(view, revision):
         return False
-    views.confirm(view, views.active_version(view), asked_at)
+    views.apply_confirmation(view, views.active_version(view), asked_at)
     return True
 
 
@@ -67,7 +69,7 @@
 ) -> None:
     if _vouch(daemon, revision, asked_at) or daemon.confirming:
         return
-    if views.knows(daemon.view) and feeds.reads(daemon.feed):
+    if views.knows_policy(daemon.view) and feeds.reads_store(daemon.feed):
         daemon.confirming = True
         _state.start_task(daemon, _ask_policy(daemon))
 
@@ -85,12 +87,12 @@
         daemon.confirming = False
     _learning.note_refused(daemon, reading.refused)
     if _confirm(daemon, reading, asked_at):
-        views.note_whole(daemon.view, reading.revision)
+        views.note_full_read(daemon.view, reading.revision)
         return
     daemon.journal.note(
-        "policy_not_told", revision=views.number(reading.content)
+        "policy_not_told", revision=views.number_in_era(reading.content)
     )
-    if feeds.reread(daemon.feed, daemon.clock.monotonic()):
+    if feeds.request_full_read(daemon.feed, daemon.clock.monotonic()):
         daemon.woken.set()
 
 
@@ -111,4 +113,4 @@
     ]
     active = views.active_version(daemon.view)
     version = max(versions, default=active)
-    return views.confirm(daemon.view, version, asked_at)
+    return views.apply_confirmation(daemon.view, version, asked_at)
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -81,10 +81,10 @@
     view, now = daemon.view, daemon.clock.monotonic()
     status = feeds.PeerStatus(
         view.revision,
-        views.lost_seconds(view, now),
+        views.lost_store_seconds(view, now),
         max(0.0, view.unsteady_until - now),
         daemon.leaving,
-        max(0.0, now - view.answered),
+        max(0.0, now - view.store_answered_at),
     )
     return _feed_wire.FIELD, _feed_wire.encode_status(status, view.content)
 
@@ -148,7 +148,7 @@
         return b""
     body = daemon.encoded.get(after)
     if body is None:
-        body = _feed_wire.encode_delta(views.delta(daemon.view, after))
+        body = _feed_wire.encode_delta(views.delta_since(daemon.view, after))
         if len(daemon.encoded) >= ENCODED_KEPT:
             daemon.encoded.clear()
         daemon.encoded[after] = body
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -21,7 +21,7 @@
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Ping the daemons of instances that are silent or left alone."""
     for vm in calls.probe_due(daemon.routes, now):
-        instance = views.instance(daemon.view, vm)
+        instance = views.instance_by_id(daemon.view, vm)
         own = daemon.settings.host
         if instance is None or instance.host == own:
             calls.probe_ended(daemon.routes, vm, instance is not None, now)
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -132,8 +132,8 @@
     tokens = daemon.tokens
     host = _allocator(daemon, now)
     tokens.asked, tokens.soon = now, False
-    asked = quotas.Ask(daemon.feed.own, quotas.needs(tokens.stocks, now))
-    if host == daemon.feed.own:
+    asked = quotas.Ask(daemon.feed.own_host, quotas.needs(tokens.stocks, now))
+    if host == daemon.feed.own_host:
         _take(daemon, _shares.serve_ask(daemon, asked), host, now)
         return
     tokens.asking = True
@@ -157,8 +157,8 @@
     current = tokens.allocator
     if current in feed.hosts and current not in tokens.avoided:
         return current
-    fit = (host for host in feed.before if host not in tokens.avoided)
-    tokens.allocator = next(fit, feed.own)
+    fit = (host for host in feed.earlier_hosts if host not in tokens.avoided)
+    tokens.allocator = next(fit, feed.own_host)
     return tokens.allocator
 
 
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -65,7 +65,9 @@
     domain = daemon.settings.failure_domain
     domains = {*daemon.settings.regions, domain}
     mark = daemon.mark.decode("latin-1")
-    shares = quotas.new_shares(domain, daemon.feed.own, mark, domains, now)
+    shares = quotas.new_shares(
+        domain, daemon.feed.own_host, mark, domains, now
+    )
     allocation = _tokens.Allocation(quotas.new_allocator(shares))
     daemon.allocation = allocation
     daemon.journal.note("allocator_started", domain=domain)
@@ -126,7 +128,7 @@
 
 def _is_first(daemon: _state.Daemon) -> bool:
     feed = daemon.feed
-    return feed.known and not feed.before
+    return feed.known and not feed.earlier_hosts
 
 
 def _has_limits(daemon: _state.Daemon) -> bool:
@@ -213,7 +215,7 @@
     if known is not None:
         return known
     hosts = views.hosts_by_domain(daemon.view).get(domain, frozenset())
-    first = feeds.readers(hosts)
+    first = feeds.reader_hosts(hosts)
     if not first:
         return ""
     return first[allocation.tried.get(domain, 0) % len(first)]
--- a/src/sassafrasstair/forwarding/_state.py
+++ b/src/sassafrasstair/forwarding/_state.py
@@ -211,7 +211,7 @@
 
 def _timing(settings: _dialect.Settings) -> feeds.Timing:
     bounds = settings.bounds
-    return feeds.timing(
+    return feeds.timing_for_bound(
         min(bounds.drain_seconds, bounds.propagation_seconds),
         bounds.revocation_seconds,
     )
@@ -223,7 +223,7 @@
         daemon.settings.bounds.budget,
         service,
         daemon.hosts,
-        daemon.feed.own,
+        daemon.feed.own_host,
     )
 
 
--- a/src/sassafrasstair/forwarding/_status.py
+++ b/src/sassafrasstair/forwarding/_status.py
@@ -103,7 +103,7 @@
     """Answer one request of an operator or of the platform."""
     path = exchange.request.target.partition(b"?")[0]
     if path == daemon.dialect.ready_path:
-        ready = views.knows(daemon.view) and not daemon.leaving
+        ready = views.knows_policy(daemon.view) and not daemon.leaving
         exchange.respond(200 if ready else 503, [], b"")
     elif path == METRICS_PATH:
         body = _counters.render(daemon.counters, _gauges(daemon))
@@ -127,18 +127,18 @@
     now = daemon.clock.monotonic()
     return FeedStatus(
         parent=parent_name(feed.parent),
-        since=now - feed.since,
+        since=now - feed.parent_since,
         view_age=view_age(daemon, now),
-        store_lost=views.lost_seconds(view, now),
-        revision=views.number(view.revision),
-        content=views.number(view.content),
+        store_lost=views.lost_store_seconds(view, now),
+        revision=views.number_in_era(view.revision),
+        content=views.number_in_era(view.content),
         policy=-1 if view.table is None else view.table.policy.version,
-        rank=len(feed.before),
+        rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
         waiting=len(daemon.polls),
         avoided=_current(feed.avoided, now),
         lost=_current(feed.lost, now),
-        era=views.era(view.revision),
+        era=views.era_of(view.revision),
     )
 
 
@@ -207,14 +207,14 @@
     now = daemon.clock.monotonic()
     standings = list(daemon.standings.values())
     return {
-        "reads_store": int(feeds.reads(feed)),
-        "feed_rank": len(feed.before),
-        "feed_seconds": now - feed.since,
+        "reads_store": int(feeds.reads_store(feed)),
+        "feed_rank": len(feed.earlier_hosts),
+        "feed_seconds": now - feed.parent_since,
         "view_age_seconds": view_age(daemon, now),
         "polls_held": len(daemon.polls),
         "policy_version": 0 if table is None else table.policy.version,
-        "store_revision": views.number(daemon.view.revision),
-        "store_era": views.era(daemon.view.revision),
+        "store_revision": views.number_in_era(daemon.view.revision),
+        "store_era": views.era_of(daemon.view.revision),
         "calls_in_flight": len(daemon.calls),
         "runs_in_flight": len(daemon.runs),
         "instances_known": len(daemon.view.instances),
@@ -234,7 +234,7 @@
 
 def view_age(daemon: _state.Daemon, now: float) -> float:
     """Return how long ago the last word of the store came, by any way."""
-    return now - max(daemon.view.answered, daemon.feed.started)
+    return now - max(daemon.view.store_answered_at, daemon.feed.started)
 
 
 def _current(passed: dict[str, float], now: float) -> tuple[str, ...]:
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -44,7 +44,7 @@
 
 async def _take(daemon: _state.Daemon, step: feeds.Step) -> None:
     match step:
-        case feeds.Rest(seconds):
+        case feeds.Sleep(seconds):
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(daemon.woken.wait(), seconds)
         case feeds.Poll(host, hold, within):
@@ -150,7 +150,7 @@
         daemon.feed, host, status, daemon.view.content, now, daemon.rng
     )
     if status.lost is None:
-        _learning.note_answer(daemon, now, status.age)
+        _learning.note_answer(daemon, now, status.age_seconds)
     elif feeds.without_store(daemon.feed, now):
         _learning.note_failure(daemon, now - status.lost, "peers_lost", host)
     _learning.take_delta(daemon, status, delta, host)
@@ -202,7 +202,7 @@
 
 def _adopt_own_address(daemon: _state.Daemon, host: str) -> None:
     """Go on as the daemon at ``host``: the store names this one so."""
-    daemon.journal.note("follows_itself", peer=host, own=daemon.feed.own)
+    daemon.journal.note("follows_itself", peer=host, own=daemon.feed.own_host)
     feeds.adopt_address(daemon.feed, host)
 
 
@@ -214,7 +214,7 @@
         "follows",
         parent=_status.parent_name(feed.parent),
         before=_status.parent_name(before),
-        rank=len(feed.before),
+        rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
-        revision=views.number(daemon.view.revision),
+        revision=views.number_in_era(daemon.view.revision),
     )
--- a/src/sassafrasstair/platform/_documents.py
+++ b/src/sassafrasstair/platform/_documents.py
@@ -70,7 +70,7 @@
         policy = _policy(_CONFIG.decode(value))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise DocumentError(f"policy: {error}") from error
-    wrong = policies.unsound(policy)
+    wrong = policies.find_fault(policy)
     if wrong:
         raise DocumentError(f"policy: {wrong}")
     return policy
@@ -100,7 +100,9 @@
     return tuple(
         policies.Customer(
             name,
-            tuple(policies.digest(_key(name, key)) for key in tenant.api_keys),
+            tuple(
+                policies.digest_key(_key(name, key)) for key in tenant.api_keys
+            ),
             tenant.rate_per_s,
             tenant.burst,
             None if tenant.priority is None else _importance(tenant.priority),
--- a/src/sassafrasstair/platform/_store.py
+++ b/src/sassafrasstair/platform/_store.py
@@ -108,7 +108,7 @@
                 )
             after = last
         number = 0 if first is None else first.store_revision
-        revision = views.revision(era, number)
+        revision = views.pack_revision(era, number)
         changes, refused = _items.changes(read, self._regions)
         return forwarding.Reading(
             changes, revision, revision, True, (*unread, *refused)
@@ -118,11 +118,11 @@
         """Wait for changes after a revision; raises ``SourceError``."""
         query = {
             "prefix": "",
-            "after": str(views.number(after)),
+            "after": str(views.number_in_era(after)),
             "wait_ms": str(int(wait * 1000)),
         }
         answer = await self._call("watch", query, wait + CALL_SECONDS)
-        if answer.era != views.era(after):
+        if answer.era != views.era_of(after):
             raise forwarding.SourceError(
                 forwarding.SourceReason.HISTORY_GONE, "watch: another era"
             )
@@ -133,8 +133,8 @@
         changes, refused = _items.changes(events, self._regions)
         return forwarding.Reading(
             changes,
-            views.revision(answer.era, max(told.store_revision, content)),
-            views.revision(answer.era, content) if events else -1,
+            views.pack_revision(answer.era, max(told.store_revision, content)),
+            views.pack_revision(answer.era, content) if events else -1,
             False,
             (*unread, *refused),
         )
@@ -150,8 +150,8 @@
         changes, refused = _items.changes(items, self._regions)
         return forwarding.Reading(
             changes,
-            views.revision(answer.era, number),
-            views.revision(answer.era, content) if items else -1,
+            views.pack_revision(answer.era, number),
+            views.pack_revision(answer.era, content) if items else -1,
             False,
             (*unread, *refused),
         )
@@ -163,7 +163,7 @@
             query["allow_stale"] = "1"
         answer = await self._call("range", query, CALL_SECONDS, fresh)
         number = _decoded(_RANGE, answer.body).store_revision
-        return views.revision(answer.era, number)
+        return views.pack_revision(answer.era, number)
 
     def close(self) -> None:
         """Close all connections."""
--- a/tests/decisions/feeds/test_orders.py
+++ b/tests/decisions/feeds/test_orders.py
@@ -13,8 +13,8 @@
 
 
 def _parent(hosts: set[str], own: str) -> str:
-    before = feeds.earlier(hosts, own)
-    return feeds.parent(before) if before else feeds.STORE
+    before = feeds.earlier_hosts(hosts, own)
+    return feeds.select_parent(before) if before else feeds.STORE
 
 
 @hypothesis.given(SOME, SOME)
--- a/tests/decisions/policies/test_tables.py
+++ b/tests/decisions/policies/test_tables.py
@@ -49,7 +49,7 @@
 def test_longest_prefix_of_the_host_wins(
     host: str, path: str, name: str | None
 ) -> None:
-    route = policies.match(TABLE, host, path)
+    route = policies.match_route(TABLE, host, path)
     assert (None if route is None else route.name) == name
 
 
@@ -77,7 +77,7 @@
 
     routes = tuple(_route(f"r{i}", "h", f"/{i}/") for i in range(1000))
     table = policies.new_table(policies.Policy(1, routes, LIMITS))
-    table.hosts["h"] = Counting(table.hosts["h"])
-    found = policies.match(table, "h", "/999/a/b")
+    table.routes_by_host["h"] = Counting(table.routes_by_host["h"])
+    found = policies.match_route(table, "h", "/999/a/b")
     assert found is not None
     assert Counting.asked <= 4
--- a/tests/decisions/views/test_deltas.py
+++ b/tests/decisions/views/test_deltas.py
@@ -91,16 +91,16 @@
                 store.pop(change.id, None)
         if what == "reader_restarts":
             reader = views.new_view()
-            views.replace(
+            views.replace_all(
                 reader, tuple(store.values()), revision, revision, 0.0
             )
         else:
-            views.apply(reader, known, revision, revision, 0.0)
+            views.apply_changes(reader, known, revision, revision, 0.0)
         if what == "restart":
             follower = views.new_view()
         if what != "wait":
-            told = views.delta(reader, follower.content)
-            views.take(follower, told, 0.0)
+            told = views.delta_since(reader, follower.content)
+            views.take_delta(follower, told, 0.0)
             assert _same(reader, follower)
             assert follower.content == reader.content
 
@@ -111,20 +111,22 @@
     Told on, 195 of them would wake all daemons 130 times a second.
     """
     view = views.new_view()
-    views.replace(view, [_instance("a", 8, 3.0)], 10, 10, 0.0)
-    assert views.apply(view, [_instance("a", 8, 1.5)], 11, 11, 0.0) == []
+    views.replace_all(view, [_instance("a", 8, 3.0)], 10, 10, 0.0)
+    assert (
+        views.apply_changes(view, [_instance("a", 8, 1.5)], 11, 11, 0.0) == []
+    )
     assert (view.content, view.revision) == (10, 11)
-    assert views.delta(view, 10).empty
+    assert views.delta_since(view, 10).empty
     assert not views.is_behind(view, 11)
 
 
 def test_series_of_changes_is_told_once() -> None:
     view = views.new_view()
-    views.replace(view, [_instance("a", 1)], 10, 10, 0.0)
+    views.replace_all(view, [_instance("a", 1)], 10, 10, 0.0)
     for slots in range(2, 50):
         change = _instance("a", slots)
-        views.apply(view, [change], 10 + slots, 10 + slots, 0.0)
-    told = views.delta(view, 10)
+        views.apply_changes(view, [change], 10 + slots, 10 + slots, 0.0)
+    told = views.delta_since(view, 10)
     assert told.instances == (_instance("a", 49),)
     assert not told.whole
 
@@ -135,22 +137,22 @@
     A follower from before would keep those that are forgotten for ever.
     """
     view = views.new_view()
-    views.replace(view, [_instance("a", 1)], 1, 1, 0.0)
+    views.replace_all(view, [_instance("a", 1)], 1, 1, 0.0)
     for number in range(2, _histories.GONE_KEPT + 10):
         key = f"i-{number}"
-        views.apply(
+        views.apply_changes(
             view, [_instance(key, 1)], 2 * number, 2 * number, float(number)
         )
-        views.apply(
+        views.apply_changes(
             view,
             [views.Removed(key)],
             2 * number + 1,
             2 * number + 1,
             float(number),
         )
-    assert views.delta(view, 1).whole
+    assert views.delta_since(view, 1).whole
     assert len(view.history.gone) == _histories.GONE_KEPT
-    recent = views.delta(view, view.content - 4)
+    recent = views.delta_since(view, view.content - 4)
     assert not recent.whole
     assert recent.removed
 
@@ -167,20 +169,20 @@
     old = views.Instance(
         "a", "s", "h", 1, 1, "d", "r", 8, views.InstanceState.READY, 0.0, 40
     )
-    views.apply(view, [young], 11, 11, 0.0)
-    views.apply(view, [views.Removed("a")], 12, 12, 0.0)
-    views.apply(view, [old], 13, 13, 0.0)
-    assert views.delta(view, 11).removed == ("a",)
+    views.apply_changes(view, [young], 11, 11, 0.0)
+    views.apply_changes(view, [views.Removed("a")], 12, 12, 0.0)
+    views.apply_changes(view, [old], 13, 13, 0.0)
+    assert views.delta_since(view, 11).removed == ("a",)
 
 
 def test_later_era_replaces_all_however_small_its_revision() -> None:
     """A view at a greater revision took nothing from the older copy."""
     view = views.new_view()
-    before, after = views.revision(1, 90), views.revision(2, 20)
-    views.replace(
+    before, after = views.pack_revision(1, 90), views.pack_revision(2, 20)
+    views.replace_all(
         view, [_instance("a", 1), _instance("b", 1)], before, before, 0.0
     )
-    told = views.replace(view, [_instance("b", 1)], after, after, 1.0)
+    told = views.replace_all(view, [_instance("b", 1)], after, after, 1.0)
     assert told[0] == (views.News.RESTORED, "")
     assert set(view.instances) == {"b"}
     assert (view.revision, view.content) == (after, after)
@@ -189,13 +191,13 @@
 def test_follower_of_an_earlier_era_is_told_all() -> None:
     """What the copy lacks is in no history, so the follower kept it."""
     reader, follower = views.new_view(), views.new_view()
-    before, after = views.revision(1, 90), views.revision(2, 20)
+    before, after = views.pack_revision(1, 90), views.pack_revision(2, 20)
     for view in (reader, follower):
-        views.replace(view, [_instance("a", 1)], before, before, 0.0)
-    views.replace(reader, [], after, after, 1.0)
-    delta = views.delta(reader, follower.revision)
+        views.replace_all(view, [_instance("a", 1)], before, before, 0.0)
+    views.replace_all(reader, [], after, after, 1.0)
+    delta = views.delta_since(reader, follower.revision)
     assert delta.whole
-    views.take(follower, delta, 1.0)
+    views.take_delta(follower, delta, 1.0)
     assert not follower.instances
     assert follower.revision == after
 
@@ -203,7 +205,7 @@
 def test_part_of_a_later_era_is_not_taken() -> None:
     """The view would hold the new revision without what led to it."""
     view = views.new_view()
-    before, after = views.revision(1, 90), views.revision(2, 20)
-    views.replace(view, [_instance("a", 1)], before, before, 0.0)
-    assert not views.take(view, views.Delta(after, after), 1.0)
+    before, after = views.pack_revision(1, 90), views.pack_revision(2, 20)
+    views.replace_all(view, [_instance("a", 1)], before, before, 0.0)
+    assert not views.take_delta(view, views.Delta(after, after), 1.0)
     assert view.revision == before
--- a/tests/decisions/views/test_eras.py
+++ b/tests/decisions/views/test_eras.py
@@ -10,7 +10,7 @@
 from sassafrasstair.decisions import views
 from sassafrasstair.decisions.views import _views
 
-BEFORE, AFTER = views.revision(1, 90), views.revision(2, 20)
+BEFORE, AFTER = views.pack_revision(1, 90), views.pack_revision(2, 20)
 READY = views.Instance(
     "i", "s", "h", 1, 1, "d", "r", 8, views.InstanceState.READY, 0.0
 )
@@ -21,12 +21,12 @@
 
 def _known(*changes: views.Change) -> views.View:
     view = views.new_view()
-    views.replace(view, changes, BEFORE, BEFORE, 100.0)
+    views.replace_all(view, changes, BEFORE, BEFORE, 100.0)
     return view
 
 
 def _restore(view: views.View, *changes: views.Change) -> None:
-    views.replace(view, changes, AFTER, AFTER, 103.0)
+    views.replace_all(view, changes, AFTER, AFTER, 103.0)
 
 
 def _targets(view: views.View) -> set[str]:
@@ -39,7 +39,7 @@
     view = _known(new)
     _restore(view, old)
     assert views.active_version(view) == 7
-    assert views.delta(view, BEFORE).policy == new
+    assert views.delta_since(view, BEFORE).policy == new
 
 
 @pytest.mark.parametrize("born", [0, 5])
@@ -51,7 +51,7 @@
     view = _known(dataclasses.replace(LEAVING, born=born), OTHER)
     _restore(view, ready, OTHER)
     assert _targets(view) == {"o"}
-    views.apply(view, [ready], AFTER + 1, AFTER + 1, 104.0)
+    views.apply_changes(view, [ready], AFTER + 1, AFTER + 1, 104.0)
     assert _targets(view) == {"o"}
 
 
@@ -68,27 +68,33 @@
 ) -> None:
     """The copy was made before the entry was removed."""
     view = _known(last, OTHER)
-    views.apply(view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0)
+    views.apply_changes(
+        view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0
+    )
     _restore(view, READY, OTHER)
     assert _targets(view) == {"o"}
-    views.replace(view, [READY, OTHER], AFTER + 1, AFTER + 1, 105.0)
+    views.replace_all(view, [READY, OTHER], AFTER + 1, AFTER + 1, 105.0)
     assert _targets(view) == {"o"}
 
 
 def test_instance_that_was_gone_gets_work_once_it_writes_again() -> None:
     """Its heartbeats had been lost for a while, but it runs."""
     view = _known(READY, OTHER)
-    views.apply(view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0)
+    views.apply_changes(
+        view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0
+    )
     _restore(view, READY, OTHER)
     again = dataclasses.replace(READY, slots=7)
-    views.apply(view, [again], AFTER + 1, AFTER + 1, 104.0)
+    views.apply_changes(view, [again], AFTER + 1, AFTER + 1, 104.0)
     assert _targets(view) == {"i", "o"}
 
 
 def test_instance_that_was_gone_gets_work_if_its_entry_stays() -> None:
     """It runs and renews its entry, which does not change it."""
     view = _known(READY, OTHER)
-    views.apply(view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0)
+    views.apply_changes(
+        view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0
+    )
     _restore(view, READY, OTHER)
     now = 103.0 + _views.DOUBTED_SECONDS
     views.expire(view, now - 0.1)
@@ -100,8 +106,10 @@
 def test_instance_that_comes_back_within_an_era_gets_work_at_once() -> None:
     """Its entry had run out and was written again."""
     view = _known(READY, OTHER)
-    views.apply(view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0)
-    views.apply(view, [READY], BEFORE + 2, BEFORE + 2, 103.0)
+    views.apply_changes(
+        view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0
+    )
+    views.apply_changes(view, [READY], BEFORE + 2, BEFORE + 2, 103.0)
     assert _targets(view) == {"i", "o"}
 
 
@@ -112,7 +120,7 @@
     assert _targets(view) == {"i", "o"}
     views.expire(view, 103.0 + _views.LAPSED_SECONDS)
     assert _targets(view) == {"o"}
-    views.apply(view, [READY], AFTER + 1, AFTER + 1, 105.0)
+    views.apply_changes(view, [READY], AFTER + 1, AFTER + 1, 105.0)
     assert _targets(view) == {"i", "o"}
 
 
@@ -123,9 +131,9 @@
     known = (READY, LEAVING, OTHER)
     for revision in (90, views.NUMBER_MAX):
         told = views.Delta(revision, revision, True, None, known)
-        assert not views.take(view, told, 105.0)
+        assert not views.take_delta(view, told, 105.0)
         snapshot = views.Snapshot(revision, revision, None, known)
-        assert not views.adopt(view, snapshot, 105.0)
+        assert not views.adopt_snapshot(view, snapshot, 105.0)
     assert view.revision == AFTER
 
 
@@ -134,7 +142,7 @@
     later = dataclasses.replace(READY, born=6, port=2)
     view = _known(later)
     _restore(view, dataclasses.replace(READY, born=5))
-    assert views.instance(view, "i") == later
+    assert views.instance_by_id(view, "i") == later
 
 
 def test_instance_that_the_copy_lacks_and_that_has_died_is_gone() -> None:
--- a/tests/decisions/views/test_views.py
+++ b/tests/decisions/views/test_views.py
@@ -29,7 +29,7 @@
 
 def _known(*changes: views.Change, revision: int = 10) -> views.View:
     view = views.new_view()
-    views.replace(view, changes, revision, revision, 100.0)
+    views.replace_all(view, changes, revision, revision, 100.0)
     return view
 
 
@@ -44,7 +44,7 @@
     operators have replaced.
     """
     view = _known(_policy(7))
-    assert not views.apply(view, [_policy(5)], 11, 11, 101.0)
+    assert not views.apply_changes(view, [_policy(5)], 11, 11, 101.0)
     assert view.table is not None
     assert view.table.policy.version == 7
 
@@ -62,9 +62,9 @@
     it took instances that had been removed for ones that may live.
     """
     view = _known(_policy(7))
-    views.source_failed(view, 100.0)
-    assert views.source_answered(view, 102.0, age) is back
-    assert (view.failing > 102.0) is back
+    views.store_failed(view, 100.0)
+    assert views.store_answered(view, 102.0, age) is back
+    assert (view.store_lost_since > 102.0) is back
     assert (view.unsteady_until > 102.0) is back
 
 
@@ -77,7 +77,7 @@
     """
     view = _known(_policy(7))
     series = [_policy(version) for version in (9, 12, 30, 14)]
-    told = views.apply(view, series, 20, 20, 101.0)
+    told = views.apply_changes(view, series, 20, 20, 101.0)
     assert told == [(views.News.POLICY, "")]
     assert view.table is not None
     assert view.table.policy.version == 30
@@ -89,13 +89,13 @@
 def test_peer_is_believed_if_it_knows_more(revision: int, taken: bool) -> None:
     view = _known(_policy(7))
     snapshot = views.Snapshot(revision, revision, _policy(8), ())
-    assert bool(views.adopt(view, snapshot, 101.0)) is taken
+    assert bool(views.adopt_snapshot(view, snapshot, 101.0)) is taken
 
 
 def test_leaving_instance_gets_nothing_new() -> None:
     view = _known(_instance("a"), _instance("b"))
     leaving = _instance("a", views.InstanceState.LEAVING)
-    told = views.apply(view, [leaving], 11, 11, 101.0)
+    told = views.apply_changes(view, [leaving], 11, 11, 101.0)
     assert told == [(views.News.LEAVING, "a")]
     assert _targets(view) == {"b"}
 
@@ -108,16 +108,16 @@
     """
     view = _known(_instance("a"), _instance("b"))
     changes: list[views.Change] = [views.Removed("a"), _instance("c")]
-    views.apply(view, changes, 12, 12, 101.0)
-    views.replace(view, [_instance("a"), _instance("b")], 11, 11, 101.1)
+    views.apply_changes(view, changes, 12, 12, 101.0)
+    views.replace_all(view, [_instance("a"), _instance("b")], 11, 11, 101.1)
     assert _targets(view) == {"b", "c"}
 
 
 def test_removed_instance_serves_on_only_without_another() -> None:
     view = _known(_instance("a"), _instance("b"))
-    views.apply(view, [views.Removed("a")], 11, 11, 101.0)
+    views.apply_changes(view, [views.Removed("a")], 11, 11, 101.0)
     assert _targets(view) == {"b"}
-    views.apply(view, [views.Removed("b")], 12, 12, 101.1)
+    views.apply_changes(view, [views.Removed("b")], 12, 12, 101.1)
     assert _targets(view) == {"a", "b"}
     told = views.expire(view, 103.0)
     assert dict(told) == {views.News.GONE: "b"}
@@ -131,12 +131,12 @@
     daemon that believed it would refuse every request.
     """
     view = _known(_instance("a"), _instance("b"))
-    assert views.source_failed(view, 101.0)
-    assert not views.source_failed(view, 101.5)
-    assert views.source_answered(view, 108.0)
-    views.replace(view, [_instance("b")], 20, 20, 108.0)
+    assert views.store_failed(view, 101.0)
+    assert not views.store_failed(view, 101.5)
+    assert views.store_answered(view, 108.0)
+    views.replace_all(view, [_instance("b")], 20, 20, 108.0)
     assert _targets(view) == {"a", "b"}
-    views.apply(view, [_instance("a")], 21, 21, 109.0)
+    views.apply_changes(view, [_instance("a")], 21, 21, 109.0)
     views.expire(view, 120.0)
     assert _targets(view) == {"a", "b"}
 
@@ -146,7 +146,7 @@
     now: float, stale: bool
 ) -> None:
     view = _known(_policy(1))
-    views.source_failed(view, 100.0)
+    views.store_failed(view, 100.0)
     assert views.is_stale(view, now) is stale
 
 
@@ -157,14 +157,14 @@
     others asked it for what they had, again and again.
     """
     view = _known(_policy(1))
-    views.apply(view, [], 50, -1, 101.0)
+    views.apply_changes(view, [], 50, -1, 101.0)
     assert not views.is_behind(_known(_policy(1)), view.content)
 
 
 def test_snapshot_round_trip() -> None:
     view = _known(_policy(3), _instance("a"))
     other = views.new_view()
-    views.adopt(other, views.snapshot(view), 5.0)
+    views.adopt_snapshot(other, views.snapshot(view), 5.0)
     assert views.snapshot(other) == views.snapshot(view)
     assert dataclasses.asdict(views.snapshot(other))["revision"] == 10
 
@@ -188,10 +188,10 @@
 
 def test_old_entry_that_vanishes_is_not_used_beside_its_successor() -> None:
     view = _known(_instance("old", host="h", since=5), _instance("b"))
-    views.source_failed(view, 101.0)
-    views.source_answered(view, 102.0)
+    views.store_failed(view, 101.0)
+    views.store_answered(view, 102.0)
     successor = _instance("new", host="h", since=11)
-    views.apply(view, [views.Removed("old"), successor], 11, 11, 102.1)
+    views.apply_changes(view, [views.Removed("old"), successor], 11, 11, 102.1)
     assert _targets(view) == {"new", "b"}
 
 
@@ -204,7 +204,7 @@
     """
     view = _known(_instance("new", host="h", since=9), _instance("b"))
     late = _instance("old", host="h", since=11)
-    views.apply(view, [late], 11, 11, 101.0)
+    views.apply_changes(view, [late], 11, 11, 101.0)
     assert _targets(view) == {"old", "b"}
     views.note_replaced(view, "old")
     assert _targets(view) == {"new", "b"}
@@ -222,10 +222,10 @@
     assert views.note_replaced(view, "a") == [(views.News.REPLACED, "a")]
     assert views.note_replaced(view, "a") == []
     assert _targets(view) == {"b"}
-    views.apply(view, [_instance("a")], 11, 11, 101.0)
+    views.apply_changes(view, [_instance("a")], 11, 11, 101.0)
     assert _targets(view) == {"b"}
     changed = dataclasses.replace(_instance("a"), cold_seconds=1.0)
-    views.apply(view, [changed], 12, 12, 101.1)
+    views.apply_changes(view, [changed], 12, 12, 101.1)
     assert _targets(view) == {"a", "b"}
 
 
@@ -240,9 +240,9 @@
     """
     view = _known(dataclasses.replace(_instance("a", state), born=1000))
     again = dataclasses.replace(_instance("a"), born=2000)
-    told = views.apply(view, [again], 11, 11, 101.0)
+    told = views.apply_changes(view, [again], 11, 11, 101.0)
     assert told == [(views.News.RESTARTED, "a")]
-    assert views.born(view, "a") == 2000
+    assert views.born_at(view, "a") == 2000
     assert _targets(view) == {"a"}
 
 
@@ -254,12 +254,12 @@
     """
     view = _known(dataclasses.replace(_instance("a"), born=2000))
     if gone:
-        views.apply(view, [views.Removed("a")], 11, 11, 101.0)
+        views.apply_changes(view, [views.Removed("a")], 11, 11, 101.0)
         views.expire(view, 110.0)
     late = dataclasses.replace(
         _instance("a", views.InstanceState.LEAVING, since=12), born=1000
     )
-    told = views.apply(view, [late], 12, 12, 111.0)
+    told = views.apply_changes(view, [late], 12, 12, 111.0)
     assert told == [(views.News.OUTDATED, "a")]
     assert _targets(view) == (set() if gone else {"a"})
 
@@ -268,14 +268,14 @@
     None
 ):
     view = _known(dataclasses.replace(_instance("a"), born=1000))
-    views.apply(view, [views.Removed("a")], 11, 11, 101.0)
+    views.apply_changes(view, [views.Removed("a")], 11, 11, 101.0)
     same = dataclasses.replace(_instance("a"), born=1000)
-    assert views.apply(view, [same], 12, 12, 101.2) == [
+    assert views.apply_changes(view, [same], 12, 12, 101.2) == [
         (views.News.ADDED, "a")
     ]
-    views.apply(view, [views.Removed("a")], 13, 13, 101.4)
+    views.apply_changes(view, [views.Removed("a")], 13, 13, 101.4)
     other = dataclasses.replace(_instance("a"), born=3000)
-    assert views.apply(view, [other], 14, 14, 101.6) == [
+    assert views.apply_changes(view, [other], 14, 14, 101.6) == [
         (views.News.RESTARTED, "a")
     ]
 
@@ -285,7 +285,7 @@
     views.note_replaced(view, "a")
     assert _targets(view) == set()
     again = dataclasses.replace(_instance("a"), born=2000)
-    views.apply(view, [again], 11, 11, 101.0)
+    views.apply_changes(view, [again], 11, 11, 101.0)
     assert _targets(view) == {"a"}
 
 
@@ -297,10 +297,10 @@
     """
     view = _known(dataclasses.replace(_instance("a"), born=2000))
     old = dataclasses.replace(_instance("a"), born=1000, slots=1)
-    views.adopt(view, views.Snapshot(11, 11, None, (old,)), 101.0)
+    views.adopt_snapshot(view, views.Snapshot(11, 11, None, (old,)), 101.0)
     untold = _instance("a")
-    views.adopt(view, views.Snapshot(12, 12, None, (untold,)), 102.0)
-    known = views.instance(view, "a")
+    views.adopt_snapshot(view, views.Snapshot(12, 12, None, (untold,)), 102.0)
+    known = views.instance_by_id(view, "a")
     assert known is not None
     assert (known.born, known.slots) == (2000, 8)
 
@@ -329,10 +329,12 @@
 
 def test_entry_that_becomes_unreadable_names_no_instance() -> None:
     view = _known(_instance("a"), _instance("b"))
-    told = views.apply(view, [views.Unusable("a")], 11, 11, 101.0)
+    told = views.apply_changes(view, [views.Unusable("a")], 11, 11, 101.0)
     assert told == [(views.News.UNUSABLE, "a")]
     assert _targets(view) == {"b"}
-    assert views.apply(view, [views.Unusable("x")], 12, 12, 101.1) == []
+    assert (
+        views.apply_changes(view, [views.Unusable("x")], 12, 12, 101.1) == []
+    )
 
 
 def test_entry_of_an_unknown_service_hides_no_instance() -> None:
@@ -348,7 +350,7 @@
     )
     assert _targets(view) == {"a"}
     assert views.count_services(view) == 1
-    assert views.neighbours(view, "other") == ["h"]
+    assert views.other_hosts(view, "other") == ["h"]
 
 
 def test_starts_that_are_remembered_are_bounded(
@@ -358,5 +360,5 @@
     view = _known()
     for number in range(10):
         entry = dataclasses.replace(_instance(f"i{number}"), born=1 + number)
-        views.apply(view, [entry], 11 + number, 11 + number, 101.0)
+        views.apply_changes(view, [entry], 11 + number, 11 + number, 101.0)
     assert len(view.latest) == 3
--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -22,7 +22,7 @@
 
 def customer(name: str, rate: float, burst: float) -> policies.Customer:
     """Return a customer with a limit."""
-    key = policies.digest(name.encode())
+    key = policies.digest_key(name.encode())
     return policies.Customer(name, (key,), rate, burst)
 
 
--- a/tests/fleets/fleet.py
+++ b/tests/fleets/fleet.py
@@ -248,16 +248,16 @@
         found = [
             host
             for host, daemon in self.daemons.items()
-            if domain_of(host) == domain and feeds.reads(daemon.feed)
+            if domain_of(host) == domain and feeds.reads_store(daemon.feed)
         ]
-        return feeds.readers(found)[0]
+        return feeds.reader_hosts(found)[0]
 
     def readers(self) -> list[str]:
         """Return all hosts that read the store."""
         return [
             host
             for host, daemon in self.daemons.items()
-            if feeds.reads(daemon.feed)
+            if feeds.reads_store(daemon.feed)
         ]
 
     def of_domain(self, domain: str) -> set[str]:
--- a/tests/fleets/stores.py
+++ b/tests/fleets/stores.py
@@ -67,7 +67,7 @@
     @property
     def position(self) -> int:
         """The revision with its era."""
-        return views.revision(self.era, self.revision)
+        return views.pack_revision(self.era, self.revision)
 
     def put(self, key: str, change: views.Change) -> None:
         """Write one item."""
@@ -163,7 +163,7 @@
         store = self._store
         if stale and store.lagging is not None:
             old = store.lagging
-            revision = views.revision(store.era, old.revision)
+            revision = views.pack_revision(store.era, old.revision)
             items = tuple(old.items.values())
             return forwarding.Reading(items, revision, revision, True)
         items = tuple(store.items.values())
@@ -178,7 +178,7 @@
         left, cuts, era = store.left[host], store.cuts[host], store.era
         await self._call("watch", wait + CALL_SECONDS)
         while True:
-            begin = views.number(after)
+            begin = views.number_in_era(after)
             if not store.floor <= begin <= store.revision:
                 raise forwarding.SourceError(
                     forwarding.SourceReason.HISTORY_GONE
@@ -194,12 +194,12 @@
             restored = store.era != era and not store.keeps_watches
             if store.cuts[host] != cuts or restored:
                 raise forwarding.SourceError(forwarding.SourceReason.LOST)
-        if store.era != views.era(after):
+        if store.era != views.era_of(after):
             raise forwarding.SourceError(forwarding.SourceReason.HISTORY_GONE)
         if store.deaf:
             found = []
         number = found[-1][0] if found else max(begin, store.floor)
-        revision = views.revision(era, number)
+        revision = views.pack_revision(era, number)
         content = revision if found else -1
         changes = tuple(change for _, change in found)
         return forwarding.Reading(changes, revision, content, False)
--- a/tests/fleets/test_absences.py
+++ b/tests/fleets/test_absences.py
@@ -162,7 +162,7 @@
 
 
 def _checks_pause(fleet: Fleet) -> float:
-    return next(iter(fleet.daemons.values())).feed.timing.check
+    return next(iter(fleet.daemons.values())).feed.timing.check_interval
 
 
 def test_slow_store_is_not_taken_for_one_that_was_away() -> None:
--- a/tests/fleets/test_faults.py
+++ b/tests/fleets/test_faults.py
@@ -70,15 +70,15 @@
 async def _watch_of_a_reader_dies(fleet: Fleet) -> set[str]:
     """Its connection falls silent for good while new ones work."""
     await fleet.spread()
-    await asyncio.sleep(1.05 * _timing(fleet).pace)
-    leading = fleet.daemons[fleet.reader("d0")].feed.first
+    await asyncio.sleep(1.05 * _timing(fleet).watch_interval)
+    leading = fleet.daemons[fleet.reader("d0")].feed.checks_for_all
     fleet.store.leave({fleet.reader("d1" if leading else "d0")})
     fleet.store.back()
     return set()
 
 
 def _timing(fleet: Fleet) -> feeds.Timing:
-    return feeds.timing(fleet.bound)
+    return feeds.timing_for_bound(fleet.bound)
 
 
 async def _all_readers_without_store(fleet: Fleet) -> set[str]:
@@ -115,7 +115,7 @@
 
 
 async def _all_readers_of_a_domain(fleet: Fleet) -> set[str]:
-    first = set(feeds.readers(fleet.of_domain("d0")))
+    first = set(feeds.reader_hosts(fleet.of_domain("d0")))
     fleet.network.frozen |= first
     return first
 
--- a/tests/fleets/test_feeds.py
+++ b/tests/fleets/test_feeds.py
@@ -178,7 +178,7 @@
         await fleet.spread()
         await asyncio.sleep(BOUND)
         moved = sum(
-            daemon.feed.since > 8.0 for daemon in fleet.daemons.values()
+            daemon.feed.parent_since > 8.0 for daemon in fleet.daemons.values()
         )
         assert moved > 10
         assert fleet.network.bodies - sent < 60_000
--- a/tests/fleets/test_older_copies.py
+++ b/tests/fleets/test_older_copies.py
@@ -75,7 +75,7 @@
 
 
 def _knows_era(fleet: Fleet, host: str) -> bool:
-    return views.era(fleet.daemons[host].view.revision) == fleet.store.era
+    return views.era_of(fleet.daemons[host].view.revision) == fleet.store.era
 
 
 def _users(fleet: Fleet, key: str) -> list[str]:
--- a/tests/fleets/test_revocations.py
+++ b/tests/fleets/test_revocations.py
@@ -14,8 +14,8 @@
 
 Fleet = fleet_module.Fleet
 REVOCATION = 5.0
-KEY = policies.digest(b"k")
-OTHER = policies.digest(b"other")
+KEY = policies.digest_key(b"k")
+OTHER = policies.digest_key(b"other")
 OWED_SHARE = 0.6
 """The part of the bound for which a daemon without the store must serve."""
 
--- a/tests/forwarding/test_customers.py
+++ b/tests/forwarding/test_customers.py
@@ -15,8 +15,8 @@
 ONE, OTHER, _ = place_module.HOSTS
 KEY, OTHER_KEY = b"key-of-one", b"key-of-two"
 CUSTOMERS = (
-    policies.Customer("one", (policies.digest(KEY),)),
-    policies.Customer("two", (policies.digest(OTHER_KEY),)),
+    policies.Customer("one", (policies.digest_key(KEY),)),
+    policies.Customer("two", (policies.digest_key(OTHER_KEY),)),
 )
 CLOSED = place_module.route("/s/", "s")
 OPEN = dataclasses.replace(
@@ -100,9 +100,9 @@
     ("key", "customer"),
     [
         (None, None),
-        (policies.digest(KEY).hex().encode(), b"one"),
+        (policies.digest_key(KEY).hex().encode(), b"one"),
         (b"one", None),
-        (policies.digest(b"no-such-key").hex().encode(), None),
+        (policies.digest_key(b"no-such-key").hex().encode(), None),
     ],
 )
 def test_daemons_port_lets_nobody_name_a_customer(
--- a/tests/forwarding/test_restarts.py
+++ b/tests/forwarding/test_restarts.py
@@ -122,7 +122,7 @@
     async def test() -> None:
         world = await _world(True)
         key = f"i-{B}"
-        born = views.born(world.daemons[A].daemon.view, key)
+        born = views.born_at(world.daemons[A].daemon.view, key)
         if told_late:
             key = "untold"
             world.put_instance(key, B, "s", slots=1)
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -37,7 +37,7 @@
     assert policy.customers is not None
     one, free = policy.customers
     assert one.name == "pulo780"
-    assert one.keys == (policies.digest(KEY.encode()),)
+    assert one.keys == (policies.digest_key(KEY.encode()),)
     assert (one.rate, one.burst, one.importance) == (180.0, 90.0, 8)
     assert (free.rate, free.importance) == (0.0, None)
     assert KEY not in repr(policy)
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -240,11 +240,11 @@
     ]
     changes, _ = _changes(policy, good, *others)
     view = views.new_view()
-    views.replace(view, changes, 7, 7, 100.0)
+    views.replace_all(view, changes, 7, 7, 100.0)
     known = views.targets(view, "s")
     assert "good" in {target.vm for target in known}
     for target in known:
-        instance = views.instance(view, target.vm)
+        instance = views.instance_by_id(view, target.vm)
         assert instance is not None
         assert instance.state is views.InstanceState.READY
         assert instance.slots > 0
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -178,7 +178,10 @@
         before = await source.read(stale=False)
         after = await source.read(stale=False)
         assert after.revision > before.revision
-        assert (views.era(after.revision), views.number(after.revision)) == (
+        assert (
+            views.era_of(after.revision),
+            views.number_in_era(after.revision),
+        ) == (
             4,
             7,
         )
@@ -193,7 +196,7 @@
         told = {"events": [], "store_revision": 12}
         source, asked = await _store_of(_answer("200 OK", told, "4"))
         with pytest.raises(forwarding.SourceError) as caught:
-            await source.watch(views.revision(3, 10), 3.0)
+            await source.watch(views.pack_revision(3, 10), 3.0)
         assert caught.value.reason is forwarding.SourceReason.HISTORY_GONE
         assert "after=10" in asked[0]
 
