--- a/src/sassafrasstair/bench/_capacity_slopes.py
+++ b/src/sassafrasstair/bench/_capacity_slopes.py
@@ -183,11 +183,11 @@
 def _owner(count: int) -> once.Owner:
     owner = once.new_owner("vm-0000", "1", b"k" * 32, 2 * count)
     for _ in range(count):
-        issued = once.issue(owner, "poster", "write-down", 600.0, 0.0)
+        issued = once.issue_ticket(owner, "poster", "write-down", 600.0, 0.0)
         assert isinstance(issued, once.Issued)
-        once.arrive(owner, issued.ticket, "write-down", 0.0)
+        once.accept_arrival(owner, issued.ticket, "write-down", 0.0)
         once.dispatched(owner, issued.ticket, 0.0)
-        once.finish(owner, issued.ticket, _done(), 0.0)
+        once.finish_execution(owner, issued.ticket, _done(), 0.0)
     return owner
 
 
--- a/src/sassafrasstair/decisions/crashes/__init__.py
+++ b/src/sassafrasstair/decisions/crashes/__init__.py
@@ -5,22 +5,22 @@
 from sassafrasstair.decisions.crashes._fingerprints import fingerprint
 from sassafrasstair.decisions.crashes._fingerprints import FINGERPRINT_BYTES
 from sassafrasstair.decisions.crashes._fingerprints import format_fingerprint
-from sassafrasstair.decisions.crashes._ledger import complete
+from sassafrasstair.decisions.crashes._ledger import clear_completed
 from sassafrasstair.decisions.crashes._ledger import Evidence
-from sassafrasstair.decisions.crashes._ledger import evidence
+from sassafrasstair.decisions.crashes._ledger import evidence_against
 from sassafrasstair.decisions.crashes._ledger import expire
 from sassafrasstair.decisions.crashes._ledger import Ledger
 from sassafrasstair.decisions.crashes._ledger import mark_familiar
-from sassafrasstair.decisions.crashes._ledger import merge
+from sassafrasstair.decisions.crashes._ledger import merge_reports
 from sassafrasstair.decisions.crashes._ledger import new_ledger
-from sassafrasstair.decisions.crashes._ledger import record
-from sassafrasstair.decisions.crashes._ledger import reports
+from sassafrasstair.decisions.crashes._ledger import record_crash
+from sassafrasstair.decisions.crashes._ledger import reports_since
 from sassafrasstair.decisions.crashes._records import Crash
-from sassafrasstair.decisions.crashes._records import Key
+from sassafrasstair.decisions.crashes._records import CrashKey
 from sassafrasstair.decisions.crashes._records import Report
 from sassafrasstair.decisions.crashes._records import Run
 from sassafrasstair.decisions.crashes._records import RUNS_MAX
-from sassafrasstair.decisions.crashes._standings import judge
+from sassafrasstair.decisions.crashes._standings import decide_standing
 from sassafrasstair.decisions.crashes._standings import Standing
 from sassafrasstair.decisions.crashes._standings import Verdict
 
@@ -29,21 +29,21 @@
     "RUNS_MAX",
     "Crash",
     "Evidence",
-    "Key",
+    "CrashKey",
     "Ledger",
     "Report",
     "Run",
     "Standing",
     "Verdict",
-    "complete",
-    "evidence",
+    "clear_completed",
+    "evidence_against",
     "expire",
     "fingerprint",
-    "judge",
+    "decide_standing",
     "mark_familiar",
-    "merge",
+    "merge_reports",
     "new_ledger",
-    "record",
-    "reports",
+    "record_crash",
+    "reports_since",
     "format_fingerprint",
 ]
--- a/src/sassafrasstair/decisions/crashes/_ledger.py
+++ b/src/sassafrasstair/decisions/crashes/_ledger.py
@@ -44,7 +44,7 @@
     strikes: int
     isolated: int
     familiar: bool
-    last: float
+    last_crash_at: float
     crashes: tuple[_records.Crash, ...]
 
 
@@ -61,16 +61,20 @@
     crash.
     """
 
-    crashes: dict[_records.Key, _records.Crash] = dataclasses.field(
+    crashes: dict[_records.CrashKey, _records.Crash] = dataclasses.field(
         default_factory=dict
     )
-    by_request: dict[int, list[tuple[_records.Crash, int]]] = (
+    runs_by_request: dict[int, list[tuple[_records.Crash, int]]] = (
         dataclasses.field(default_factory=dict)
     )
-    dropped: dict[_records.Key, None] = dataclasses.field(default_factory=dict)
-    found: dict[int, Evidence] = dataclasses.field(default_factory=dict)
-    explained: dict[_records.Key, int] | None = None
-    runs: int = 0
+    evicted_keys: dict[_records.CrashKey, None] = dataclasses.field(
+        default_factory=dict
+    )
+    evidence_cache: dict[int, Evidence] = dataclasses.field(
+        default_factory=dict
+    )
+    explained_crashes: dict[_records.CrashKey, int] | None = None
+    run_count: int = 0
     version: int = 0
     digest: int = 0
 
@@ -80,9 +84,9 @@
     return Ledger()
 
 
-def record(
+def record_crash(
     ledger: Ledger,
-    key: _records.Key,
+    key: _records.CrashKey,
     runs: abc.Iterable[_records.Run],
     familiar: abc.Container[int],
     now: float,
@@ -97,25 +101,25 @@
     return _add(ledger, _records.Crash(key, now, kept, familiar=bits))
 
 
-def complete(ledger: Ledger, fingerprint: int) -> bool:
+def clear_completed(ledger: Ledger, fingerprint: int) -> bool:
     """Note that an instance ran a request to its end.
 
     Returns whether that clears it of a crash.
     """
     cleared = False
-    for crash, place in ledger.by_request.get(fingerprint, ()):
+    for crash, place in ledger.runs_by_request.get(fingerprint, ()):
         bits = crash.cleared | 1 << place
         cleared = _set_bits(ledger, crash, bits, crash.familiar) or cleared
     return cleared
 
 
-def merge(
+def merge_reports(
     ledger: Ledger, reports: abc.Iterable[_records.Report], now: float
 ) -> set[int]:
     """Merge a peer's reports; return the requests that they changed."""
     touched: set[int] = set()
     for report in reports:
-        if report.age >= KEPT_SECONDS or report.key in ledger.dropped:
+        if report.age >= KEPT_SECONDS or report.key in ledger.evicted_keys:
             continue
         crash = ledger.crashes.get(report.key)
         if crash is None:
@@ -140,61 +144,61 @@
 
 def mark_familiar(ledger: Ledger, fingerprint: int) -> None:
     """Note that an instance had completed a request before its crashes."""
-    for crash, place in ledger.by_request.get(fingerprint, ()):
+    for crash, place in ledger.runs_by_request.get(fingerprint, ()):
         bits = crash.familiar | 1 << place
         _set_bits(ledger, crash, crash.cleared, bits)
 
 
-def reports(
+def reports_since(
     ledger: Ledger, now: float, since: int = 0
 ) -> list[_records.Report]:
     """Return the records that changed after a version of the ledger."""
     return [
         _records.Report(
             crash.key,
-            max(0.0, now - crash.at),
+            max(0.0, now - crash.crashed_at),
             crash.runs,
             crash.cleared,
             crash.familiar,
         )
         for crash in ledger.crashes.values()
-        if crash.stamp > since
+        if crash.changed_version > since
     ]
 
 
 def expire(ledger: Ledger, now: float) -> None:
     """Forget crashes that are long past."""
     for crash in list(ledger.crashes.values()):
-        if now - crash.at >= KEPT_SECONDS:
+        if now - crash.crashed_at >= KEPT_SECONDS:
             _drop(ledger, crash)
 
 
-def evidence(ledger: Ledger, fingerprint: int) -> Evidence:
+def evidence_against(ledger: Ledger, fingerprint: int) -> Evidence:
     """Return what speaks against a request, all crashes counted."""
-    entries = ledger.by_request.get(fingerprint)
+    entries = ledger.runs_by_request.get(fingerprint)
     if not entries:
         return _NOTHING
-    known = ledger.found.get(fingerprint)
+    known = ledger.evidence_cache.get(fingerprint)
     if known is None:
-        known = ledger.found[fingerprint] = _weigh(entries)
+        known = ledger.evidence_cache[fingerprint] = _weigh(entries)
     return known
 
 
 def evidence_without(
     ledger: Ledger,
     fingerprint: int,
-    explained: abc.Container[_records.Key],
+    explained: abc.Container[_records.CrashKey],
 ) -> Evidence:
     """Return the same without crashes that another request explains."""
-    entries = ledger.by_request.get(fingerprint, ())
+    entries = ledger.runs_by_request.get(fingerprint, ())
     return _weigh([each for each in entries if each[0].key not in explained])
 
 
 def recurring(ledger: Ledger, count: int) -> list[Evidence]:
     """Return the evidence of requests that were in so many crashes."""
     found = (
-        evidence(ledger, fingerprint)
-        for fingerprint, entries in ledger.by_request.items()
+        evidence_against(ledger, fingerprint)
+        for fingerprint, entries in ledger.runs_by_request.items()
         if len(entries) >= count
     )
     return [each for each in found if each.strikes >= count]
@@ -215,22 +219,22 @@
             for crash, place in entries
             if not crash.cleared >> place & 1
         ),
-        key=lambda each: each[0].at,
+        key=lambda each: each[0].crashed_at,
     )
     familiar = any(bit for _, _, bit in counted)
     strikes, isolated, last = 0, 0, -math.inf
     for crash, run, _ in counted:
-        began = crash.at - run.seconds
+        began = crash.crashed_at - run.elapsed_seconds
         if familiar and began < last - SAME_MOMENT_SECONDS:
             continue
         strikes += 1
         isolated += run.isolated
-        last = crash.at
+        last = crash.crashed_at
     return Evidence(
         strikes,
         isolated,
         familiar,
-        max((crash.at for crash, _, _ in counted), default=-math.inf),
+        max((crash.crashed_at for crash, _, _ in counted), default=-math.inf),
         tuple(crash for crash, _, _ in counted),
     )
 
@@ -243,28 +247,28 @@
     for run in runs:
         other = found.get(run.fingerprint)
         if other is not None:
-            seconds = max(run.seconds, other.seconds)
+            seconds = max(run.elapsed_seconds, other.elapsed_seconds)
             run = _records.Run(run.fingerprint, seconds, False)
         found[run.fingerprint] = run
     ordered = sorted(
         found.values(),
         key=lambda run: (
-            -evidence(ledger, run.fingerprint).strikes,
-            run.seconds,
+            -evidence_against(ledger, run.fingerprint).strikes,
+            run.elapsed_seconds,
         ),
     )
     return tuple(ordered[: _records.RUNS_MAX])
 
 
 def _add(ledger: Ledger, crash: _records.Crash) -> bool:
-    if crash.key in ledger.crashes or crash.key in ledger.dropped:
+    if crash.key in ledger.crashes or crash.key in ledger.evicted_keys:
         return False
     ledger.crashes[crash.key] = crash
     for place, run in enumerate(crash.runs):
-        ledger.by_request.setdefault(run.fingerprint, []).append(
+        ledger.runs_by_request.setdefault(run.fingerprint, []).append(
             (crash, place)
         )
-    ledger.runs += len(crash.runs)
+    ledger.run_count += len(crash.runs)
     _changed(ledger, crash)
     ledger.digest ^= _mark(crash)
     while _is_full(ledger) and len(ledger.crashes) > 1:
@@ -273,7 +277,7 @@
 
 
 def _is_full(ledger: Ledger) -> bool:
-    return ledger.runs > RUNS_KEPT or len(ledger.crashes) > CRASHES_KEPT
+    return ledger.run_count > RUNS_KEPT or len(ledger.crashes) > CRASHES_KEPT
 
 
 def _set_bits(
@@ -290,28 +294,28 @@
 
 def _changed(ledger: Ledger, crash: _records.Crash) -> None:
     ledger.version += 1
-    crash.stamp = ledger.version
+    crash.changed_version = ledger.version
     _forget_found(ledger)
 
 
 def _drop(ledger: Ledger, crash: _records.Crash) -> None:
     del ledger.crashes[crash.key]
     for run in crash.runs:
-        entries = ledger.by_request[run.fingerprint]
+        entries = ledger.runs_by_request[run.fingerprint]
         entries[:] = [each for each in entries if each[0] is not crash]
         if not entries:
-            del ledger.by_request[run.fingerprint]
-    ledger.runs -= len(crash.runs)
+            del ledger.runs_by_request[run.fingerprint]
+    ledger.run_count -= len(crash.runs)
     ledger.digest ^= _mark(crash)
     _forget_found(ledger)
-    ledger.dropped[crash.key] = None
-    if len(ledger.dropped) > DROPPED_KEPT:
-        del ledger.dropped[next(iter(ledger.dropped))]
+    ledger.evicted_keys[crash.key] = None
+    if len(ledger.evicted_keys) > DROPPED_KEPT:
+        del ledger.evicted_keys[next(iter(ledger.evicted_keys))]
 
 
 def _forget_found(ledger: Ledger) -> None:
-    ledger.found.clear()
-    ledger.explained = None
+    ledger.evidence_cache.clear()
+    ledger.explained_crashes = None
 
 
 def _least(ledger: Ledger) -> _records.Crash:
@@ -319,11 +323,11 @@
 
     def worth(crash: _records.Crash) -> tuple[bool, float]:
         recurs = any(
-            len(ledger.by_request[run.fingerprint]) > 1
+            len(ledger.runs_by_request[run.fingerprint]) > 1
             and not crash.cleared >> place & 1
             for place, run in enumerate(crash.runs)
         )
-        return recurs, crash.at
+        return recurs, crash.crashed_at
 
     return min(ledger.crashes.values(), key=worth)
 
--- a/src/sassafrasstair/decisions/crashes/_records.py
+++ b/src/sassafrasstair/decisions/crashes/_records.py
@@ -7,7 +7,7 @@
 RUNS_MAX = 256
 """Requests of one record; an instance has fewer slots."""
 
-Key = tuple[str, int]
+CrashKey = tuple[str, int]
 """The instance that crashed, and when its run started (0 if not known)."""
 
 
@@ -20,7 +20,7 @@
     """
 
     fingerprint: int
-    seconds: float
+    elapsed_seconds: float
     isolated: bool = False
 
 
@@ -34,19 +34,19 @@
     merged in any order. ``stamp`` is the ledger's version at the last change.
     """
 
-    key: Key
-    at: float
+    key: CrashKey
+    crashed_at: float
     runs: tuple[Run, ...]
     cleared: int = 0
     familiar: int = 0
-    stamp: int = 0
+    changed_version: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
     """A record of a crash on its way to a peer; ``age`` in seconds."""
 
-    key: Key
+    key: CrashKey
     age: float
     runs: tuple[Run, ...]
     cleared: int
--- a/src/sassafrasstair/decisions/crashes/_standings.py
+++ b/src/sassafrasstair/decisions/crashes/_standings.py
@@ -43,14 +43,14 @@
 
     standing: Standing
     evidence: _ledger.Evidence
-    until: float = -math.inf
+    blocked_until: float = -math.inf
 
 
-def judge(
+def decide_standing(
     ledger: _ledger.Ledger, fingerprint: int, own: str, now: float
 ) -> Verdict:
     """Return how a request may be run now, by the daemon at ``own``."""
-    found = _ledger.evidence(ledger, fingerprint)
+    found = _ledger.evidence_against(ledger, fingerprint)
     if found.strikes >= ISOLATED_FROM:
         by_others = {
             key
@@ -63,7 +63,7 @@
         return Verdict(Standing.FREE, found)
     if not _is_proven(found):
         return Verdict(Standing.ISOLATED, found)
-    until = found.last + _blocked_seconds(found, fingerprint, own)
+    until = found.last_crash_at + _blocked_seconds(found, fingerprint, own)
     standing = Standing.BLOCKED if now < until else Standing.ISOLATED
     return Verdict(standing, found, until)
 
@@ -74,20 +74,22 @@
     return not found.familiar or found.isolated >= FAMILIAR_ISOLATED_MIN
 
 
-def _explained(ledger: _ledger.Ledger) -> dict[_records.Key, int]:
+def _explained(ledger: _ledger.Ledger) -> dict[_records.CrashKey, int]:
     """Return the crashes that a request which is proven to cause them was in.
 
     By its strikes: what ran beside it with fewer is not to blame for them.
     """
-    if ledger.explained is None:
-        ledger.explained = {}
+    if ledger.explained_crashes is None:
+        ledger.explained_crashes = {}
         for found in _ledger.recurring(ledger, BLOCKED_FROM):
             if not _is_proven(found):
                 continue
             for crash in found.crashes:
-                strikes = ledger.explained.get(crash.key, 0)
-                ledger.explained[crash.key] = max(strikes, found.strikes)
-    return ledger.explained
+                strikes = ledger.explained_crashes.get(crash.key, 0)
+                ledger.explained_crashes[crash.key] = max(
+                    strikes, found.strikes
+                )
+    return ledger.explained_crashes
 
 
 def _blocked_seconds(
--- a/src/sassafrasstair/decisions/once/__init__.py
+++ b/src/sassafrasstair/decisions/once/__init__.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from sassafrasstair.decisions.once._children import adopt
-from sassafrasstair.decisions.once._children import child
+from sassafrasstair.decisions.once._children import adopt_child
+from sassafrasstair.decisions.once._children import find_child
 from sassafrasstair.decisions.once._messages import Arrival
 from sassafrasstair.decisions.once._messages import Done
 from sassafrasstair.decisions.once._messages import Issued
@@ -18,18 +18,18 @@
 from sassafrasstair.decisions.once._messages import Run
 from sassafrasstair.decisions.once._messages import Summary
 from sassafrasstair.decisions.once._messages import Unknown
-from sassafrasstair.decisions.once._owners import arrive
+from sassafrasstair.decisions.once._owners import accept_arrival
 from sassafrasstair.decisions.once._owners import Counts
 from sassafrasstair.decisions.once._owners import dispatched
 from sassafrasstair.decisions.once._owners import expire
-from sassafrasstair.decisions.once._owners import finish
-from sassafrasstair.decisions.once._owners import issue
+from sassafrasstair.decisions.once._owners import finish_execution
+from sassafrasstair.decisions.once._owners import issue_ticket
 from sassafrasstair.decisions.once._owners import new_owner
 from sassafrasstair.decisions.once._owners import Owner
-from sassafrasstair.decisions.once._owners import refuse
+from sassafrasstair.decisions.once._owners import refuse_arrival
 from sassafrasstair.decisions.once._owners import stop_issuing
 from sassafrasstair.decisions.once._refusals import entrance_refusal
-from sassafrasstair.decisions.once._tickets import parse
+from sassafrasstair.decisions.once._tickets import parse_ticket
 from sassafrasstair.decisions.once._tickets import TicketName
 
 __all__ = [
@@ -47,16 +47,16 @@
     "Summary",
     "TicketName",
     "Unknown",
-    "adopt",
-    "arrive",
-    "child",
+    "adopt_child",
+    "accept_arrival",
+    "find_child",
     "dispatched",
     "entrance_refusal",
     "expire",
-    "finish",
-    "issue",
+    "finish_execution",
+    "issue_ticket",
     "new_owner",
-    "parse",
-    "refuse",
+    "parse_ticket",
+    "refuse_arrival",
     "stop_issuing",
 ]
--- a/src/sassafrasstair/decisions/once/_children.py
+++ b/src/sassafrasstair/decisions/once/_children.py
@@ -22,7 +22,7 @@
 """With ``MAX_CHILDREN``, bounds the memory of one record's children."""
 
 
-def child(
+def find_child(
     owner: _owners.Owner, parent_ticket: str, service: str, key: str
 ) -> str | _messages.Refused | None:
     """Return the child ticket, or None: take one and ``adopt`` it.
@@ -41,7 +41,7 @@
     return _refusal(record, key)
 
 
-def adopt(
+def adopt_child(
     owner: _owners.Owner,
     parent_ticket: str,
     service: str,
@@ -54,7 +54,7 @@
     must send with the same. Refused as ``child`` is; the caller then
     lets the ticket that it took expire unused.
     """
-    known = child(owner, parent_ticket, service, key)
+    known = find_child(owner, parent_ticket, service, key)
     if known is not None:
         return known
     record = _owners.find(owner, parent_ticket)
--- a/src/sassafrasstair/decisions/once/_owners.py
+++ b/src/sassafrasstair/decisions/once/_owners.py
@@ -59,8 +59,8 @@
     secret: bytes
     records: _records.Records
     counts: Counts = dataclasses.field(default_factory=Counts)
-    serial: int = 0
-    latest: float = 0.0
+    last_serial: int = 0
+    latest_instant: float = 0.0
     leaving: bool = False
 
 
@@ -86,7 +86,7 @@
     return Owner(vm, incarnation, secret, records)
 
 
-def issue(
+def issue_ticket(
     owner: Owner,
     service: str,
     request_class: str,
@@ -104,14 +104,14 @@
     if not _records.has_room(owner.records):
         owner.counts.full += 1
         return _not_run(outcomes.Reason.TICKETS_FULL)
-    owner.serial += 1
+    owner.last_serial += 1
     owner.counts.issued += 1
-    expiry = int((owner.latest + lifetime) * _MILLISECONDS)
+    expiry = int((owner.latest_instant + lifetime) * _MILLISECONDS)
     _records.count_issued(owner.records, expiry)
     name = _tickets.TicketName(
         owner.vm, owner.incarnation, service, request_class
     )
-    ticket = _tickets.Ticket(name, owner.serial, expiry)
+    ticket = _tickets.Ticket(name, owner.last_serial, expiry)
     return _messages.Issued(_tickets.encode(ticket, owner.secret), lifetime)
 
 
@@ -120,7 +120,7 @@
     owner.leaving = True
 
 
-def arrive(
+def accept_arrival(
     owner: Owner, ticket: str, request_class: str, now: float
 ) -> _messages.Arrival:
     """Take a request that arrived with ``ticket`` and say what it does.
@@ -149,7 +149,7 @@
     return _again(owner, record)
 
 
-def refuse(
+def refuse_arrival(
     owner: Owner,
     ticket: str,
     request_class: str,
@@ -163,10 +163,10 @@
     run before is void from now on; for any other one the result is what
     ``arrive`` gives, and never ``Run``.
     """
-    arrival = arrive(owner, ticket, request_class, now)
+    arrival = accept_arrival(owner, ticket, request_class, now)
     if not isinstance(arrival, _messages.Run):
         return arrival
-    finish(owner, ticket, _messages.NotRun(reason), now)
+    finish_execution(owner, ticket, _messages.NotRun(reason), now)
     return _not_run(reason)
 
 
@@ -179,14 +179,14 @@
     """
     _advance(owner, now)
     record = find(owner, ticket)
-    if record is None or record.result is not None or record.sent:
+    if record is None or record.result is not None or record.dispatched:
         owner.counts.not_sent += 1
         return False
-    record.sent = True
+    record.dispatched = True
     return True
 
 
-def finish(
+def finish_execution(
     owner: Owner, ticket: str, result: _messages.Result, now: float
 ) -> _messages.Result:
     """Note how the execution ended; return what callers must be told.
@@ -214,7 +214,7 @@
 def expire(owner: Owner, now: float) -> None:
     """Drop the records of expired tickets; cheap, called often."""
     _advance(owner, now)
-    _records.drop_expired(owner.records, owner.latest)
+    _records.drop_expired(owner.records, owner.latest_instant)
 
 
 def find(owner: Owner, ticket: str) -> _records.Record | None:
@@ -232,11 +232,11 @@
     # instant from before an expiry that was already acted upon; the
     # record is gone but the ticket looks valid, and it runs twice. Time
     # therefore never goes back for an owner.
-    owner.latest = max(owner.latest, now)
+    owner.latest_instant = max(owner.latest_instant, now)
 
 
 def _is_expired(owner: Owner, read: _tickets.Ticket) -> bool:
-    return owner.latest * _MILLISECONDS >= read.expiry
+    return owner.latest_instant * _MILLISECONDS >= read.expiry
 
 
 def _first(owner: Owner, read: _tickets.Ticket) -> _messages.Arrival:
@@ -283,7 +283,7 @@
 def _believe(
     owner: Owner, record: _records.Record, result: _messages.Result
 ) -> _messages.Result:
-    if not record.sent or not isinstance(result, _messages.NotRun):
+    if not record.dispatched or not isinstance(result, _messages.NotRun):
         return result
     if result.reason in _SAID_BY_UPSTREAM:
         return result
--- a/src/sassafrasstair/decisions/once/_records.py
+++ b/src/sassafrasstair/decisions/once/_records.py
@@ -24,7 +24,7 @@
     ``children`` holds the child tickets by service and the child's key.
     """
 
-    sent: bool = False
+    dispatched: bool = False
     result: _messages.Result | _messages.Summary | None = None
     children: dict[tuple[str, str], str] = dataclasses.field(
         default_factory=dict
@@ -54,7 +54,7 @@
     unexpired: int = 0
     stored_bytes: int = 0
     buckets: dict[int, Bucket] = dataclasses.field(default_factory=dict)
-    order: list[int] = dataclasses.field(default_factory=list)
+    expiry_heap: list[int] = dataclasses.field(default_factory=list)
 
 
 def has_room(records: Records) -> bool:
@@ -91,8 +91,8 @@
 
 def drop_expired(records: Records, now: float) -> None:
     """Drop what expired by ``now``: each record is touched once."""
-    while records.order and records.order[0] <= now:
-        bucket = records.buckets.pop(heapq.heappop(records.order))
+    while records.expiry_heap and records.expiry_heap[0] <= now:
+        bucket = records.buckets.pop(heapq.heappop(records.expiry_heap))
         records.unexpired -= bucket.issued
         for serial in bucket.serials:
             _drop(records, serial)
@@ -116,7 +116,7 @@
     if bucket is None:
         bucket = Bucket()
         records.buckets[second] = bucket
-        heapq.heappush(records.order, second)
+        heapq.heappush(records.expiry_heap, second)
     return bucket
 
 
--- a/src/sassafrasstair/decisions/once/_tickets.py
+++ b/src/sassafrasstair/decisions/once/_tickets.py
@@ -69,7 +69,7 @@
     return Ticket(name, int(serial), int(expiry))
 
 
-def parse(text: str) -> TicketName | None:
+def parse_ticket(text: str) -> TicketName | None:
     """Return the owner that a ticket names, or None if malformed."""
     ticket = decode(text)
     return None if ticket is None else ticket.name
--- a/src/sassafrasstair/decisions/quotas/__init__.py
+++ b/src/sassafrasstair/decisions/quotas/__init__.py
@@ -7,79 +7,79 @@
 from __future__ import annotations
 
 from sassafrasstair.decisions.quotas._allocators import Allocator
-from sassafrasstair.decisions.quotas._allocators import ask
-from sassafrasstair.decisions.quotas._allocators import before_change
+from sassafrasstair.decisions.quotas._allocators import answer_request
+from sassafrasstair.decisions.quotas._allocators import fill_buckets
 from sassafrasstair.decisions.quotas._allocators import new_allocator
 from sassafrasstair.decisions.quotas._allocators import set_limits
 from sassafrasstair.decisions.quotas._allocators import tick
 from sassafrasstair.decisions.quotas._limits import Limit
-from sassafrasstair.decisions.quotas._limits import limit_of
+from sassafrasstair.decisions.quotas._limits import limit_with_tolerance
 from sassafrasstair.decisions.quotas._limits import Rules
-from sassafrasstair.decisions.quotas._messages import Acknowledged
-from sassafrasstair.decisions.quotas._messages import Ask
+from sassafrasstair.decisions.quotas._messages import Acknowledgement
+from sassafrasstair.decisions.quotas._messages import AllocationRequest
 from sassafrasstair.decisions.quotas._messages import Grant
-from sassafrasstair.decisions.quotas._messages import Granted
-from sassafrasstair.decisions.quotas._messages import is_sound
+from sassafrasstair.decisions.quotas._messages import GrantResponse
+from sassafrasstair.decisions.quotas._messages import is_valid
 from sassafrasstair.decisions.quotas._messages import Need
 from sassafrasstair.decisions.quotas._messages import Update
-from sassafrasstair.decisions.quotas._shares import acknowledged
-from sassafrasstair.decisions.quotas._shares import adopt
-from sassafrasstair.decisions.quotas._shares import has_news
+from sassafrasstair.decisions.quotas._shares import accept_acknowledgement
+from sassafrasstair.decisions.quotas._shares import adopt_share
+from sassafrasstair.decisions.quotas._shares import has_changes
 from sassafrasstair.decisions.quotas._shares import new_shares
-from sassafrasstair.decisions.quotas._shares import receive
+from sassafrasstair.decisions.quotas._shares import receive_update
 from sassafrasstair.decisions.quotas._shares import set_demands
-from sassafrasstair.decisions.quotas._shares import share
+from sassafrasstair.decisions.quotas._shares import share_available
 from sassafrasstair.decisions.quotas._shares import Shares
 from sassafrasstair.decisions.quotas._shares import tick as tick_shares
 from sassafrasstair.decisions.quotas._shares import update_for
-from sassafrasstair.decisions.quotas._stocks import demand
-from sassafrasstair.decisions.quotas._stocks import give_back
-from sassafrasstair.decisions.quotas._stocks import granted
-from sassafrasstair.decisions.quotas._stocks import is_empty
+from sassafrasstair.decisions.quotas._stocks import demand_rate
+from sassafrasstair.decisions.quotas._stocks import give_back_token
+from sassafrasstair.decisions.quotas._stocks import handle_grants
+from sassafrasstair.decisions.quotas._stocks import is_exhausted
 from sassafrasstair.decisions.quotas._stocks import is_low
-from sassafrasstair.decisions.quotas._stocks import needs
-from sassafrasstair.decisions.quotas._stocks import Stock
-from sassafrasstair.decisions.quotas._stocks import Stocks
-from sassafrasstair.decisions.quotas._stocks import take
-from sassafrasstair.decisions.quotas._stocks import token_seconds
-from sassafrasstair.decisions.quotas._stocks import wanted
+from sassafrasstair.decisions.quotas._stocks import list_needs
+from sassafrasstair.decisions.quotas._stocks import PrefetchedTokens
+from sassafrasstair.decisions.quotas._stocks import PrefetchStore
+from sassafrasstair.decisions.quotas._stocks import take_token
+from sassafrasstair.decisions.quotas._stocks import token_wait_seconds
+from sassafrasstair.decisions.quotas._stocks import track_request
 
 __all__ = [
-    "Acknowledged",
+    "Acknowledgement",
     "Allocator",
-    "Ask",
+    "AllocationRequest",
     "Grant",
-    "Granted",
+    "GrantResponse",
     "Limit",
     "Need",
     "Rules",
     "Shares",
-    "Stock",
-    "Stocks",
+    "PrefetchedTokens",
+    "PrefetchStore",
     "Update",
-    "acknowledged",
-    "adopt",
-    "ask",
-    "before_change",
-    "demand",
-    "give_back",
-    "granted",
-    "has_news",
-    "is_empty",
+    "accept_acknowledgement",
+    "adopt_share",
+    "answer_request",
+    "fill_buckets",
+    "demand_rate",
+    "give_back_token",
+    "handle_grants",
+    "has_changes",
+    "is_exhausted",
     "is_low",
-    "is_sound",
-    "limit_of",
-    "needs",
+    "is_valid",
+    "limit_with_tolerance",
+    "list_needs",
     "new_allocator",
     "new_shares",
-    "receive",
+    "receive_update",
     "set_demands",
     "set_limits",
-    "share",
-    "take",
+    "share_available",
+    "take_token",
     "tick",
     "tick_shares",
-    "token_seconds",
+    "token_wait_seconds",
     "update_for",
-    "wanted",
+    "track_request",
 ]
--- a/src/sassafrasstair/decisions/quotas/_allocators.py
+++ b/src/sassafrasstair/decisions/quotas/_allocators.py
@@ -40,22 +40,22 @@
     """Tokens of one customer as of an instant; below 0 after an overdraft."""
 
     tokens: float
-    at: float
+    filled_at: float
 
 
 @dataclasses.dataclass(slots=True)
-class Out:
+class OutstandingTokens:
     """Tokens that a daemon may still use until ``expires``."""
 
     tokens: int
-    expires: float
+    expires_at: float
 
 
 @dataclasses.dataclass(slots=True)
-class Asker:
+class Requester:
     """One daemon of the domain, and its demand by customer."""
 
-    heard: float
+    last_request_at: float
     demands: _messages.Amounts = dataclasses.field(default_factory=dict)
 
 
@@ -73,10 +73,12 @@
     customers: frozenset[str] = frozenset()
     limits: dict[str, _limits.Limit] = dataclasses.field(default_factory=dict)
     buckets: dict[str, Bucket] = dataclasses.field(default_factory=dict)
-    askers: dict[str, Asker] = dataclasses.field(default_factory=dict)
-    lasting: _messages.Amounts = dataclasses.field(default_factory=dict)
-    faded: float = -math.inf
-    out: dict[str, dict[str, Out]] = dataclasses.field(default_factory=dict)
+    requesters: dict[str, Requester] = dataclasses.field(default_factory=dict)
+    slow_demands: _messages.Amounts = dataclasses.field(default_factory=dict)
+    slow_demands_at: float = -math.inf
+    outstanding: dict[str, dict[str, OutstandingTokens]] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 def new_allocator(shares: _shares.Shares) -> Allocator:
@@ -93,7 +95,7 @@
 
     A customer that is new begins with no tokens.
     """
-    before_change(allocator, now)
+    fill_buckets(allocator, now)
     allocator.customers = frozenset(limits)
     allocator.limits = {
         customer: limit
@@ -106,12 +108,12 @@
     }
 
 
-def ask(
-    allocator: Allocator, asked: _messages.Ask, now: float
+def answer_request(
+    allocator: Allocator, asked: _messages.AllocationRequest, now: float
 ) -> tuple[_messages.Grant, ...]:
     """Hand out tokens, as far as there are any."""
     demands = {need.customer: need.demand for need in asked.needs}
-    allocator.askers[asked.host] = Asker(now, demands)
+    allocator.requesters[asked.host] = Requester(now, demands)
     for need in asked.needs:
         _note_out(allocator, asked.host, need, need.left, now)
     return tuple(
@@ -121,32 +123,32 @@
 
 def tick(allocator: Allocator, now: float) -> None:
     """Work out the demand of the domain, and its claims by that."""
-    for host, asker in list(allocator.askers.items()):
-        if now - asker.heard > ASKER_SECONDS:
-            del allocator.askers[host]
+    for host, asker in list(allocator.requesters.items()):
+        if now - asker.last_request_at > ASKER_SECONDS:
+            del allocator.requesters[host]
     demands: _messages.Amounts = {}
-    for asker in allocator.askers.values():
+    for asker in allocator.requesters.values():
         for customer, rate in asker.demands.items():
             demands[customer] = demands.get(customer, 0.0) + rate
     _fade(allocator, demands, now)
-    before_change(allocator, now)
+    fill_buckets(allocator, now)
     _shares.set_demands(allocator.shares, demands, allocator.limits)
 
 
 def _fade(
     allocator: Allocator, demands: _messages.Amounts, now: float
 ) -> None:
-    kept = math.exp(-(now - allocator.faded) / LASTING_SECONDS)
+    kept = math.exp(-(now - allocator.slow_demands_at) / LASTING_SECONDS)
     lasting = {}
     for customer in allocator.limits:
-        before = kept * allocator.lasting.get(customer, 0.0)
+        before = kept * allocator.slow_demands.get(customer, 0.0)
         rate = max(demands.get(customer, 0.0), before)
         demands[customer] = rate
         lasting[customer] = min(rate, LASTING_DEMAND)
-    allocator.lasting, allocator.faded = lasting, now
+    allocator.slow_demands, allocator.slow_demands_at = lasting, now
 
 
-def before_change(allocator: Allocator, now: float) -> None:
+def fill_buckets(allocator: Allocator, now: float) -> None:
     """Fill the buckets at the shares until now; to be called before a change.
 
     Otherwise a share that rises would count from the last time on.
@@ -172,7 +174,7 @@
         _note_out(allocator, host, need, need.left + tokens, now)
     if tokens or not need.wanted:
         return _messages.Grant(customer, tokens, 0.0)
-    rate = limit.rate * _shares.share(allocator.shares, customer)
+    rate = limit.rate * _shares.share_available(allocator.shares, customer)
     wait = (TOKEN_LEAST - bucket.tokens) / max(rate, RATE_LEAST)
     return _messages.Grant(customer, 0, wait)
 
@@ -192,9 +194,9 @@
     tokens: int,
     now: float,
 ) -> None:
-    holders = allocator.out.setdefault(need.customer, {})
+    holders = allocator.outstanding.setdefault(need.customer, {})
     if tokens:
-        holders[host] = Out(tokens, now + _stocks.TOKEN_SECONDS)
+        holders[host] = OutstandingTokens(tokens, now + _stocks.TOKEN_SECONDS)
     else:
         holders.pop(host, None)
 
@@ -203,17 +205,19 @@
     allocator: Allocator, customer: str, bucket: Bucket, now: float
 ) -> None:
     limit = allocator.limits[customer]
-    part = _shares.share(allocator.shares, customer)
+    part = _shares.share_available(allocator.shares, customer)
     out = _outstanding(allocator, customer, now)
-    gained = limit.rate * part * max(0.0, now - bucket.at)
+    gained = limit.rate * part * max(0.0, now - bucket.filled_at)
     bucket.tokens = min(limit.burst * part - out, bucket.tokens + gained)
-    bucket.at = now
+    bucket.filled_at = now
 
 
 def _outstanding(allocator: Allocator, customer: str, now: float) -> int:
-    holders = allocator.out.get(customer)
+    holders = allocator.outstanding.get(customer)
     if not holders:
         return 0
-    for host in [each for each, out in holders.items() if out.expires <= now]:
+    for host in [
+        each for each, out in holders.items() if out.expires_at <= now
+    ]:
         del holders[host]
     return sum(out.tokens for out in holders.values())
--- a/src/sassafrasstair/decisions/quotas/_limits.py
+++ b/src/sassafrasstair/decisions/quotas/_limits.py
@@ -23,8 +23,8 @@
     """
 
     window_seconds: float = 5.0
-    over: float = 0.0
-    slack: float = 0.0
+    relative_tolerance: float = 0.0
+    absolute_tolerance: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -35,7 +35,9 @@
     burst: float
 
 
-def limit_of(customer: policies.Customer, rules: Rules) -> Limit | None:
+def limit_with_tolerance(
+    customer: policies.Customer, rules: Rules
+) -> Limit | None:
     """Return the limit that is enforced, None if there is none.
 
     A customer may send its rate and its burst in each window, so the rate is
@@ -45,7 +47,9 @@
         return None
     window = rules.window_seconds
     allowed = customer.rate * window + customer.burst
-    rate = min(allowed / window, (1.0 + rules.over) * customer.rate)
-    most = allowed * (1.0 + TOLERANCE_USED * rules.over)
-    most += TOLERANCE_USED * rules.slack
+    rate = min(
+        allowed / window, (1.0 + rules.relative_tolerance) * customer.rate
+    )
+    most = allowed * (1.0 + TOLERANCE_USED * rules.relative_tolerance)
+    most += TOLERANCE_USED * rules.absolute_tolerance
     return Limit(rate, max(1.0, most - rate * window))
--- a/src/sassafrasstair/decisions/quotas/_messages.py
+++ b/src/sassafrasstair/decisions/quotas/_messages.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class AllocationRequest:
     """A daemon asks the allocator of its failure domain for tokens."""
 
     host: str
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Granted:
+class GrantResponse:
     """The answer to an ``Ask``.
 
     ``redirect`` is the host to ask instead, '' if this is the right one.
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Acknowledged:
+class Acknowledgement:
     """The answer to an ``Update``.
 
     ``redirect`` is the host that allocates for the domain that was asked, ''
@@ -90,15 +90,15 @@
     yours: Amounts
 
 
-def is_sound(message: object) -> bool:
+def is_valid(message: object) -> bool:
     """Return whether all amounts of a message can be reckoned with."""
     match message:
-        case Ask():
+        case AllocationRequest():
             return all(
                 _is_amount(need.demand) and need.left >= 0 <= need.wanted
                 for need in message.needs
             )
-        case Granted():
+        case GrantResponse():
             return all(
                 grant.tokens >= 0 and _is_amount(grant.wait)
                 for grant in message.grants
@@ -106,7 +106,7 @@
         case Update():
             amounts = [*message.claims.values(), *message.demands.values()]
             return all(map(_is_amount, amounts))
-        case Acknowledged():
+        case Acknowledgement():
             return all(map(_is_amount, message.yours.values()))
     return False
 
--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Peer:
+class PeerDomain:
     """What is known of another failure domain.
 
     ``mark`` names the process that allocates there, and ``host`` its VM.
@@ -59,15 +59,15 @@
     mark: str = ""
     host: str = ""
     serial: int = -1
-    known: bool = False
-    whole_acked: bool = False
-    heard: float = -math.inf
-    answered: float = -math.inf
+    claims_known: bool = False
+    all_acked: bool = False
+    last_update_at: float = -math.inf
+    last_ack_at: float = -math.inf
     claims: _messages.Amounts = dataclasses.field(default_factory=dict)
     demands: _messages.Amounts = dataclasses.field(default_factory=dict)
-    acked: _messages.Amounts = dataclasses.field(default_factory=dict)
-    told: _messages.Amounts = dataclasses.field(default_factory=dict)
-    reserved: _messages.Amounts | None = None
+    acked_claims: _messages.Amounts = dataclasses.field(default_factory=dict)
+    acked_demands: _messages.Amounts = dataclasses.field(default_factory=dict)
+    reserved_claims: _messages.Amounts | None = None
     adopting: bool = True
 
 
@@ -83,13 +83,13 @@
     domain: str
     host: str
     mark: str
-    by_right: float
-    began: float
-    peers: dict[str, Peer]
+    equal_share: float
+    adopting_since: float
+    peers: dict[str, PeerDomain]
     claims: _messages.Amounts = dataclasses.field(default_factory=dict)
     demands: _messages.Amounts = dataclasses.field(default_factory=dict)
     adopting: bool = True
-    occupied: str = ""
+    other_allocator: str = ""
     serial: int = 0
 
 
@@ -101,24 +101,24 @@
     now: float,
 ) -> Shares:
     """Return the shares of a domain among ``domains``, which hold it too."""
-    others = {each: Peer() for each in domains if each != domain}
+    others = {each: PeerDomain() for each in domains if each != domain}
     shares = Shares(domain, host, mark, 1.0 / (len(others) + 1), now, others)
     shares.adopting = bool(others)
     return shares
 
 
-def share(shares: Shares, customer: str) -> float:
+def share_available(shares: Shares, customer: str) -> float:
     """Return the part of a customer's limit that may be handed out here."""
     if shares.adopting:
         return 0.0
-    right = shares.by_right
+    right = shares.equal_share
     most = shares.claims.get(customer, right)
     room = 1.0
     known = True
     for peer in shares.peers.values():
-        most = min(most, peer.acked.get(customer, right))
+        most = min(most, peer.acked_claims.get(customer, right))
         room -= peer.claims.get(customer, right)
-        known = known and peer.known
+        known = known and peer.claims_known
     return max(0.0, min(most, room) if known else most)
 
 
@@ -140,9 +140,9 @@
 
 
 def _claim(shares: Shares, customer: str, rate: float) -> None:
-    right = shares.by_right
+    right = shares.equal_share
     peers = shares.peers.values()
-    if not all(peer.known for peer in peers):
+    if not all(peer.claims_known for peer in peers):
         return
     own = shares.demands[customer]
     total = own + sum(peer.demands.get(customer, 0.0) for peer in peers)
@@ -163,10 +163,10 @@
 def update_for(shares: Shares, domain: str) -> _messages.Update:
     """Return what to tell the allocator of another domain."""
     peer = shares.peers[domain]
-    right = shares.by_right
-    whole = not peer.whole_acked
-    acked = {} if whole else peer.acked
-    told = {} if whole else peer.told
+    right = shares.equal_share
+    whole = not peer.all_acked
+    acked = {} if whole else peer.acked_claims
+    told = {} if whole else peer.acked_demands
     claims = {
         customer: claim
         for customer, claim in shares.claims.items()
@@ -179,8 +179,8 @@
     }
     for customer, claim in claims.items():
         # If the acknowledgement is lost the lower claim counts all the same.
-        before = peer.acked.get(customer, right)
-        peer.acked[customer] = min(before, claim)
+        before = peer.acked_claims.get(customer, right)
+        peer.acked_claims[customer] = min(before, claim)
     shares.serial += 1
     return _messages.Update(
         shares.domain,
@@ -194,28 +194,30 @@
     )
 
 
-def has_news(shares: Shares, domain: str) -> bool:
+def has_changes(shares: Shares, domain: str) -> bool:
     """Return whether the allocator of a domain should be told at once."""
     peer = shares.peers[domain]
-    right = shares.by_right
+    right = shares.equal_share
     return any(
-        claim != peer.acked.get(customer, right)
+        claim != peer.acked_claims.get(customer, right)
         for customer, claim in shares.claims.items()
     ) or any(
-        _differs(rate, peer.told.get(customer, 0.0))
+        _differs(rate, peer.acked_demands.get(customer, 0.0))
         for customer, rate in shares.demands.items()
     )
 
 
-def receive(
+def receive_update(
     shares: Shares, update: _messages.Update, now: float
-) -> _messages.Acknowledged:
+) -> _messages.Acknowledgement:
     """Take an update of another domain's allocator, and acknowledge it."""
     peer = shares.peers.get(update.domain)
     if peer is None:
-        return _messages.Acknowledged(shares.mark, "", "", shares.adopting, {})
+        return _messages.Acknowledgement(
+            shares.mark, "", "", shares.adopting, {}
+        )
     if peer.mark != update.mark and not _may_follow(peer, update, now):
-        return _messages.Acknowledged(
+        return _messages.Acknowledgement(
             shares.mark, "", peer.host, shares.adopting, {}
         )
     reserved = dict(peer.claims) if update.adopting else {}
@@ -223,79 +225,81 @@
         # It knows nothing of what its predecessor was told.
         peer.mark, peer.host, peer.serial = update.mark, update.host, -1
         _forget_acked(peer)
-        peer.known = False
-    peer.heard = now
+        peer.claims_known = False
+    peer.last_update_at = now
     peer.adopting = update.adopting
     if update.serial > peer.serial:
         peer.serial = update.serial
         if not update.adopting:
             if update.whole:
                 peer.claims, peer.demands = {}, {}
-                peer.known = True
+                peer.claims_known = True
             peer.claims.update(update.claims)
             peer.demands.update(update.demands)
-    return _messages.Acknowledged(
+    return _messages.Acknowledgement(
         shares.mark, "", "", shares.adopting, reserved
     )
 
 
-def acknowledged(
+def accept_acknowledgement(
     shares: Shares,
     domain: str,
     update: _messages.Update,
-    answer: _messages.Acknowledged,
+    answer: _messages.Acknowledgement,
     now: float,
 ) -> None:
     """Take the answer to an update."""
     peer = shares.peers[domain]
-    peer.answered = now
+    peer.last_ack_at = now
     if answer.occupied:
-        shares.occupied = answer.occupied
+        shares.other_allocator = answer.occupied
         _lose(shares, now)
         return
-    shares.occupied = ""
+    shares.other_allocator = ""
     if peer.mark and answer.mark != peer.mark:
         return
     if shares.adopting:
-        peer.reserved = answer.yours
+        peer.reserved_claims = answer.yours
         peer.adopting = answer.adopting
         return
     if update.adopting:
         return
-    peer.acked.update(update.claims)
-    peer.told.update(update.demands)
-    peer.whole_acked = peer.whole_acked or update.whole
+    peer.acked_claims.update(update.claims)
+    peer.acked_demands.update(update.demands)
+    peer.all_acked = peer.all_acked or update.whole
 
 
-def adopt(shares: Shares, now: float) -> bool:
+def adopt_share(shares: Shares, now: float) -> bool:
     """Take over the share of the own domain if enough is known of it."""
     if not shares.adopting:
         return False
     peers = list(shares.peers.values())
-    told = [peer for peer in peers if peer.reserved is not None]
-    waited = now - shares.began
+    told = [peer for peer in peers if peer.reserved_claims is not None]
+    waited = now - shares.adopting_since
     knowing = any(not peer.adopting for peer in told)
     enough = (
         len(told) == len(peers)
         or (knowing and waited >= SILENT_SECONDS)
         or waited >= GIVE_UP_SECONDS
     )
-    if not enough or shares.occupied:
+    if not enough or shares.other_allocator:
         return False
     shares.adopting = False
-    right = shares.by_right
+    right = shares.equal_share
     claims: _messages.Amounts = {}
     for peer in told:
-        for customer, claim in (peer.reserved or {}).items():
+        for customer, claim in (peer.reserved_claims or {}).items():
             claims[customer] = min(claims.get(customer, claim), claim)
     shares.claims = claims
     for peer in peers:
         # What the others have reserved for the domain they reckon with.
-        peer.acked = {
-            customer: min(claim, (peer.reserved or {}).get(customer, right))
+        peer.acked_claims = {
+            customer: min(
+                claim, (peer.reserved_claims or {}).get(customer, right)
+            )
             for customer, claim in claims.items()
         }
-        peer.reserved = None
+        peer.reserved_claims = None
     return True
 
 
@@ -304,18 +308,24 @@
 
     ``present`` are the domains of which daemons are known.
     """
-    right = shares.by_right
+    right = shares.equal_share
     peers = shares.peers
     contact = max(
-        (max(peer.answered, peer.heard) for peer in peers.values()),
+        (
+            max(peer.last_ack_at, peer.last_update_at)
+            for peer in peers.values()
+        ),
         default=now,
     )
-    alone = now - max(contact, shares.began) >= RETURN_SECONDS
+    alone = now - max(contact, shares.adopting_since) >= RETURN_SECONDS
     if alone and not shares.adopting:
         for customer, claim in shares.claims.items():
             shares.claims[customer] = min(claim, right)
     for domain, peer in peers.items():
-        silent = now - max(peer.heard, shares.began) >= RELEASE_SECONDS
+        silent = (
+            now - max(peer.last_update_at, shares.adopting_since)
+            >= RELEASE_SECONDS
+        )
         if not silent or domain in present:
             continue
         for customer, claim in peer.claims.items():
@@ -325,23 +335,25 @@
 def _lose(shares: Shares, now: float) -> None:
     """Begin anew: another process allocates for the own domain."""
     shares.adopting = True
-    shares.began = now
+    shares.adopting_since = now
     shares.claims = {}
     for peer in shares.peers.values():
         _forget_acked(peer)
-        peer.reserved = None
+        peer.reserved_claims = None
 
 
-def _forget_acked(peer: Peer) -> None:
-    peer.acked, peer.told = {}, {}
-    peer.whole_acked = False
+def _forget_acked(peer: PeerDomain) -> None:
+    peer.acked_claims, peer.acked_demands = {}, {}
+    peer.all_acked = False
 
 
-def _may_follow(peer: Peer, update: _messages.Update, now: float) -> bool:
+def _may_follow(
+    peer: PeerDomain, update: _messages.Update, now: float
+) -> bool:
     """Return whether another process may allocate for a domain from now."""
     if not peer.mark or peer.host == update.host:
         return True
-    if now - peer.heard >= ADOPT_SECONDS:
+    if now - peer.last_update_at >= ADOPT_SECONDS:
         return True
     if not peer.adopting:
         return False
--- a/src/sassafrasstair/decisions/quotas/_stocks.py
+++ b/src/sassafrasstair/decisions/quotas/_stocks.py
@@ -35,7 +35,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Stock:
+class PrefetchedTokens:
     """Tokens of one customer, and what is known of its demand.
 
     ``count`` decays with ``DEMAND_SECONDS``, from ``began`` on. The allocator
@@ -43,91 +43,97 @@
     ``token_at``. ``waiting`` requests need one now.
     """
 
-    began: float
+    started_at: float
     tokens: int = 0
-    expires: float = -math.inf
-    count: float = 0.0
-    counted: float = -math.inf
-    empty_until: float = -math.inf
-    token_at: float = -math.inf
+    expires_at: float = -math.inf
+    decayed_count: float = 0.0
+    counted_at: float = -math.inf
+    exhausted_until: float = -math.inf
+    next_token_at: float = -math.inf
     waiting: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class Stocks:
+class PrefetchStore:
     """The tokens of one daemon by customer.
 
     For ``ahead`` seconds of demand tokens are asked for ahead of need.
     """
 
-    ahead: float = 0.7
-    stocks: dict[str, Stock] = dataclasses.field(default_factory=dict)
+    prefetch_seconds: float = 0.7
+    by_customer: dict[str, PrefetchedTokens] = dataclasses.field(
+        default_factory=dict
+    )
 
 
-def wanted(stocks: Stocks, customer: str, now: float) -> None:
+def track_request(stocks: PrefetchStore, customer: str, now: float) -> None:
     """Count one request of a customer, whether it will run or not."""
-    stock = stocks.stocks.get(customer)
+    stock = stocks.by_customer.get(customer)
     if stock is None:
-        stock = stocks.stocks[customer] = Stock(now)
-    stock.count = _count(stock, now) + 1.0
-    stock.counted = now
+        stock = stocks.by_customer[customer] = PrefetchedTokens(now)
+    stock.decayed_count = _count(stock, now) + 1.0
+    stock.counted_at = now
 
 
-def take(stocks: Stocks, customer: str, now: float) -> bool:
+def take_token(stocks: PrefetchStore, customer: str, now: float) -> bool:
     """Take a token for one request; return whether there was one."""
-    stock = stocks.stocks.get(customer)
+    stock = stocks.by_customer.get(customer)
     if stock is None or _tokens(stock, now) < 1:
         return False
     stock.tokens -= 1
     return True
 
 
-def give_back(stocks: Stocks, customer: str, now: float) -> None:
+def give_back_token(stocks: PrefetchStore, customer: str, now: float) -> None:
     """Return the token of a request that has not run and never will."""
-    stock = stocks.stocks.get(customer)
-    if stock is not None and now < stock.expires:
+    stock = stocks.by_customer.get(customer)
+    if stock is not None and now < stock.expires_at:
         stock.tokens += 1
 
 
-def is_empty(stocks: Stocks, customer: str, now: float) -> bool:
+def is_exhausted(stocks: PrefetchStore, customer: str, now: float) -> bool:
     """Return whether it is known that there is no token to be had now."""
-    stock = stocks.stocks.get(customer)
-    return stock is not None and now < stock.empty_until
+    stock = stocks.by_customer.get(customer)
+    return stock is not None and now < stock.exhausted_until
 
 
-def token_seconds(stocks: Stocks, customer: str, now: float) -> float:
+def token_wait_seconds(
+    stocks: PrefetchStore, customer: str, now: float
+) -> float:
     """Return after how many seconds the allocator expects a token."""
-    stock = stocks.stocks.get(customer)
-    wait = 0.0 if stock is None else stock.token_at - now
+    stock = stocks.by_customer.get(customer)
+    wait = 0.0 if stock is None else stock.next_token_at - now
     return min(max(0.0, wait), WAIT_SECONDS_MAX)
 
 
-def demand(stock: Stock, now: float) -> float:
+def demand_rate(stock: PrefetchedTokens, now: float) -> float:
     """Return the requests a second of a customer."""
     count = _count(stock, now)
     if count < SERIES_FROM:
         return count / DEMAND_SECONDS
-    age = max(DEMAND_SECONDS_MIN, now - stock.began)
+    age = max(DEMAND_SECONDS_MIN, now - stock.started_at)
     seen = -math.expm1(-age / DEMAND_SECONDS)
     return count / (DEMAND_SECONDS * seen)
 
 
-def is_low(stocks: Stocks, customer: str, now: float) -> bool:
+def is_low(stocks: PrefetchStore, customer: str, now: float) -> bool:
     """Return whether more tokens should be asked for."""
-    stock = stocks.stocks.get(customer)
-    if stock is None or now < stock.empty_until:
+    stock = stocks.by_customer.get(customer)
+    if stock is None or now < stock.exhausted_until:
         return False
     return _tokens(stock, now) < LOW_SHARE * _target(stocks, stock, now)
 
 
-def needs(stocks: Stocks, now: float) -> tuple[_messages.Need, ...]:
+def list_needs(
+    stocks: PrefetchStore, now: float
+) -> tuple[_messages.Need, ...]:
     """Return what to ask for now; customers without demand are forgotten."""
     found = []
-    for customer, stock in list(stocks.stocks.items()):
-        rate = demand(stock, now)
+    for customer, stock in list(stocks.by_customer.items()):
+        rate = demand_rate(stock, now)
         left = _tokens(stock, now)
         if rate < IDLE_DEMAND and not stock.waiting:
-            del stocks.stocks[customer]
+            del stocks.by_customer[customer]
             left, lacking = 0, 0
         else:
             lacking = max(
@@ -137,38 +143,38 @@
     return tuple(found)
 
 
-def granted(
-    stocks: Stocks,
+def handle_grants(
+    stocks: PrefetchStore,
     grants: abc.Iterable[_messages.Grant],
     asked_at: float,
     now: float,
 ) -> None:
     """Take the tokens that were asked for at an instant."""
     for grant in grants:
-        stock = stocks.stocks.get(grant.customer)
+        stock = stocks.by_customer.get(grant.customer)
         if stock is None:
             continue
         stock.tokens = _tokens(stock, now) + grant.tokens
-        stock.expires = asked_at + TOKEN_SECONDS
-        stock.token_at = now + grant.wait
+        stock.expires_at = asked_at + TOKEN_SECONDS
+        stock.next_token_at = now + grant.wait
         retry = min(grant.wait, RETRY_SECONDS)
-        stock.empty_until = now + retry
+        stock.exhausted_until = now + retry
 
 
-def _target(stocks: Stocks, stock: Stock, now: float) -> int:
+def _target(stocks: PrefetchStore, stock: PrefetchedTokens, now: float) -> int:
     # A token that lies at a daemon with one request now and then is missed
     # elsewhere; there each request asks for its own.
     if _count(stock, now) < SERIES_FROM:
         return 0
-    return math.ceil(stocks.ahead * demand(stock, now))
+    return math.ceil(stocks.prefetch_seconds * demand_rate(stock, now))
 
 
-def _tokens(stock: Stock, now: float) -> int:
-    if now >= stock.expires:
+def _tokens(stock: PrefetchedTokens, now: float) -> int:
+    if now >= stock.expires_at:
         stock.tokens = 0
     return stock.tokens
 
 
-def _count(stock: Stock, now: float) -> float:
-    passed = now - stock.counted
-    return stock.count * math.exp(-passed / DEMAND_SECONDS)
+def _count(stock: PrefetchedTokens, now: float) -> float:
+    passed = now - stock.counted_at
+    return stock.decayed_count * math.exp(-passed / DEMAND_SECONDS)
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -49,7 +49,7 @@
 def _broadcast(daemon: _state.Daemon) -> None:
     ledger = daemon.ledger
     now = daemon.clock.monotonic()
-    reports = crashes.reports(ledger, now, daemon.crash_sent_version)
+    reports = crashes.reports_since(ledger, now, daemon.crash_sent_version)
     daemon.crash_sent_version = ledger.version
     if not reports:
         return
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -45,7 +45,7 @@
     peer = daemon.crash_peers[host]
     peer.next = now + peer.pause
     peer.pause = min(PAUSE_SECONDS_MAX, 2.0 * peer.pause)
-    reports = crashes.reports(ledger, now)
+    reports = crashes.reports_since(ledger, now)
     return _crash_wire.FIELD, _crash_wire.encode(ledger.digest, reports)
 
 
--- a/src/sassafrasstair/forwarding/_crash_wire.py
+++ b/src/sassafrasstair/forwarding/_crash_wire.py
@@ -72,7 +72,7 @@
         _bits(report.familiar),
         _bits(isolated),
         b"".join(run.fingerprint.to_bytes(size, "big") for run in report.runs),
-        [round(_MILLIS * run.seconds) for run in report.runs],
+        [round(_MILLIS * run.elapsed_seconds) for run in report.runs],
     )
 
 
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -66,7 +66,7 @@
 
 def trial(verdict: crashes.Verdict | None) -> int:
     """Return after how many strikes a request is tried again, 0 if not."""
-    if verdict is None or verdict.until == -math.inf:
+    if verdict is None or verdict.blocked_until == -math.inf:
         return 0
     return verdict.evidence.strikes
 
@@ -83,7 +83,7 @@
     verdict = verdict_of_call(daemon, call)
     if verdict is None:
         return 0.0
-    return max(0.0, verdict.until - daemon.clock.monotonic())
+    return max(0.0, verdict.blocked_until - daemon.clock.monotonic())
 
 
 def log_fields(fingerprint: int | None) -> dict[str, str]:
@@ -99,7 +99,7 @@
     """Return the requests that may not run freely, and why."""
     own = daemon.feed.own_host
     return [
-        (each, crashes.judge(daemon.ledger, each, own, now))
+        (each, crashes.decide_standing(daemon.ledger, each, own, now))
         for each in daemon.standings
     ]
 
@@ -148,8 +148,8 @@
 
 def _clear(daemon: _state.Daemon, fingerprint: int) -> None:
     _keep(_familiar(daemon), fingerprint)
-    strikes = crashes.evidence(daemon.ledger, fingerprint).strikes
-    if crashes.complete(daemon.ledger, fingerprint):
+    strikes = crashes.evidence_against(daemon.ledger, fingerprint).strikes
+    if crashes.clear_completed(daemon.ledger, fingerprint):
         urgent = strikes >= URGENT_FROM
         _changed(daemon, {fingerprint}, urgent, "upstream")
 
@@ -171,7 +171,7 @@
         for run in runs
     ]
     familiar = _familiar(daemon)
-    if not crashes.record(daemon.ledger, key, found, familiar, now):
+    if not crashes.record_crash(daemon.ledger, key, found, familiar, now):
         return
     _counters.believed(daemon.counters, "instance_crashed")
     _log_crash(daemon, instance, found)
@@ -187,12 +187,13 @@
         return
     known = len(daemon.ledger.crashes)
     now = daemon.clock.monotonic()
-    touched = crashes.merge(daemon.ledger, reports, now)
+    touched = crashes.merge_reports(daemon.ledger, reports, now)
     for fingerprint in touched & _familiar(daemon).keys():
         crashes.mark_familiar(daemon.ledger, fingerprint)
     if touched:
         urgent = len(daemon.ledger.crashes) != known or any(
-            crashes.evidence(daemon.ledger, each).strikes >= URGENT_FROM
+            crashes.evidence_against(daemon.ledger, each).strikes
+            >= URGENT_FROM
             for each in touched
         )
         _changed(daemon, touched, urgent, f"peer {host}")
@@ -220,7 +221,7 @@
 def _judge(daemon: _state.Daemon, fingerprint: int) -> crashes.Verdict:
     own = daemon.feed.own_host
     now = daemon.clock.monotonic()
-    return crashes.judge(daemon.ledger, fingerprint, own, now)
+    return crashes.decide_standing(daemon.ledger, fingerprint, own, now)
 
 
 def _of_order(order: _records.Order) -> int:
@@ -277,10 +278,10 @@
             isolated=found.isolated,
             familiar=found.familiar,
             crashes=",".join(
-                f"{crash.key[0]}:{now - crash.at:.2f}"
+                f"{crash.key[0]}:{now - crash.crashed_at:.2f}"
                 for crash in found.crashes[-CRASHES_SHOWN:]
             ),
-            blocked_for=max(0.0, verdict.until - now),
+            blocked_for=max(0.0, verdict.blocked_until - now),
         )
 
 
@@ -288,13 +289,13 @@
     daemon: _state.Daemon, instance: str, runs: list[crashes.Run]
 ) -> None:
     strikes = {
-        run.fingerprint: crashes.evidence(
+        run.fingerprint: crashes.evidence_against(
             daemon.ledger, run.fingerprint
         ).strikes
         for run in runs
     }
     ordered = sorted(
-        runs, key=lambda run: (-strikes[run.fingerprint], run.seconds)
+        runs, key=lambda run: (-strikes[run.fingerprint], run.elapsed_seconds)
     )
     daemon.journal.note(
         "instance_crashed",
@@ -302,7 +303,7 @@
         runs=len(runs),
         requests=",".join(
             f"{crashes.format_fingerprint(run.fingerprint)}"
-            f":{strikes[run.fingerprint]}:{run.seconds:.3f}"
+            f":{strikes[run.fingerprint]}:{run.elapsed_seconds:.3f}"
             for run in ordered[:SHOWN_MAX]
         ),
     )
--- a/src/sassafrasstair/forwarding/_quota_wire.py
+++ b/src/sassafrasstair/forwarding/_quota_wire.py
@@ -13,7 +13,12 @@
 UPDATE_PATH = b"/-sassafras/quota/shares"
 _T = typing.TypeVar("_T")
 
-Message = quotas.Ask | quotas.Granted | quotas.Update | quotas.Acknowledged
+Message = (
+    quotas.AllocationRequest
+    | quotas.GrantResponse
+    | quotas.Update
+    | quotas.Acknowledgement
+)
 
 
 def encode(message: Message) -> bytes:
@@ -27,6 +32,6 @@
         found = msgspec.msgpack.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise _wire.WireError(f"quota: {error}") from error
-    if not quotas.is_sound(found):
+    if not quotas.is_valid(found):
         raise _wire.WireError("quota: an amount out of range")
     return found
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -46,12 +46,12 @@
     that no allocator has told.
     """
     tokens, now = daemon.tokens, daemon.clock.monotonic()
-    quotas.wanted(tokens.stocks, customer.name, now)
-    if quotas.take(tokens.stocks, customer.name, now):
+    quotas.track_request(tokens.stocks, customer.name, now)
+    if quotas.take_token(tokens.stocks, customer.name, now):
         if quotas.is_low(tokens.stocks, customer.name, now):
             tokens.soon = True
         answer(outcomes.Reason.NONE)
-    elif quotas.is_empty(tokens.stocks, customer.name, now):
+    elif quotas.is_exhausted(tokens.stocks, customer.name, now):
         answer(outcomes.Reason.QUOTA_EXCEEDED)
     else:
         _wait(daemon, customer.name, answer)
@@ -60,23 +60,23 @@
 def give_back(daemon: _state.Daemon, customer: str) -> None:
     """Return the token of a request that has not run and never will."""
     now = daemon.clock.monotonic()
-    quotas.give_back(daemon.tokens.stocks, customer, now)
+    quotas.give_back_token(daemon.tokens.stocks, customer, now)
 
 
 def token_seconds(daemon: _state.Daemon, customer: str) -> float:
     """Return after how many seconds a token is expected."""
     now = daemon.clock.monotonic()
-    return quotas.token_seconds(daemon.tokens.stocks, customer, now)
+    return quotas.token_wait_seconds(daemon.tokens.stocks, customer, now)
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Ask for tokens that will be needed, and tell the demand."""
     _shares.tick(daemon, now)
     tokens = daemon.tokens
-    if tokens.asking or not tokens.stocks.stocks:
+    if tokens.asking or not tokens.stocks.by_customer:
         return
     period = _period(daemon)
-    tokens.stocks.ahead = AHEAD_PERIODS * period
+    tokens.stocks.prefetch_seconds = AHEAD_PERIODS * period
     since = now - tokens.asked
     if since >= period or (tokens.soon and since >= GAP_SECONDS):
         _ask(daemon, now)
@@ -122,7 +122,7 @@
 
 
 def _note_waiting(daemon: _state.Daemon, customer: str) -> None:
-    stock = daemon.tokens.stocks.stocks.get(customer)
+    stock = daemon.tokens.stocks.by_customer.get(customer)
     if stock is not None:
         stock.waiting = len(daemon.tokens.waiting.get(customer, ()))
 
@@ -132,7 +132,9 @@
     tokens = daemon.tokens
     host = _allocator(daemon, now)
     tokens.asked, tokens.soon = now, False
-    asked = quotas.Ask(daemon.feed.own_host, quotas.needs(tokens.stocks, now))
+    asked = quotas.AllocationRequest(
+        daemon.feed.own_host, quotas.list_needs(tokens.stocks, now)
+    )
     if host == daemon.feed.own_host:
         _take(daemon, _shares.serve_ask(daemon, asked), host, now)
         return
@@ -183,7 +185,7 @@
         _failed(daemon, host, f"status {result.status}")
         return
     try:
-        granted = _quota_wire.decode(result.body, quotas.Granted)
+        granted = _quota_wire.decode(result.body, quotas.GrantResponse)
     except _wire.WireError as error:
         _failed(daemon, host, str(error))
         return
@@ -203,7 +205,7 @@
 
 def _take(
     daemon: _state.Daemon,
-    granted: quotas.Granted,
+    granted: quotas.GrantResponse,
     host: str,
     asked_at: float,
 ) -> None:
@@ -214,7 +216,7 @@
             tokens.allocator = granted.redirect
         tokens.soon = True
         return
-    quotas.granted(tokens.stocks, granted.grants, asked_at, now)
+    quotas.handle_grants(tokens.stocks, granted.grants, asked_at, now)
     for customer in list(tokens.waiting):
         _serve_waiting(daemon, customer, now)
     if tokens.waiting:
@@ -227,9 +229,9 @@
     kept: list[_tokens.Waiting] = []
     ends: list[tuple[_tokens.Waiting, outcomes.Reason]] = []
     for each in waits:
-        if quotas.take(stocks, customer, now):
+        if quotas.take_token(stocks, customer, now):
             ends.append((each, outcomes.Reason.NONE))
-        elif quotas.is_empty(stocks, customer, now):
+        elif quotas.is_exhausted(stocks, customer, now):
             ends.append((each, outcomes.Reason.QUOTA_EXCEEDED))
         else:
             kept.append(each)
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -49,7 +49,7 @@
     _use_policy(daemon, allocation, now)
     allocator = allocation.allocator
     idle = now - allocation.asked >= IDLE_SECONDS
-    if idle and allocator.shares.occupied and not _is_first(daemon):
+    if idle and allocator.shares.other_allocator and not _is_first(daemon):
         daemon.allocation = None
         return
     quotas.tick(allocator, now)
@@ -77,16 +77,20 @@
     return allocation
 
 
-def serve_ask(daemon: _state.Daemon, asked: quotas.Ask) -> quotas.Granted:
+def serve_ask(
+    daemon: _state.Daemon, asked: quotas.AllocationRequest
+) -> quotas.GrantResponse:
     """Return tokens for a daemon of the own domain."""
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
     allocation.asked = now
     _use_policy(daemon, allocation, now)
     allocator = allocation.allocator
-    if allocator.shares.occupied:
-        return quotas.Granted(allocator.shares.occupied, ())
-    return quotas.Granted("", quotas.ask(allocator, asked, now))
+    if allocator.shares.other_allocator:
+        return quotas.GrantResponse(allocator.shares.other_allocator, ())
+    return quotas.GrantResponse(
+        "", quotas.answer_request(allocator, asked, now)
+    )
 
 
 def serve(
@@ -94,10 +98,10 @@
 ) -> None:
     """Answer a message of another daemon."""
     body = exchange.request.body
-    answer: quotas.Granted | quotas.Acknowledged
+    answer: quotas.GrantResponse | quotas.Acknowledgement
     try:
         if path == _quota_wire.ASK_PATH:
-            asked = _quota_wire.decode(body, quotas.Ask)
+            asked = _quota_wire.decode(body, quotas.AllocationRequest)
             answer = serve_ask(daemon, asked)
         else:
             update = _quota_wire.decode(body, quotas.Update)
@@ -111,16 +115,16 @@
 
 def _receive(
     daemon: _state.Daemon, update: quotas.Update
-) -> quotas.Acknowledged:
+) -> quotas.Acknowledgement:
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
     allocator = allocation.allocator
     shares = allocator.shares
-    if shares.occupied:
-        redirect = shares.occupied
-        return quotas.Acknowledged(shares.mark, redirect, "", True, {})
-    quotas.before_change(allocator, now)
-    answer = quotas.receive(shares, update, now)
+    if shares.other_allocator:
+        redirect = shares.other_allocator
+        return quotas.Acknowledgement(shares.mark, redirect, "", True, {})
+    quotas.fill_buckets(allocator, now)
+    answer = quotas.receive_update(shares, update, now)
     if not answer.occupied:
         allocation.contacts[update.domain] = update.host
     return answer
@@ -147,7 +151,7 @@
     rules = daemon.settings.bounds.quota
     customers = daemon.view.table.policy.customers or ()
     limits = {
-        customer.name: quotas.limit_of(customer, rules)
+        customer.name: quotas.limit_with_tolerance(customer, rules)
         for customer in customers
     }
     quotas.set_limits(allocation.allocator, limits, now)
@@ -160,12 +164,12 @@
 def _adopt(
     daemon: _state.Daemon, allocator: quotas.Allocator, now: float
 ) -> None:
-    quotas.before_change(allocator, now)
-    if quotas.adopt(allocator.shares, now):
+    quotas.fill_buckets(allocator, now)
+    if quotas.adopt_share(allocator.shares, now):
         daemon.journal.note(
             "shares_adopted",
             domain=allocator.shares.domain,
-            waited=now - allocator.shares.began,
+            waited=now - allocator.shares.adopting_since,
         )
 
 
@@ -175,7 +179,7 @@
     shares = allocation.allocator.shares
     for domain in shares.peers:
         since = now - allocation.updated.get(domain, -math.inf)
-        due = since >= UPDATE_SECONDS or quotas.has_news(shares, domain)
+        due = since >= UPDATE_SECONDS or quotas.has_changes(shares, domain)
         if due and domain not in allocation.updating:
             _update(daemon, allocation, domain, now)
 
@@ -251,21 +255,23 @@
         return
     now = daemon.clock.monotonic()
     allocator = allocation.allocator
-    quotas.before_change(allocator, now)
+    quotas.fill_buckets(allocator, now)
     held = not allocator.shares.adopting
-    quotas.acknowledged(allocator.shares, domain, update, answer, now)
+    quotas.accept_acknowledgement(
+        allocator.shares, domain, update, answer, now
+    )
     if held and allocator.shares.adopting:
-        daemon.journal.note("shares_lost", to=allocator.shares.occupied)
+        daemon.journal.note("shares_lost", to=allocator.shares.other_allocator)
     _adopt(daemon, allocator, now)
 
 
 def _decoded(
     daemon: _state.Daemon, result: httpio.Response | httpio.Failure
-) -> quotas.Acknowledged | None:
+) -> quotas.Acknowledgement | None:
     if isinstance(result, httpio.Failure) or result.status != 200:
         return None
     try:
-        return _quota_wire.decode(result.body, quotas.Acknowledged)
+        return _quota_wire.decode(result.body, quotas.Acknowledgement)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         return None
--- a/src/sassafrasstair/forwarding/_status.py
+++ b/src/sassafrasstair/forwarding/_status.py
@@ -152,9 +152,9 @@
             strikes=verdict.evidence.strikes,
             isolated=verdict.evidence.isolated,
             familiar=verdict.evidence.familiar,
-            blocked_for=max(0.0, verdict.until - now),
+            blocked_for=max(0.0, verdict.blocked_until - now),
             crashes=tuple(
-                CrashStatus(crash.key[0], now - crash.at)
+                CrashStatus(crash.key[0], now - crash.crashed_at)
                 for crash in verdict.evidence.crashes
             ),
         )
@@ -182,15 +182,17 @@
 def _customer_status(
     daemon: _state.Daemon, customer: policies.Customer, now: float
 ) -> CustomerStatus:
-    stock = daemon.tokens.stocks.stocks.get(customer.name)
+    stock = daemon.tokens.stocks.by_customer.get(customer.name)
     allocation = daemon.allocation
     share = None
     if allocation is not None and not allocation.allocator.shares.adopting:
-        share = quotas.share(allocation.allocator.shares, customer.name)
+        share = quotas.share_available(
+            allocation.allocator.shares, customer.name
+        )
     return CustomerStatus(
         customer.name,
         customer.rate,
-        0.0 if stock is None else quotas.demand(stock, now),
+        0.0 if stock is None else quotas.demand_rate(stock, now),
         0 if stock is None else stock.tokens,
         share,
     )
--- a/src/sassafrasstair/forwarding/_tokens.py
+++ b/src/sassafrasstair/forwarding/_tokens.py
@@ -32,7 +32,9 @@
     no answer, until when.
     """
 
-    stocks: quotas.Stocks = dataclasses.field(default_factory=quotas.Stocks)
+    stocks: quotas.PrefetchStore = dataclasses.field(
+        default_factory=quotas.PrefetchStore
+    )
     waiting: dict[str, list[Waiting]] = dataclasses.field(default_factory=dict)
     allocator: str = ""
     avoided: dict[str, float] = dataclasses.field(default_factory=dict)
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -67,7 +67,7 @@
     service = ready.call.service
     key = request.fields.child_key
     owner = entry.slot.owner
-    known = once.child(owner, parent_ticket, service, key)
+    known = once.find_child(owner, parent_ticket, service, key)
     first_use = known is None
     if known is None:
         ask = daemons.TicketAsk(
@@ -79,7 +79,9 @@
         taken = await _take(entry, ready.bundle, ask)
         if isinstance(taken, callers.Refusal):
             return taken
-        known = once.adopt(owner, parent_ticket, service, key, taken.ticket)
+        known = once.adopt_child(
+            owner, parent_ticket, service, key, taken.ticket
+        )
         first_use = known == taken.ticket
     if isinstance(known, once.Refused):
         return callers.Refusal(known.outcome, known.reason)
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -225,7 +225,7 @@
             f"POST /v1/ticket/{call.service} and send it as "
             "Sassafras-Ticket",
         )
-    name = once.parse(call.ticket)
+    name = once.parse_ticket(call.ticket)
     if name is None:
         return _refuse(_Reason.TICKET_INVALID, "this is not a ticket")
     if (name.service, name.request_class) != (
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -97,8 +97,8 @@
 ) -> once.Arrival:
     ticket, request_class = message.ticket, message.request_class
     if unfit is _Reason.NONE:
-        return once.arrive(slot.owner, ticket, request_class, now)
-    return once.refuse(slot.owner, ticket, request_class, unfit, now)
+        return once.accept_arrival(slot.owner, ticket, request_class, now)
+    return once.refuse_arrival(slot.owner, ticket, request_class, unfit, now)
 
 
 async def _wait_for_end(slot: _slots.Slot, message: daemons.Run) -> None:
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -145,7 +145,9 @@
     ticket = attempt.run.ticket
     if not ticket:
         return result
-    told = once.finish(slot.owner, ticket, result, slot.clock.monotonic())
+    told = once.finish_execution(
+        slot.owner, ticket, result, slot.clock.monotonic()
+    )
     event = slot.joins.pop(ticket, None)
     if event is not None:
         event.set()
--- a/src/sassafrasstair/runtime/_tickets.py
+++ b/src/sassafrasstair/runtime/_tickets.py
@@ -69,7 +69,7 @@
     if load.rank(rules.importance, ask.caller, bundle.version) < floor:
         return _refused(outcomes.Reason.SHED_AT_CALLEE)
     lifetime = bundle.ticket_lifetime_ms / 1000
-    return once.issue(
+    return once.issue_ticket(
         slot.owner, ask.service, ask.request_class, lifetime, now
     )
 
--- a/tests/decisions/crashes/test_ledger.py
+++ b/tests/decisions/crashes/test_ledger.py
@@ -28,7 +28,7 @@
     for number, step in enumerate(steps):
         runs = [crashes.Run(*each) for each in step.ran.items()]
         key = (f"i-{number}", 0)
-        crashes.record(ledger, key, runs, step.familiar, step.at)
+        crashes.record_crash(ledger, key, runs, step.familiar, step.at)
     return ledger
 
 
@@ -53,33 +53,33 @@
     steps: tuple[Step, ...], strikes: int
 ) -> None:
     ledger = ledger_of(*steps)
-    assert crashes.evidence(ledger, BAD).strikes == strikes
+    assert crashes.evidence_against(ledger, BAD).strikes == strikes
 
 
 def test_completed_request_is_cleared_of_the_crashes_before() -> None:
     """What runs to its end is not to blame, and what it does later counts."""
     ledger = ledger_of(*SEQUENCE)
-    assert crashes.complete(ledger, BAD)
-    assert not crashes.complete(ledger, BAD)
-    assert crashes.evidence(ledger, BAD).strikes == 0
-    crashes.record(ledger, ("i-9", 0), [crashes.Run(BAD, 0.1)], (), 3.0)
-    assert crashes.evidence(ledger, BAD).strikes == 1
+    assert crashes.clear_completed(ledger, BAD)
+    assert not crashes.clear_completed(ledger, BAD)
+    assert crashes.evidence_against(ledger, BAD).strikes == 0
+    crashes.record_crash(ledger, ("i-9", 0), [crashes.Run(BAD, 0.1)], (), 3.0)
+    assert crashes.evidence_against(ledger, BAD).strikes == 1
 
 
 def test_crash_is_recorded_once() -> None:
     """All connections of an instance break, one after the other."""
     ledger = ledger_of(Step(1.0, {BAD: 0.1}))
     runs = [crashes.Run(OTHER, 0.1)]
-    assert not crashes.record(ledger, ("i-0", 0), runs, (), 1.1)
-    assert crashes.evidence(ledger, OTHER).strikes == 0
+    assert not crashes.record_crash(ledger, ("i-0", 0), runs, (), 1.1)
+    assert crashes.evidence_against(ledger, OTHER).strikes == 0
 
 
 def test_several_runs_of_one_request_count_as_the_first() -> None:
     """One instance has the same request three times when it crashes."""
     ledger = crashes.new_ledger()
     runs = [crashes.Run(BAD, seconds, True) for seconds in (0.1, 0.3, 0.2)]
-    crashes.record(ledger, ("i", 0), runs, (), 1.0)
-    (crash,) = crashes.evidence(ledger, BAD).crashes
+    crashes.record_crash(ledger, ("i", 0), runs, (), 1.0)
+    (crash,) = crashes.evidence_against(ledger, BAD).crashes
     assert crash.runs == (crashes.Run(BAD, 0.3, False),)
 
 
@@ -95,17 +95,21 @@
             for each in rng.sample(range(9), rng.randint(1, 5))
         ]
         familiar = rng.sample(range(9), 3)
-        crashes.record(ledger, (f"i-{number}", 0), runs, familiar, number)
-        crashes.complete(rng.choice(ledgers), rng.randrange(9))
+        crashes.record_crash(
+            ledger, (f"i-{number}", 0), runs, familiar, number
+        )
+        crashes.clear_completed(rng.choice(ledgers), rng.randrange(9))
         one, other = rng.sample(ledgers, 2)
-        crashes.merge(one, crashes.reports(other, number), number)
+        crashes.merge_reports(
+            one, crashes.reports_since(other, number), number
+        )
     pairs = list(itertools.permutations(ledgers, 2)) * 2
     rng.shuffle(pairs)
     for one, other in [*pairs, *itertools.permutations(ledgers, 2)]:
-        crashes.merge(one, crashes.reports(other, 30.0), 30.0)
+        crashes.merge_reports(one, crashes.reports_since(other, 30.0), 30.0)
     assert len({ledger.digest for ledger in ledgers}) == 1
     for each in range(9):
-        found = [crashes.evidence(ledger, each) for ledger in ledgers]
+        found = [crashes.evidence_against(ledger, each) for ledger in ledgers]
         assert len({one.familiar for one in found}) == 1
         assert len({len(one.crashes) for one in found}) == 1
 
@@ -114,20 +118,22 @@
     """A daemon tells on what is new, and not all each time."""
     ledger = ledger_of(*SEQUENCE)
     version = ledger.version
-    assert crashes.reports(ledger, 3.0, version) == []
-    crashes.record(ledger, ("i-9", 0), [crashes.Run(OTHER, 0.1)], (), 3.0)
-    (told,) = crashes.reports(ledger, 3.5, version)
+    assert crashes.reports_since(ledger, 3.0, version) == []
+    crashes.record_crash(
+        ledger, ("i-9", 0), [crashes.Run(OTHER, 0.1)], (), 3.0
+    )
+    (told,) = crashes.reports_since(ledger, 3.5, version)
     assert (told.key, told.age) == (("i-9", 0), 0.5)
 
 
 def test_old_crashes_are_forgotten_and_not_taken_again() -> None:
     """A peer that forgets a moment later tells of it once more."""
     ledger = ledger_of(*SEQUENCE)
-    told = crashes.reports(ledger, 2.0)
+    told = crashes.reports_since(ledger, 2.0)
     crashes.expire(ledger, 1_900.0)
     assert ledger.crashes == {}
-    assert (ledger.runs, ledger.digest) == (0, 0)
-    assert crashes.merge(ledger, told, 1_900.0) == set()
+    assert (ledger.run_count, ledger.digest) == (0, 0)
+    assert crashes.merge_reports(ledger, told, 1_900.0) == set()
 
 
 def test_records_that_tell_least_are_pushed_out_first() -> None:
@@ -138,7 +144,7 @@
             crashes.Run(1_000 + number * 9 + each, 0.1) for each in range(8)
         ]
         key = (f"x-{number}", 0)
-        crashes.record(ledger, key, runs, (), 3.0 + number)
+        crashes.record_crash(ledger, key, runs, (), 3.0 + number)
     assert len(ledger.crashes) <= 256
-    assert ledger.runs <= 1_200
-    assert crashes.evidence(ledger, BAD).strikes == 2
+    assert ledger.run_count <= 1_200
+    assert crashes.evidence_against(ledger, BAD).strikes == 2
--- a/tests/decisions/crashes/test_standings.py
+++ b/tests/decisions/crashes/test_standings.py
@@ -58,10 +58,10 @@
         ]
         familiar = {BAD} if case.familiar else set()
         key = (f"i-{number}", 0)
-        crashes.record(ledger, key, runs, familiar, float(number))
+        crashes.record_crash(ledger, key, runs, familiar, float(number))
     now = len(case.ran) - 1 + case.after
     crashes.expire(ledger, now)
-    verdict = crashes.judge(ledger, BAD, "10.0.0.1", now)
+    verdict = crashes.decide_standing(ledger, BAD, "10.0.0.1", now)
     assert verdict.standing is case.standing
 
 
@@ -70,9 +70,13 @@
     ledger = crashes.new_ledger()
     for number in range(3):
         runs = [crashes.Run(BAD, 0.1)]
-        crashes.record(ledger, (f"i-{number}", 0), runs, (), float(number))
+        crashes.record_crash(
+            ledger, (f"i-{number}", 0), runs, (), float(number)
+        )
     untils = sorted(
-        crashes.judge(ledger, BAD, f"10.0.0.{host}", 3.0).until
+        crashes.decide_standing(
+            ledger, BAD, f"10.0.0.{host}", 3.0
+        ).blocked_until
         for host in range(100)
     )
     assert 62.0 <= untils[0] < 72.0
--- a/tests/decisions/once/test_children.py
+++ b/tests/decisions/once/test_children.py
@@ -15,29 +15,29 @@
     owner = test_owners.make_owner()
     parent = test_owners.take(owner)
     test_owners.use(owner, parent)
-    assert once.child(owner, parent, "ledger", "1") is None
-    assert once.adopt(owner, parent, "ledger", "1", "c1") == "c1"
-    assert once.adopt(owner, parent, "ledger", "1", "c2") == "c1"
-    assert once.child(owner, parent, "ledger", "1") == "c1"
-    assert once.child(owner, parent, "ledger", "2") is None
+    assert once.find_child(owner, parent, "ledger", "1") is None
+    assert once.adopt_child(owner, parent, "ledger", "1", "c1") == "c1"
+    assert once.adopt_child(owner, parent, "ledger", "1", "c2") == "c1"
+    assert once.find_child(owner, parent, "ledger", "1") == "c1"
+    assert once.find_child(owner, parent, "ledger", "2") is None
 
 
 def test_an_ended_parent_gets_no_new_child() -> None:
     owner = test_owners.make_owner()
     parent = test_owners.take(owner)
     test_owners.use(owner, parent)
-    once.adopt(owner, parent, "ledger", "1", "c1")
-    once.finish(owner, parent, test_owners.LOST, 1.0)
-    assert once.child(owner, parent, "ledger", "1") == "c1"
+    once.adopt_child(owner, parent, "ledger", "1", "c1")
+    once.finish_execution(owner, parent, test_owners.LOST, 1.0)
+    assert once.find_child(owner, parent, "ledger", "1") == "c1"
     refused = once.Refused(outcomes.Outcome.NOT_RUN, GONE)
-    assert once.adopt(owner, parent, "ledger", "2", "c2") == refused
+    assert once.adopt_child(owner, parent, "ledger", "2", "c2") == refused
 
 
 def test_a_parent_without_record_leaves_the_child_unknown() -> None:
     owner = test_owners.make_owner()
     parent = test_owners.take(owner)
     refused = once.Refused(outcomes.Outcome.UNKNOWN, GONE)
-    assert once.child(owner, parent, "ledger", "1") == refused
+    assert once.find_child(owner, parent, "ledger", "1") == refused
 
 
 def test_children_of_one_execution_are_bounded() -> None:
@@ -45,12 +45,13 @@
     parent = test_owners.take(owner)
     test_owners.use(owner, parent)
     adopted = [
-        once.adopt(owner, parent, "ledger", str(key), "c") for key in range(17)
+        once.adopt_child(owner, parent, "ledger", str(key), "c")
+        for key in range(17)
     ]
     assert adopted[-2:] == [
         "c",
         once.Refused(outcomes.Outcome.NOT_RUN, outcomes.Reason.TICKETS_FULL),
     ]
     assert isinstance(
-        once.child(owner, parent, "ledger", "k" * 129), once.Refused
+        once.find_child(owner, parent, "ledger", "k" * 129), once.Refused
     )
--- a/tests/decisions/once/test_owners.py
+++ b/tests/decisions/once/test_owners.py
@@ -20,13 +20,13 @@
 
 
 def take(owner: once.Owner, now: float = 0.0, lifetime: float = 60.0) -> str:
-    issued = once.issue(owner, "poster", "write-down", lifetime, now)
+    issued = once.issue_ticket(owner, "poster", "write-down", lifetime, now)
     assert isinstance(issued, once.Issued)
     return issued.ticket
 
 
 def use(owner: once.Owner, ticket: str, now: float = 1.0) -> once.Arrival:
-    return once.arrive(owner, ticket, "write-down", now)
+    return once.accept_arrival(owner, ticket, "write-down", now)
 
 
 @pytest.mark.parametrize(
@@ -51,7 +51,7 @@
     ticket = take(owner)
     assert use(owner, ticket) == once.Run()
     if end is not None:
-        assert once.finish(owner, ticket, end, 2.0) == end
+        assert once.finish_execution(owner, ticket, end, 2.0) == end
     assert use(owner, ticket, 3.0) == again
     assert use(owner, ticket, 4.0) == again
 
@@ -94,9 +94,9 @@
 
 
 def test_parse_names_the_owner() -> None:
-    name = once.parse(take(make_owner()))
+    name = once.parse_ticket(take(make_owner()))
     assert name == once.TicketName("vm-1", "i1", "poster", "write-down")
-    assert once.parse("vm-1~i1") is None
+    assert once.parse_ticket("vm-1~i1") is None
 
 
 def test_a_handler_that_wakes_late_does_not_run_an_expired_ticket() -> None:
@@ -108,7 +108,7 @@
     owner = make_owner()
     ticket = take(owner)
     assert use(owner, ticket, 1.0) == once.Run()
-    once.finish(owner, ticket, DONE, 2.0)
+    once.finish_execution(owner, ticket, DONE, 2.0)
     once.expire(owner, 61.0)
     answer = use(owner, ticket, 59.0)
     assert answer == once.Refused(UNKNOWN, Reason.TICKET_EXPIRED)
@@ -120,9 +120,9 @@
     use(owner, ticket)
     once.expire(owner, 100.0)
     assert use(owner, ticket, 100.0) == once.Join()
-    full = once.issue(owner, "poster", "write-down", 60.0, 100.0)
+    full = once.issue_ticket(owner, "poster", "write-down", 60.0, 100.0)
     assert full == once.Refused(NOT_RUN, Reason.TICKETS_FULL)
-    assert once.finish(owner, ticket, DONE, 101.0) == DONE
+    assert once.finish_execution(owner, ticket, DONE, 101.0) == DONE
     answer = use(owner, ticket, 102.0)
     assert answer == once.Refused(UNKNOWN, Reason.TICKET_EXPIRED)
     take(owner, 102.0)
@@ -131,11 +131,11 @@
 def test_issue_stops_at_the_bound_and_frees_with_expiry() -> None:
     owner = make_owner(records=3)
     tickets = [take(owner) for _ in range(3)]
-    full = once.issue(owner, "poster", "write-down", 60.0, 1.0)
+    full = once.issue_ticket(owner, "poster", "write-down", 60.0, 1.0)
     assert full == once.Refused(NOT_RUN, Reason.TICKETS_FULL)
     for ticket in tickets:
         use(owner, ticket)
-        once.finish(owner, ticket, DONE, 2.0)
+        once.finish_execution(owner, ticket, DONE, 2.0)
     assert len(owner.records.by_serial) == 3
     take(owner, 61.0)
     assert not owner.records.by_serial
@@ -163,7 +163,7 @@
     ticket = take(owner)
     use(owner, ticket)
     assert once.dispatched(owner, ticket, 1.0)
-    once.finish(owner, ticket, once.NotRun(reason), 2.0)
+    once.finish_execution(owner, ticket, once.NotRun(reason), 2.0)
     answer = use(owner, ticket, 3.0)
     assert isinstance(answer, once.Refused)
     assert answer.outcome is told
@@ -178,7 +178,7 @@
     owner = make_owner()
     voided, sent = take(owner), take(owner)
     use(owner, voided)
-    once.finish(owner, voided, once.NotRun(Reason.CANCELLED), 1.0)
+    once.finish_execution(owner, voided, once.NotRun(Reason.CANCELLED), 1.0)
     assert not once.dispatched(owner, voided, 2.0)
     use(owner, sent)
     assert once.dispatched(owner, sent, 2.0)
@@ -190,9 +190,9 @@
     owner = make_owner()
     ticket = take(owner)
     use(owner, ticket)
-    once.finish(owner, ticket, LOST, 2.0)
-    assert once.finish(owner, ticket, DONE, 3.0) == LOST
-    assert once.finish(owner, "none", DONE, 3.0) != DONE
+    once.finish_execution(owner, ticket, LOST, 2.0)
+    assert once.finish_execution(owner, ticket, DONE, 3.0) == LOST
+    assert once.finish_execution(owner, "none", DONE, 3.0) != DONE
 
 
 @pytest.mark.parametrize("stored", [100_000, 10])
@@ -201,7 +201,7 @@
     ticket = take(owner)
     use(owner, ticket)
     body = b"x" * (20_000 if stored > 10 else 20)
-    assert once.finish(owner, ticket, once.Done(201, (), body), 2.0)
+    assert once.finish_execution(owner, ticket, once.Done(201, (), body), 2.0)
     answer = use(owner, ticket, 3.0)
     assert isinstance(answer, once.Replay)
     assert isinstance(answer.result, once.Summary)
@@ -220,8 +220,8 @@
     ticket = take(owner)
     if before is not None:
         use(owner, ticket)
-        once.finish(owner, ticket, before, 1.0)
-    answer = once.arrive(owner, ticket, "upload", 2.0)
+        once.finish_execution(owner, ticket, before, 1.0)
+    answer = once.accept_arrival(owner, ticket, "upload", 2.0)
     assert answer == once.Refused(told, Reason.TICKET_INVALID)
     if told is NOT_RUN:
         late = use(owner, ticket, 3.0)
@@ -231,7 +231,7 @@
 def test_a_leaving_owner_issues_nothing() -> None:
     owner = make_owner()
     once.stop_issuing(owner)
-    answer = once.issue(owner, "poster", "write-down", 60.0, 0.0)
+    answer = once.issue_ticket(owner, "poster", "write-down", 60.0, 0.0)
     assert answer == once.Refused(NOT_RUN, Reason.LEAVING)
 
 
@@ -266,7 +266,7 @@
     owner = make_owner()
     ticket = take(owner, lifetime=60.5)
     use(owner, ticket)
-    once.finish(owner, ticket, DONE, 2.0)
+    once.finish_execution(owner, ticket, DONE, 2.0)
     once.expire(owner, 60.2)
     assert use(owner, ticket, 60.3) == once.Replay(DONE)
 
@@ -281,8 +281,10 @@
     later: once.Arrival = once.Refused(NOT_RUN, Reason.TICKET_VOID)
     if before is not None:
         use(owner, ticket)
-        once.finish(owner, ticket, before, 1.0)
+        once.finish_execution(owner, ticket, before, 1.0)
         expected = later = once.Replay(DONE)
-    answer = once.refuse(owner, ticket, "write-down", Reason.BODY_MEMORY, 1.0)
+    answer = once.refuse_arrival(
+        owner, ticket, "write-down", Reason.BODY_MEMORY, 1.0
+    )
     assert answer == expected
     assert use(owner, ticket) == later
--- a/tests/decisions/quotas/test_shares.py
+++ b/tests/decisions/quotas/test_shares.py
@@ -23,9 +23,9 @@
     shares: dict[str, quotas.Shares], one: str, other: str, now: float
 ) -> None:
     update = quotas.update_for(shares[one], other)
-    answer = quotas.receive(shares[other], update, now)
-    quotas.acknowledged(shares[one], other, update, answer, now)
-    quotas.adopt(shares[one], now)
+    answer = quotas.receive_update(shares[other], update, now)
+    quotas.accept_acknowledgement(shares[one], other, update, answer, now)
+    quotas.adopt_share(shares[one], now)
 
 
 def _tell_all(
@@ -38,7 +38,7 @@
 
 
 def _total(shares: dict[str, quotas.Shares]) -> float:
-    return sum(quotas.share(each, NAME) for each in shares.values())
+    return sum(quotas.share_available(each, NAME) for each in shares.values())
 
 
 def _demand(shares: dict[str, quotas.Shares], *rates: float) -> None:
@@ -64,7 +64,7 @@
         _tell_all(shares, 0.1 * step, frozenset())
         _demand(shares, *rates)
         assert _total(shares) <= 1.0 + 1e-9
-    found = [quotas.share(each, NAME) for each in shares.values()]
+    found = [quotas.share_available(each, NAME) for each in shares.values()]
     assert found == pytest.approx(expected, abs=0.04)
 
 
@@ -78,7 +78,9 @@
         _tell_all(shares, 1.0 + 0.1 * step, frozenset("c"))
         _demand(shares, 0.0, 0.0, 90.0)
         assert _total(shares) <= 1.0 + 1e-9
-    assert quotas.share(shares["c"], NAME) == pytest.approx(0.33, abs=0.04)
+    assert quotas.share_available(shares["c"], NAME) == pytest.approx(
+        0.33, abs=0.04
+    )
 
 
 def test_two_domains_do_not_claim_the_same_room() -> None:
@@ -113,8 +115,8 @@
     shares["a"] = quotas.new_shares("a", host, "m-new", DOMAINS, 1.0)
     for one in ("b", "c"):
         _tell(shares, "a", one, 0.3 + pause)
-    assert (quotas.share(shares["a"], NAME) > 0.0) is taken
-    assert bool(shares["a"].occupied) is not taken
+    assert (quotas.share_available(shares["a"], NAME) > 0.0) is taken
+    assert bool(shares["a"].other_allocator) is not taken
 
 
 @pytest.mark.parametrize(
@@ -127,7 +129,7 @@
     """A customer that sent its rate and burst in each window was refused."""
     rules = quotas.Rules(5.0, 0.25, 20.0)
     customer = policies.Customer(NAME, (), rate, burst)
-    limit = quotas.limit_of(customer, rules)
+    limit = quotas.limit_with_tolerance(customer, rules)
     assert limit is not None
     assert limit.rate == pytest.approx(sustained)
     assert limit.rate * 5.0 + limit.burst == pytest.approx(most)
@@ -137,4 +139,4 @@
 
 def test_customer_without_a_rate_has_no_limit() -> None:
     customer = policies.Customer(NAME, (), 0.0, 5.0)
-    assert quotas.limit_of(customer, quotas.Rules()) is None
+    assert quotas.limit_with_tolerance(customer, quotas.Rules()) is None
--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -113,4 +113,6 @@
 def bound(rate: float, burst: float) -> float:
     """Return how many requests may run in a window of the rules."""
     allowed = rate * RULES.window_seconds + burst
-    return allowed * (1.0 + RULES.over) + RULES.slack
+    return (
+        allowed * (1.0 + RULES.relative_tolerance) + RULES.absolute_tolerance
+    )
--- a/tests/fleets/test_crashes.py
+++ b/tests/fleets/test_crashes.py
@@ -387,8 +387,8 @@
         for daemon in fleet.daemons.values():
             ledger = daemon.ledger
             assert len(ledger.crashes) <= 256
-            assert ledger.runs <= 1_200
-            told = crashes.reports(ledger, daemon.clock.monotonic())
+            assert ledger.run_count <= 1_200
+            told = crashes.reports_since(ledger, daemon.clock.monotonic())
             value = _crash_wire.encode(ledger.digest, told)
             assert len(value) < 60_000
 
--- a/tests/fuzz/daemons.py
+++ b/tests/fuzz/daemons.py
@@ -125,7 +125,7 @@
             return
 
         def serve(owner: Daemon, reply: abc.Callable[[str], None]) -> None:
-            issued = once.issue(
+            issued = once.issue_ticket(
                 owner.owner,
                 service,
                 request_class,
@@ -149,7 +149,7 @@
             return ""
         targets = fleet.targets(self.node, call.service, self.now)
         if self.bundle.classes[call.request_class].once:
-            name = once.parse(call.ticket)
+            name = once.parse_ticket(call.ticket)
             assert name is not None
             known = fleet.incarnation_of(self.node, name.vm)
             if known > name.incarnation:
@@ -307,8 +307,8 @@
     def arrive(self, call: calls.Call, unfit: outcomes.Reason) -> once.Arrival:
         name, now = call.request_class, self.now
         if unfit is outcomes.Reason.NONE:
-            return once.arrive(self.owner, call.ticket, name, now)
-        return once.refuse(self.owner, call.ticket, name, unfit, now)
+            return once.accept_arrival(self.owner, call.ticket, name, now)
+        return once.refuse_arrival(self.owner, call.ticket, name, unfit, now)
 
     def guarded(self, effects: abc.Iterable[load.Effect]) -> None:
         for effect in effects:
@@ -368,7 +368,9 @@
             return
         ticket = attempt.call.ticket
         if ticket:
-            result = once.finish(self.owner, ticket, result, self.now)
+            result = once.finish_execution(
+                self.owner, ticket, result, self.now
+            )
         for reply in attempt.replies.values():
             reply(self.settled(result, attempt.spent))
 
--- a/tests/fuzz/upstreams.py
+++ b/tests/fuzz/upstreams.py
@@ -112,14 +112,14 @@
     def got(ticket: str) -> None:
         if ticket:
             owner = daemon.owner
-            use(once.adopt(owner, parent.ticket, "ledger", "1", ticket))
+            use(once.adopt_child(owner, parent.ticket, "ledger", "1", ticket))
         else:
             missing = outcomes.Reason.TICKET_MISSING
             tell(outcomes.Outcome.NOT_RUN, missing, b"")
 
     known: str | once.Refused | None = ""
     if parent.ticket:
-        known = once.child(daemon.owner, parent.ticket, "ledger", "1")
+        known = once.find_child(daemon.owner, parent.ticket, "ledger", "1")
     if known is None:
         daemon.take_ticket("ledger-entry", once_only(got))
     else:
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -228,7 +228,7 @@
     async def story() -> None:
         async with meshes.started(Upstream()) as mesh:
             gone = once.new_owner("lost-1", "1", bytes(32), 9)
-            issued = once.issue(gone, "back", "bind", 600.0, 0.0)
+            issued = once.issue_ticket(gone, "back", "bind", 600.0, 0.0)
             assert isinstance(issued, once.Issued)
             fields = {
                 "sassafras-class": "bind",
--- a/tests/runtime/test_child_repeat.py
+++ b/tests/runtime/test_child_repeat.py
@@ -18,13 +18,13 @@
     first use, so the entrance must know that this is a later one.
     """
     owner = once.new_owner("poster-1", "i", bytes(32), 10)
-    parent = once.issue(owner, "poster", "write-down", 60.0, 0.0)
+    parent = once.issue_ticket(owner, "poster", "write-down", 60.0, 0.0)
     assert isinstance(parent, once.Issued)
-    once.arrive(owner, parent.ticket, "write-down", 0.0)
+    once.accept_arrival(owner, parent.ticket, "write-down", 0.0)
     ledger = once.new_owner("ledger-1", "i", bytes(32), 10)
-    child = once.issue(ledger, "ledger", "write-down", 60.0, 0.0)
+    child = once.issue_ticket(ledger, "ledger", "write-down", 60.0, 0.0)
     assert isinstance(child, once.Issued)
-    once.adopt(owner, parent.ticket, "ledger", "", child.ticket)
+    once.adopt_child(owner, parent.ticket, "ledger", "", child.ticket)
     attempt = types.SimpleNamespace(
         run=types.SimpleNamespace(ticket=parent.ticket)
     )
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -53,7 +53,7 @@
 
 def ticket_of(slot: _slots.Slot) -> str:
     now = slot.clock.monotonic()
-    issued = once.issue(slot.owner, "poster", "write-down", 60.0, now)
+    issued = once.issue_ticket(slot.owner, "poster", "write-down", 60.0, now)
     assert isinstance(issued, once.Issued)
     return issued.ticket
 
