--- a/src/sassafrasstair/forwarding/__init__.py
+++ b/src/sassafrasstair/forwarding/__init__.py
@@ -11,9 +11,9 @@
 from sassafrasstair.forwarding._dialect import Address
 from sassafrasstair.forwarding._dialect import Bounds
 from sassafrasstair.forwarding._dialect import Dialect
-from sassafrasstair.forwarding._dialect import Names
+from sassafrasstair.forwarding._dialect import HeaderNames
 from sassafrasstair.forwarding._dialect import Reading
-from sassafrasstair.forwarding._dialect import Refusal
+from sassafrasstair.forwarding._dialect import RefusedItem
 from sassafrasstair.forwarding._dialect import Settings
 from sassafrasstair.forwarding._dialect import SettingsError
 from sassafrasstair.forwarding._dialect import Source
@@ -31,10 +31,10 @@
     "CustomerStatus",
     "Dialect",
     "FeedStatus",
-    "Names",
+    "HeaderNames",
     "QuotasStatus",
     "Reading",
-    "Refusal",
+    "RefusedItem",
     "Settings",
     "SettingsError",
     "Source",
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -57,7 +57,7 @@
     requests.attempt_sent(progress, target.vm)
     calls.start_attempt(daemon.routes, target.vm, now)
     left = progress.deadline - now
-    ask = _wire.Ask(
+    ask = _wire.RequestMetadata(
         daemon.view.content,
         target.vm,
         progress.route.name,
@@ -71,7 +71,7 @@
         now,
         views.born_at(daemon.view, target.vm),
         ask,
-        [*call.fields, (daemon.names.target, target.vm.encode())],
+        [*call.fields, (daemon.header_names.target, target.vm.encode())],
         _crashes.trial(verdict),
         left_for,
     )
@@ -82,7 +82,7 @@
         _send_there(daemon, call, attempt)
 
 
-def lose_all(daemon: _state.Daemon, instance: str) -> None:
+def fail_attempts_at(daemon: _state.Daemon, instance: str) -> None:
     """End the attempts at an instance whose daemon is silent.
 
     Those whose connection is still being made have not run and go
@@ -113,8 +113,8 @@
     calls.forget_attempt(daemon.routes, attempt.instance)
     if attempt.job is not None:
         attempt.job.abort()
-    elif attempt.run:
-        _callee.cancel(daemon, attempt.run)
+    elif attempt.execution_key:
+        _callee.cancel(daemon, attempt.execution_key)
 
 
 def may_have_run(daemon: _state.Daemon, attempt: _records.Attempt) -> bool:
@@ -125,8 +125,8 @@
     """
     job = attempt.job
     if job is None:
-        run = daemon.runs.get(attempt.run)
-        if run is not None and run.broken:
+        run = daemon.executions.get(attempt.execution_key)
+        if run is not None and run.connection_broken:
             return True
         job = None if run is None else run.job
     return job is not None and job.sent
@@ -138,8 +138,8 @@
     attempt: _records.Attempt,
 ) -> None:
     request = call.exchange.request
-    order = _records.Order(
-        attempt.ask,
+    order = _records.InboundRequest(
+        attempt.metadata,
         daemon.settings.service,
         call.request_id,
         request.method,
@@ -147,7 +147,7 @@
         request.target,
         attempt.fields,
         request.body,
-        attempt.trial,
+        attempt.trial_strikes,
         call.customer,
     )
 
@@ -155,7 +155,7 @@
         if call.attempt is attempt:
             _took(daemon, call, result.state, result.response)
 
-    attempt.run = _callee.offer(daemon, order, done)
+    attempt.execution_key = _callee.offer(daemon, order, done)
 
 
 def _send_there(
@@ -164,11 +164,16 @@
     attempt: _records.Attempt,
 ) -> None:
     request = call.exchange.request
-    fields = [*attempt.fields, (_wire.ASK, _wire.encode_ask(attempt.ask))]
-    if attempt.trial:
-        fields.append((_wire.TRIAL, b"%d" % attempt.trial))
-    if call.customer and call.key is not None:
-        fields.append((_wire.DIGEST, call.key.hex().encode()))
+    fields = [
+        *attempt.fields,
+        (_wire.METADATA_HEADER, _wire.encode_metadata(attempt.metadata)),
+    ]
+    if attempt.trial_strikes:
+        fields.append((_wire.TRIAL_HEADER, b"%d" % attempt.trial_strikes))
+    if call.customer and call.key_digest is not None:
+        fields.append(
+            (_wire.KEY_DIGEST_HEADER, call.key_digest.hex().encode())
+        )
     head = httpio.request_head(
         request.method, request.target, fields, len(request.body)
     )
@@ -188,10 +193,12 @@
     attempt: _records.Attempt,
     size: int,
 ) -> None:
-    if attempt.left is None:
+    if attempt.cross_domain_reason is None:
         return
     route = call.progress.route.name
-    _counters.crossed(daemon.counters, route, attempt.left.value, size)
+    _counters.count_cross_domain_bytes(
+        daemon.counters, route, attempt.cross_domain_reason.value, size
+    )
 
 
 def _answered(
@@ -218,7 +225,9 @@
         _ended(daemon, call, requests.Ending.LOST, reason)
         return
     try:
-        state = _wire.decode_state(result.found.get(_wire.STATE_KEY, b""))
+        state = _wire.decode_state(
+            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+        )
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         reason = outcomes.Reason.PEER_LOST
@@ -240,7 +249,7 @@
 def _took(
     daemon: _state.Daemon,
     call: _records.Call,
-    state: _wire.State,
+    state: _wire.CalleeState,
     response: httpio.Response | None,
 ) -> None:
     """Take the word of the callee's daemon, its load first."""
@@ -249,9 +258,9 @@
         return
     now = daemon.clock.monotonic()
     route = call.progress.route.name
-    here = admission.pressure(state.ahead, state.load.service_seconds)
-    busiest = max(here, state.below)
-    if state.inner:
+    here = admission.pressure(state.load_at_rank, state.load.service_seconds)
+    busiest = max(here, state.downstream_load)
+    if state.internal_route:
         level = math.floor(call.progress.rank)
         admission.observe_inner_load(daemon.chains, route, level, busiest, now)
     else:
@@ -277,7 +286,7 @@
     call: _records.Call,
     ending: requests.Ending,
     reason: outcomes.Reason,
-    state: _wire.State | None = None,
+    state: _wire.CalleeState | None = None,
 ) -> None:
     """Take the end of an attempt that has no answer to pass on."""
     attempt, call.attempt = call.attempt, None
@@ -299,12 +308,12 @@
     step = requests.attempt_ended(
         progress,
         ending,
-        window_of(daemon, progress.service),
+        retry_window(daemon, progress.service),
         daemon.settings.bounds.budget,
         now,
         reason is outcomes.Reason.UPSTREAM_CRASHED,
     )
-    _counters.attempted(daemon.counters, progress.service, reason.value)
+    _counters.count_attempt(daemon.counters, progress.service, reason.value)
     daemon.journal.request(
         "attempt_ended",
         reason.value,
@@ -314,7 +323,7 @@
         peer=attempt.host,
         ending=ending,
         step=step,
-        taken=now - attempt.sent,
+        taken=now - attempt.sent_at,
         left=progress.deadline - now,
         revision=views.number_in_era(daemon.view.revision),
     )
@@ -335,7 +344,7 @@
     if not _is_current(daemon, attempt):
         calls.forget_attempt(daemon.routes, attempt.instance)
         return
-    taken = now - attempt.sent
+    taken = now - attempt.sent_at
     calls.end_attempt(daemon.routes, attempt.instance, answer, taken, now)
 
 
@@ -348,11 +357,11 @@
     return not attempt.born or attempt.born == born
 
 
-def window_of(daemon: _state.Daemon, service: str) -> requests.Window:
+def retry_window(daemon: _state.Daemon, service: str) -> requests.Window:
     """Return the retry budget's window of a service."""
-    window = daemon.windows.get(service)
+    window = daemon.retry_windows.get(service)
     if window is None:
-        window = daemon.windows[service] = requests.new_window(
+        window = daemon.retry_windows[service] = requests.new_window(
             _state.slack_part(daemon, service)
         )
     return window
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -40,7 +40,7 @@
 
 def offer(
     daemon: _state.Daemon,
-    order: _records.Order,
+    order: _records.InboundRequest,
     done: abc.Callable[[_records.Result], None],
 ) -> str:
     """Take a request; ``done`` is called once, maybe before the return.
@@ -48,29 +48,31 @@
     Returns the key for ``cancel``.
     """
     now = daemon.clock.monotonic()
-    ask = order.ask
+    ask = order.metadata
     admission.note_caller(daemon.callers, ask.route, order.caller)
-    daemon.serial += 1
-    key = f"{daemon.serial}"
+    daemon.execution_serial += 1
+    key = f"{daemon.execution_serial}"
     guard = _guards.of_instance(daemon, ask.instance, now)
     deadline = now + ask.remaining
     reason = _unable(daemon, ask.instance)
-    run = _records.Run(key, order, deadline, done, guard)
+    run = _records.Execution(key, order, deadline, done, guard)
     verdict = _crashes.verdict_of_order(daemon, order)
-    if _crashes.is_blocked(verdict, order.trial):
+    if _crashes.is_blocked(verdict, order.trial_strikes):
         reason = outcomes.Reason.CRASHES_INSTANCES
         _end(daemon, run, requests.Ending.TURNED_AWAY, reason, None)
         return key
     run.isolated = _crashes.must_isolate(verdict)
-    if run.isolated and any(other.isolated for other in daemon.runs.values()):
+    if run.isolated and any(
+        other.isolated for other in daemon.executions.values()
+    ):
         reason = outcomes.Reason.SUSPECT_RUNNING
         _end(daemon, run, requests.Ending.TURNED_AWAY, reason, None)
         return key
     if reason is not outcomes.Reason.NONE:
         _end(daemon, run, requests.Ending.UNSENT, reason, None)
         return key
-    daemon.runs[key] = run
-    work = load.Work(key, ask.route, "", ask.rank, deadline, ask.wait)
+    daemon.executions[key] = run
+    work = load.Work(key, ask.route, "", ask.rank, deadline, ask.max_wait)
     _perform(daemon, load.offer(guard, work, now))
     return key
 
@@ -88,11 +90,11 @@
 
 def cancel(daemon: _state.Daemon, key: str) -> None:
     """Drop a request that nobody waits for, at the instance too."""
-    run = daemon.runs.get(key)
+    run = daemon.executions.get(key)
     if run is None:
         return
     now = daemon.clock.monotonic()
-    run.done = _nobody
+    run.on_done = _nobody
     _perform(daemon, load.cancel(run.guard, key, now))
 
 
@@ -123,7 +125,7 @@
         _perform(daemon, load.retire(guard, reason))
     began = _guards.began(daemon, key[0], now)
     for attempt_id, started in list(guard.running.items()):
-        run = daemon.runs.get(attempt_id)
+        run = daemon.executions.get(attempt_id)
         if run is not None and started < began:
             reason = outcomes.Reason.UPSTREAM_LOST
             _abort(daemon, attempt_id, run, reason)
@@ -139,19 +141,19 @@
         return
     daemon.upstream_down = not reached
     what = "upstream_back" if reached else "upstream_lost"
-    _counters.believed(daemon.counters, what)
+    _counters.count_state_change(daemon.counters, what)
     daemon.journal.note(what, address=daemon.upstream.host)
 
 
 def _perform(daemon: _state.Daemon, effects: list[load.Effect]) -> None:
     for effect in effects:
-        run = daemon.runs.get(effect.attempt_id)
+        run = daemon.executions.get(effect.attempt_id)
         if run is None:
             continue
         if isinstance(effect, load.Start):
             _start(daemon, effect.attempt_id, run)
         elif isinstance(effect, load.TurnAway):
-            del daemon.runs[effect.attempt_id]
+            del daemon.executions[effect.attempt_id]
             _end(daemon, run, requests.Ending.TURNED_AWAY, effect.reason, None)
         else:
             reason = outcomes.Reason.CANCELLED
@@ -163,7 +165,7 @@
 def _abort(
     daemon: _state.Daemon,
     key: str,
-    run: _records.Run,
+    run: _records.Execution,
     reason: outcomes.Reason,
 ) -> None:
     if run.job is not None:
@@ -172,22 +174,22 @@
     _end(daemon, run, requests.Ending.LOST, reason, None)
 
 
-def _start(daemon: _state.Daemon, key: str, run: _records.Run) -> None:
-    order = run.order
+def _start(daemon: _state.Daemon, key: str, run: _records.Execution) -> None:
+    order = run.request
     left = max(0.001, run.deadline - daemon.clock.monotonic())
     fields = [
         *order.fields,
-        (daemon.names.deadline_ms, b"%d" % max(1, int(left * 1000))),
+        (daemon.header_names.deadline_ms, b"%d" % max(1, int(left * 1000))),
     ]
     if order.customer:
-        fields.append((daemon.names.customer, order.customer.encode()))
+        fields.append((daemon.header_names.customer, order.customer.encode()))
     head = httpio.request_head(
         order.method, order.target, fields, len(order.body)
     )
     run.job = httpio.Job(
         head + order.body,
         functools.partial(_answered, daemon, key),
-        (daemon.keys.request_id, order.request_id),
+        (daemon.header_keys.request_id, order.request_id),
         order.method == b"HEAD",
     )
     daemon.upstream.send(run.job)
@@ -196,7 +198,7 @@
 def _answered(
     daemon: _state.Daemon, key: str, result: httpio.Response | httpio.Failure
 ) -> None:
-    run = daemon.runs.get(key)
+    run = daemon.executions.get(key)
     if run is None:
         return
     if result in _BROKEN:
@@ -208,26 +210,26 @@
 def _check_for_crash(
     daemon: _state.Daemon,
     key: str,
-    run: _records.Run,
+    run: _records.Execution,
     result: httpio.Response | httpio.Failure,
 ) -> None:
     """End the run once it is clear whether the upstream has crashed.
 
     A connection may break by itself; a crashed upstream refuses new ones.
     """
-    run.broken = True
-    daemon.broken[key] = result
-    if len(daemon.broken) == 1:
+    run.connection_broken = True
+    daemon.broken_results[key] = result
+    if len(daemon.broken_results) == 1:
         daemon.upstream.try_connect(functools.partial(_crash_checked, daemon))
 
 
 def _crash_checked(daemon: _state.Daemon, reached: bool) -> None:
-    broken, daemon.broken = daemon.broken, {}
+    broken, daemon.broken_results = daemon.broken_results, {}
     _upstream_tried(daemon, reached)
     if not reached:
         _note_crash(daemon)
     for key, result in broken.items():
-        run = daemon.runs.get(key)
+        run = daemon.executions.get(key)
         if run is not None:
             _settle(daemon, key, run, result, crashed=not reached)
 
@@ -236,17 +238,17 @@
     """Record what was in flight, also what has not ended yet."""
     runs = [
         run
-        for run in daemon.runs.values()
-        if run.job is not None and (run.broken or run.job.sent)
+        for run in daemon.executions.values()
+        if run.job is not None and (run.connection_broken or run.job.sent)
     ]
     if runs:
-        _crashes.note(daemon, runs, daemon.clock.monotonic())
+        _crashes.record_crash(daemon, runs, daemon.clock.monotonic())
 
 
 def _settle(
     daemon: _state.Daemon,
     key: str,
-    run: _records.Run,
+    run: _records.Execution,
     result: httpio.Response | httpio.Failure,
     crashed: bool = False,
 ) -> None:
@@ -258,7 +260,7 @@
     elif result is httpio.Failure.NOT_SENT:
         _upstream_tried(daemon, False)
     if ending is None:
-        _crashes.completed_here(daemon, run.order)
+        _crashes.completed_here(daemon, run.request)
     end = load.End.DONE
     if ending is requests.Ending.REFUSED:
         guard = run.guard
@@ -272,17 +274,17 @@
 
 
 def _reason_of_crash(
-    daemon: _state.Daemon, run: _records.Run
+    daemon: _state.Daemon, run: _records.Execution
 ) -> outcomes.Reason:
     """Return the reason, which stops retries by an entrance that is behind."""
-    if _crashes.is_blocked(_crashes.verdict_of_order(daemon, run.order)):
+    if _crashes.is_blocked(_crashes.verdict_of_order(daemon, run.request)):
         return outcomes.Reason.CRASHES_INSTANCES
     return outcomes.Reason.UPSTREAM_CRASHED
 
 
 def _judge(
     daemon: _state.Daemon,
-    run: _records.Run,
+    run: _records.Execution,
     result: httpio.Response | httpio.Failure,
 ) -> tuple[requests.Ending | None, outcomes.Reason]:
     """Return how the run ended; None for an answer to pass on."""
@@ -294,16 +296,16 @@
         if result is httpio.Failure.LOST:
             reason = outcomes.Reason.UPSTREAM_LOST
         return requests.Ending.LOST, reason
-    keys = daemon.keys
+    keys = daemon.header_keys
     if result.status == MISDIRECTED_STATUS:
-        news = views.note_replaced(daemon.view, run.order.ask.instance)
+        news = views.note_replaced(daemon.view, run.request.metadata.instance)
         _learning.learned(daemon, news, "upstream")
         return requests.Ending.REFUSED, outcomes.Reason.INSTANCE_REPLACED
     if keys.not_run in result.found:
         return requests.Ending.REFUSED, outcomes.Reason.UPSTREAM_REFUSED
     success = 200 <= result.status < 300
     told = result.found.get(keys.request_id)
-    named = told == run.order.request_id
+    named = told == run.request.request_id
     if success and not (named and keys.signature in result.found):
         # Bytes that look like a success but that no instance has signed
         # for this request belong to another one, or to none.
@@ -312,58 +314,62 @@
 
 
 def _finish(
-    daemon: _state.Daemon, key: str, run: _records.Run, end: load.End
+    daemon: _state.Daemon, key: str, run: _records.Execution, end: load.End
 ) -> None:
     now = daemon.clock.monotonic()
-    daemon.runs.pop(key, None)
+    daemon.executions.pop(key, None)
     _perform(daemon, load.finish(run.guard, key, end, now))
 
 
 def _end(
     daemon: _state.Daemon,
-    run: _records.Run,
+    run: _records.Execution,
     ending: requests.Ending | None,
     reason: outcomes.Reason,
     response: httpio.Response | None,
 ) -> None:
-    order = run.order
+    order = run.request
     how = "answered" if ending is None else reason.value
-    _counters.attempted(daemon.counters, daemon.settings.service, how)
+    _counters.count_attempt(daemon.counters, daemon.settings.service, how)
     if ending is not None:
         daemon.journal.request(
             "run_ended",
             reason.value,
             request=order.request_id.decode("latin-1"),
-            instance=order.ask.instance,
-            route=order.ask.route,
+            instance=order.metadata.instance,
+            route=order.metadata.route,
             ending=ending,
             left=run.deadline - daemon.clock.monotonic(),
             **_crashes.log_fields(order.fingerprint),
         )
-    run.done(_records.Result(_told(daemon, order, ending, reason), response))
+    run.on_done(
+        _records.Result(_told(daemon, order, ending, reason), response)
+    )
 
 
 def _told(
     daemon: _state.Daemon,
-    order: _records.Order,
+    order: _records.InboundRequest,
     ending: requests.Ending | None,
     reason: outcomes.Reason,
-) -> _wire.State:
+) -> _wire.CalleeState:
     now = daemon.clock.monotonic()
-    guard = _guards.of_instance(daemon, order.ask.instance, now)
-    level = math.floor(order.ask.rank)
+    guard = _guards.of_instance(daemon, order.metadata.instance, now)
+    level = math.floor(order.metadata.rank)
     told = calls.LoadReport(
         load.busy(guard),
         limit=load.limit(guard, now),
         service_seconds=load.service_seconds(guard),
     )
-    return _wire.State(
+    return _wire.CalleeState(
         daemon.view.content,
         daemon.upstream_leaving,
         told,
         load.busy_at_or_above(guard, level),
         admission.busiest_callee_load(daemon.chains, level, now),
-        admission.is_inner(daemon.callers, order.ask.route, daemon.services),
+        admission.is_inner(
+            daemon.callers, order.metadata.route, daemon.services
+        ),
         ending,
         reason,
     )
--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -36,17 +36,17 @@
 
 def _send(daemon: _state.Daemon, now: float) -> None:
     fresh = feeds.check_sent(daemon.feed, now, daemon.rng)
-    _counters.read(daemon.counters, VERB)
+    _counters.count_store_call(daemon.counters, VERB)
     latest = _confirmations.is_demanded(daemon)
     call = asyncio.ensure_future(daemon.source.check(fresh, latest))
-    daemon.checks.add(call)
+    daemon.store_checks.add(call)
     call.add_done_callback(functools.partial(_done, daemon, now))
 
 
 def _done(
     daemon: _state.Daemon, sent_at: float, call: asyncio.Future[int]
 ) -> None:
-    daemon.checks.discard(call)
+    daemon.store_checks.discard(call)
     if call.cancelled():
         return
     now = daemon.clock.monotonic()
@@ -57,8 +57,8 @@
         return
     if feeds.check_answered(daemon.feed, sent_at, now):
         daemon.journal.note("store_asked_anew", waited=now - sent_at)
-        daemon.woken.set()
-        for vain in daemon.checks:
+        daemon.feed_woken.set()
+        for vain in daemon.store_checks:
             vain.cancel()
     # The view is as fresh as the answer only if it lacks nothing of it: a
     # reader that hangs would else pass for one that reads.
@@ -69,7 +69,7 @@
     _policy_checks.check_answered(daemon, revision, sent_at)
     if restored and feeds.reads_store(daemon.feed):
         if feeds.request_full_read(daemon.feed, now):
-            daemon.woken.set()
+            daemon.feed_woken.set()
     elif behind:
         asyncio.get_running_loop().call_later(
             daemon.feed.timing.lag_grace, _ask_if_behind, daemon, revision
@@ -84,7 +84,7 @@
             "watch_behind", revision=views.number_in_era(revision)
         )
         feeds.mark_change_missed(daemon.feed, now)
-        daemon.woken.set()
+        daemon.feed_woken.set()
 
 
 def _is_behind(daemon: _state.Daemon, revision: int, now: float) -> bool:
--- a/src/sassafrasstair/forwarding/_counters.py
+++ b/src/sassafrasstair/forwarding/_counters.py
@@ -54,7 +54,7 @@
     return Counters()
 
 
-def ended(
+def count_answer(
     counters: Counters,
     route: str,
     importance: int,
@@ -73,7 +73,9 @@
     series.observe(seconds)
 
 
-def ended_for(counters: Counters, customer: str, status: int) -> None:
+def count_customer_answer(
+    counters: Counters, customer: str, status: int
+) -> None:
     """Count a request's final answer for its customer."""
     key = (customer, str(status))
     if key not in counters.customers and (
@@ -83,23 +85,25 @@
     counters.customers[key] = counters.customers.get(key, 0) + 1
 
 
-def attempted(counters: Counters, service: str, how: str) -> None:
+def count_attempt(counters: Counters, service: str, how: str) -> None:
     """Count the end of an attempt."""
     key = (service, how)
     counters.attempts[key] = counters.attempts.get(key, 0) + 1
 
 
-def believed(counters: Counters, what: str) -> None:
+def count_state_change(counters: Counters, what: str) -> None:
     """Count a change of what the daemon believes."""
     counters.beliefs[what] = counters.beliefs.get(what, 0) + 1
 
 
-def read(counters: Counters, verb: str) -> None:
+def count_store_call(counters: Counters, verb: str) -> None:
     """Count a call to the store."""
     counters.reads[verb] = counters.reads.get(verb, 0) + 1
 
 
-def crossed(counters: Counters, route: str, why: str, size: int) -> None:
+def count_cross_domain_bytes(
+    counters: Counters, route: str, why: str, size: int
+) -> None:
     """Count bytes that went between failure domains."""
     key = (route, why)
     if key not in counters.crossings and len(counters.crossings) >= ROUTES_MAX:
@@ -107,7 +111,7 @@
     counters.crossings[key] = counters.crossings.get(key, 0) + size
 
 
-def refused(counters: Counters, reason: str) -> None:
+def count_refused_item(counters: Counters, reason: str) -> None:
     """Count an item of the store that could not be used."""
     counters.refusals[reason] = counters.refusals.get(reason, 0) + 1
 
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -47,7 +47,7 @@
 
 
 def _broadcast(daemon: _state.Daemon) -> None:
-    ledger = daemon.ledger
+    ledger = daemon.crash_ledger
     now = daemon.clock.monotonic()
     reports = crashes.reports_since(ledger, now, daemon.crash_sent_version)
     daemon.crash_sent_version = ledger.version
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -38,7 +38,7 @@
 
 def field(daemon: _state.Daemon, host: str) -> tuple[bytes, bytes]:
     """Return the field for a message to a peer."""
-    ledger = daemon.ledger
+    ledger = daemon.crash_ledger
     if not needs_full_update(daemon, host):
         return _crash_wire.FIELD, _crash_wire.encode(ledger.digest)
     now = daemon.clock.monotonic()
@@ -52,13 +52,13 @@
 def is_in_sync(daemon: _state.Daemon, host: str) -> bool:
     """Return whether a peer is known to have the same records."""
     peer = daemon.crash_peers.get(host)
-    return peer is not None and peer.digest == daemon.ledger.digest
+    return peer is not None and peer.digest == daemon.crash_ledger.digest
 
 
 def needs_full_update(daemon: _state.Daemon, host: str) -> bool:
     """Return whether a peer has other records and may get all again."""
     peer = daemon.crash_peers.get(host)
-    if peer is None or peer.digest == daemon.ledger.digest:
+    if peer is None or peer.digest == daemon.crash_ledger.digest:
         return False
     return daemon.clock.monotonic() >= peer.next
 
@@ -78,7 +78,7 @@
     _crashes.receive_reports(daemon, reports, host)
     peer = daemon.crash_peers.pop(host, None) or Peer(digest)
     peer.digest = digest
-    if digest == daemon.ledger.digest:
+    if digest == daemon.crash_ledger.digest:
         peer.next, peer.pause = 0.0, PAUSE_SECONDS
     daemon.crash_peers[host] = peer
     if len(daemon.crash_peers) > PEERS_KEPT:
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -40,16 +40,16 @@
     daemon: _state.Daemon, call: _records.Call
 ) -> crashes.Verdict | None:
     """Return how a client's request may be run, None without any crash."""
-    if not daemon.ledger.crashes:
+    if not daemon.crash_ledger.crashes:
         return None
     return _judge(daemon, _of_call(call))
 
 
 def verdict_of_order(
-    daemon: _state.Daemon, order: _records.Order
+    daemon: _state.Daemon, order: _records.InboundRequest
 ) -> crashes.Verdict | None:
     """Return the same of a request that came for the own upstream."""
-    if not daemon.ledger.crashes:
+    if not daemon.crash_ledger.crashes:
         return None
     return _judge(daemon, _of_order(order))
 
@@ -99,17 +99,19 @@
     """Return the requests that may not run freely, and why."""
     own = daemon.feed.own_host
     return [
-        (each, crashes.decide_standing(daemon.ledger, each, own, now))
-        for each in daemon.standings
+        (each, crashes.decide_standing(daemon.crash_ledger, each, own, now))
+        for each in daemon.suspect_standings
     ]
 
 
-def completed_here(daemon: _state.Daemon, order: _records.Order) -> None:
+def completed_here(
+    daemon: _state.Daemon, order: _records.InboundRequest
+) -> None:
     """Note that the own upstream has answered a request itself."""
     if len(order.body) <= FAMILIAR_BODY_MAX:
         known = order.method, order.host, order.target, order.body
-        _keep(daemon.familiar, known)
-    if daemon.ledger.crashes:
+        _keep(daemon.completed_requests, known)
+    if daemon.crash_ledger.crashes:
         _clear(daemon, _of_order(order))
 
 
@@ -119,8 +121,8 @@
     if len(request.body) <= FAMILIAR_BODY_MAX:
         host = request.found.get(HOST_KEY, b"")
         known = request.method, host, request.target, request.body
-        _keep(daemon.familiar, known)
-    if daemon.ledger.crashes:
+        _keep(daemon.completed_requests, known)
+    if daemon.crash_ledger.crashes:
         _clear(daemon, _of_call(call))
 
 
@@ -139,41 +141,47 @@
     Worked out only while crashes are known: for each request of a calm day it
     would cost more than all else that is kept of it.
     """
-    if daemon.familiar_prints is None:
-        daemon.familiar_prints = collections.OrderedDict.fromkeys(
-            crashes.fingerprint(*known) for known in daemon.familiar
+    if daemon.completed_fingerprints is None:
+        daemon.completed_fingerprints = collections.OrderedDict.fromkeys(
+            crashes.fingerprint(*known) for known in daemon.completed_requests
         )
-    return daemon.familiar_prints
+    return daemon.completed_fingerprints
 
 
 def _clear(daemon: _state.Daemon, fingerprint: int) -> None:
     _keep(_familiar(daemon), fingerprint)
-    strikes = crashes.evidence_against(daemon.ledger, fingerprint).strikes
-    if crashes.clear_completed(daemon.ledger, fingerprint):
+    strikes = crashes.evidence_against(
+        daemon.crash_ledger, fingerprint
+    ).strikes
+    if crashes.clear_completed(daemon.crash_ledger, fingerprint):
         urgent = strikes >= URGENT_FROM
         _changed(daemon, {fingerprint}, urgent, "upstream")
 
 
-def note(daemon: _state.Daemon, runs: list[_records.Run], now: float) -> None:
+def record_crash(
+    daemon: _state.Daemon, runs: list[_records.Execution], now: float
+) -> None:
     """Note that the upstream crashed while these requests ran there."""
     if not runs:
         return
-    instance = runs[-1].order.ask.instance
+    instance = runs[-1].request.metadata.instance
     if _is_leaving(daemon, instance):
         return
     key = instance, views.born_at(daemon.view, instance)
     found = [
         crashes.Run(
-            _of_order(run.order),
+            _of_order(run.request),
             now - run.guard.running.get(run.key, now),
             run.isolated,
         )
         for run in runs
     ]
     familiar = _familiar(daemon)
-    if not crashes.record_crash(daemon.ledger, key, found, familiar, now):
+    if not crashes.record_crash(
+        daemon.crash_ledger, key, found, familiar, now
+    ):
         return
-    _counters.believed(daemon.counters, "instance_crashed")
+    _counters.count_state_change(daemon.counters, "instance_crashed")
     _log_crash(daemon, instance, found)
     touched = {run.fingerprint for run in found}
     _changed(daemon, touched, True, "upstream")
@@ -185,14 +193,14 @@
     """Merge records of crashes from a peer."""
     if not reports:
         return
-    known = len(daemon.ledger.crashes)
+    known = len(daemon.crash_ledger.crashes)
     now = daemon.clock.monotonic()
-    touched = crashes.merge_reports(daemon.ledger, reports, now)
+    touched = crashes.merge_reports(daemon.crash_ledger, reports, now)
     for fingerprint in touched & _familiar(daemon).keys():
-        crashes.mark_familiar(daemon.ledger, fingerprint)
+        crashes.mark_familiar(daemon.crash_ledger, fingerprint)
     if touched:
-        urgent = len(daemon.ledger.crashes) != known or any(
-            crashes.evidence_against(daemon.ledger, each).strikes
+        urgent = len(daemon.crash_ledger.crashes) != known or any(
+            crashes.evidence_against(daemon.crash_ledger, each).strikes
             >= URGENT_FROM
             for each in touched
         )
@@ -201,11 +209,11 @@
 
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Forget crashes that are long past, and log what may be tried again."""
-    if not daemon.ledger.crashes:
+    if not daemon.crash_ledger.crashes:
         return
-    crashes.expire(daemon.ledger, now)
-    if not daemon.ledger.crashes:
-        daemon.familiar_prints = None
+    crashes.expire(daemon.crash_ledger, now)
+    if not daemon.crash_ledger.crashes:
+        daemon.completed_fingerprints = None
     _log_changes(daemon, set(), "time")
 
 
@@ -221,10 +229,10 @@
 def _judge(daemon: _state.Daemon, fingerprint: int) -> crashes.Verdict:
     own = daemon.feed.own_host
     now = daemon.clock.monotonic()
-    return crashes.decide_standing(daemon.ledger, fingerprint, own, now)
+    return crashes.decide_standing(daemon.crash_ledger, fingerprint, own, now)
 
 
-def _of_order(order: _records.Order) -> int:
+def _of_order(order: _records.InboundRequest) -> int:
     if order.fingerprint is None:
         order.fingerprint = crashes.fingerprint(
             order.method, order.host, order.target, order.body
@@ -257,17 +265,19 @@
     daemon: _state.Daemon, touched: set[int], source: str
 ) -> None:
     """Log each request that may be run otherwise than before."""
-    for fingerprint in touched | daemon.standings.keys():
+    for fingerprint in touched | daemon.suspect_standings.keys():
         verdict = _judge(daemon, fingerprint)
-        before = daemon.standings.get(fingerprint, crashes.Standing.FREE)
+        before = daemon.suspect_standings.get(
+            fingerprint, crashes.Standing.FREE
+        )
         if verdict.standing is before:
             continue
         if verdict.standing is crashes.Standing.FREE:
-            del daemon.standings[fingerprint]
+            del daemon.suspect_standings[fingerprint]
         else:
-            daemon.standings[fingerprint] = verdict.standing
+            daemon.suspect_standings[fingerprint] = verdict.standing
         name = _NAMES[verdict.standing]
-        _counters.believed(daemon.counters, name)
+        _counters.count_state_change(daemon.counters, name)
         found = verdict.evidence
         now = daemon.clock.monotonic()
         daemon.journal.request(
@@ -290,7 +300,7 @@
 ) -> None:
     strikes = {
         run.fingerprint: crashes.evidence_against(
-            daemon.ledger, run.fingerprint
+            daemon.crash_ledger, run.fingerprint
         ).strikes
         for run in runs
     }
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -34,7 +34,7 @@
     table = daemon.view.table
     if table is None or table.customers is None:
         return None
-    key = request.found.get(daemon.keys.key)
+    key = request.found.get(daemon.header_keys.key)
     return None if key is None else policies.digest_key(key.strip())
 
 
--- a/src/sassafrasstair/forwarding/_daemon.py
+++ b/src/sassafrasstair/forwarding/_daemon.py
@@ -60,7 +60,7 @@
 """A tick that is later than this was held up by the machine."""
 
 
-class Running:
+class RunningDaemon:
     """A daemon with its listeners, and what its stop waits for."""
 
     def __init__(self, daemon: _state.Daemon) -> None:
@@ -100,7 +100,7 @@
     daemon = _state.new_daemon(
         dialect, settings, clock, random.Random(seed), journal
     )
-    running = Running(daemon)
+    running = RunningDaemon(daemon)
     await open_listeners(running)
     loop = asyncio.get_running_loop()
     # A second signal changes nothing: it must not cut requests.
@@ -115,7 +115,7 @@
     await stop(running)
 
 
-def start(running: Running) -> None:
+def start(running: RunningDaemon) -> None:
     """Begin to follow the store and the periodic work."""
     daemon = running.daemon
     _state.start_task(daemon, _sync.follow(daemon))
@@ -125,7 +125,7 @@
     _state.start_task(daemon, _tick_forever(running))
 
 
-async def open_listeners(running: Running) -> None:
+async def open_listeners(running: RunningDaemon) -> None:
     """Listen on the addresses of the settings; raises ``OSError``."""
     settings = running.daemon.settings
     at = settings.callers
@@ -162,11 +162,11 @@
 def _refusal(daemon: _state.Daemon, status: int) -> httpio.Fields:
     """Return the fields of an answer to a request not read whole."""
     daemon.journal.request("unread", str(status), status=status)
-    _counters.ended(daemon.counters, "none", 0, status, "unread", 0.0)
+    _counters.count_answer(daemon.counters, "none", 0, status, "unread", 0.0)
     return [(b"Retry-After", b"0.5")] if status == 503 else []
 
 
-async def _tick_forever(running: Running) -> None:
+async def _tick_forever(running: RunningDaemon) -> None:
     count = 0
     while True:
         await asyncio.sleep(TICK_SECONDS)
@@ -178,7 +178,7 @@
             running.daemon.journal.note("tick_failed", error=repr(error))
 
 
-def _tick(running: Running, count: int) -> None:
+def _tick(running: RunningDaemon, count: int) -> None:
     daemon = running.daemon
     now = daemon.clock.monotonic()
     late = now - running.ticked - TICK_SECONDS
@@ -219,7 +219,7 @@
         )
 
 
-def _use_limits(running: Running) -> None:
+def _use_limits(running: RunningDaemon) -> None:
     """Apply what the policy in force lets clients send."""
     table = running.daemon.view.table
     if table is None or table.policy.version == running.policy_version:
@@ -237,7 +237,7 @@
     )
 
 
-def _reload(running: Running) -> None:
+def _reload(running: RunningDaemon) -> None:
     """Read the settings again; bad ones change nothing."""
     daemon = running.daemon
     running.mark = daemon.dialect.settings_mark()
@@ -249,10 +249,10 @@
     changed = settings != daemon.settings
     daemon.journal.note("settings_read", changed=changed)
     if changed:
-        _state.use_settings(daemon, settings)
+        _state.apply_settings(daemon, settings)
 
 
-async def stop(running: Running) -> None:
+async def stop(running: RunningDaemon) -> None:
     """End in order: no cut request, no answer made up while one comes."""
     daemon = running.daemon
     loop = asyncio.get_running_loop()
@@ -267,7 +267,7 @@
         await asyncio.sleep(TICK_SECONDS)
         now = loop.time()
         daemon.upstream_leaving = now >= begun + SERVE_SHARE * grace
-        if daemon.calls or daemon.runs:
+        if daemon.calls or daemon.executions:
             quiet_from = now
         quiet = now - quiet_from >= QUIET_SECONDS
         if quiet and now >= begun + min(ACCEPT_SECONDS, ACCEPT_SHARE * grace):
@@ -281,7 +281,7 @@
     await asyncio.sleep(TICK_SECONDS)
     for task in list(daemon.tasks):
         task.cancel()
-    for check in list(daemon.checks):
+    for check in list(daemon.store_checks):
         check.cancel()
     daemon.journal.note("stopped", seconds=loop.time() - begun)
     daemon.journal.tick(loop.time() + 1.0)
--- a/src/sassafrasstair/forwarding/_dialect.py
+++ b/src/sassafrasstair/forwarding/_dialect.py
@@ -41,7 +41,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Names:
+class HeaderNames:
     """Names of the header fields that clients and upstreams know."""
 
     request_id: bytes
@@ -59,9 +59,9 @@
     customer: bytes
     """Names the customer to the upstream."""
 
-    def keys(self) -> Names:
+    def lowercased(self) -> HeaderNames:
         """Return the names lower-cased, as they are looked up."""
-        return Names(
+        return HeaderNames(
             *(
                 getattr(self, field.name).lower()
                 for field in dataclasses.fields(self)
@@ -122,7 +122,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Refusal:
+class RefusedItem:
     """An item of the store that could not be used, and why."""
 
     key: str
@@ -143,7 +143,7 @@
     revision: int
     content: int
     whole: bool
-    refused: tuple[Refusal, ...] = ()
+    refused: tuple[RefusedItem, ...] = ()
 
 
 class Source(typing.Protocol):
@@ -181,7 +181,7 @@
 class Dialect(typing.Protocol):
     """The names and formats of one place."""
 
-    names: Names
+    names: HeaderNames
     ready_path: bytes
 
     def settings(self) -> Settings:
--- a/src/sassafrasstair/forwarding/_endings.py
+++ b/src/sassafrasstair/forwarding/_endings.py
@@ -31,7 +31,7 @@
 ) -> None:
     """Pass an instance's answer on as it came."""
     fields = httpio.end_to_end(
-        response.fields, response.found, _wire.OWN_FIELDS
+        response.fields, response.found, _wire.INTERNAL_HEADERS
     )
     reason = "own_failure" if response.status >= 500 else "ok"
     log_end(daemon, call, "answered", response.status, reason)
@@ -66,8 +66,8 @@
     if reason is outcomes.Reason.QUOTA_EXCEEDED:
         status = QUOTA_STATUS
         after = max(after, _quotas.token_seconds(daemon, call.customer))
-    if call.charged:
-        call.charged = False
+    if call.holds_token:
+        call.holds_token = False
         _quotas.give_back(daemon, call.customer)
     fields = _own_fields(daemon, call)
     fields.append((b"Retry-After", b"%.3f" % after))
@@ -85,7 +85,7 @@
         call.timer.cancel()
     route = call.progress.route
     now = daemon.clock.monotonic()
-    _counters.ended(
+    _counters.count_answer(
         daemon.counters,
         route.name,
         route.importance,
@@ -94,7 +94,7 @@
         now - call.exchange.request.began,
     )
     if call.customer:
-        _counters.ended_for(daemon.counters, call.customer, status)
+        _counters.count_customer_answer(daemon.counters, call.customer, status)
 
 
 def log_end(
@@ -163,7 +163,7 @@
 ) -> None:
     """Answer a request for which there is no route to go by."""
     request = exchange.request
-    request_id = request.found.get(daemon.keys.request_id, b"")
+    request_id = request.found.get(daemon.header_keys.request_id, b"")
     table = daemon.view.table
     daemon.journal.request(
         "refused",
@@ -178,10 +178,12 @@
         ),
         revision=views.number_in_era(daemon.view.revision),
     )
-    _counters.ended(daemon.counters, "none", 0, status, reason.value, 0.0)
-    named = (daemon.names.request_id, request_id)
+    _counters.count_answer(
+        daemon.counters, "none", 0, status, reason.value, 0.0
+    )
+    named = (daemon.header_names.request_id, request_id)
     exchange.respond(status, [*(fields or []), named], b"")
 
 
 def _own_fields(daemon: _state.Daemon, call: _records.Call) -> httpio.Fields:
-    return [(daemon.names.request_id, call.request_id)]
+    return [(daemon.header_names.request_id, call.request_id)]
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -36,7 +36,7 @@
         return
     now = daemon.clock.monotonic()
     call = _begin(daemon, exchange, route, customer, now)
-    call.key = key
+    call.key_digest = key
     above = _importance(route, customer) - daemon.least_importance
     if not admission.admit(daemon.gates, route.name, above, now, daemon.rng):
         _endings.refuse(daemon, call, outcomes.Reason.SHED_AT_ENTRANCE)
@@ -56,7 +56,7 @@
         if call not in daemon.calls:
             _quotas.give_back(daemon, call.customer)
             return
-        call.charged = True
+        call.holds_token = True
         _attempts.send(daemon, call)
     elif call in daemon.calls:
         _endings.refuse(daemon, call, reason)
@@ -88,7 +88,7 @@
             reason = outcomes.Reason.UNKNOWN_SERVICE
             _endings.answer_early(daemon, exchange, 404, reason)
         return None
-    if not host or not found.get(daemon.keys.request_id):
+    if not host or not found.get(daemon.header_keys.request_id):
         _endings.answer_early(daemon, exchange, 400, outcomes.Reason.MALFORMED)
         return None
     return route
@@ -104,12 +104,12 @@
     """Return the request as a call under way, with its deadline set."""
     request = exchange.request
     service = policies.choose_service(route, daemon.rng)
-    patience = _patience(request.found.get(daemon.keys.deadline_ms))
+    patience = _patience(request.found.get(daemon.header_keys.deadline_ms))
     deadline = request.began + min(route.timeout, patience)
     rank = _rank(daemon, route, customer, request.began + patience)
     call = _records.Call(
         exchange,
-        request.found[daemon.keys.request_id],
+        request.found[daemon.header_keys.request_id],
         requests.new_progress(route, service, rank, deadline),
         _passed_on(daemon, request),
         customer=customer.name,
@@ -119,7 +119,7 @@
     call.timer = asyncio.get_running_loop().call_later(
         max(0.0, deadline - now), expire, daemon, call
     )
-    requests.note_request(_attempts.window_of(daemon, service), now)
+    requests.note_request(_attempts.retry_window(daemon, service), now)
     return call
 
 
@@ -150,14 +150,16 @@
     """Return the fields for the upstream, with the caller's service."""
     table = daemon.view.table
     keyed = table is not None and table.customers is not None
-    dropped = _dropped(daemon.keys, keyed)
+    dropped = _dropped(daemon.header_keys, keyed)
     fields = httpio.end_to_end(request.fields, request.found, dropped)
-    fields.append((daemon.names.caller, daemon.settings.service.encode()))
+    fields.append(
+        (daemon.header_names.caller, daemon.settings.service.encode())
+    )
     return fields
 
 
 @functools.lru_cache(maxsize=4)
-def _dropped(keys: _dialect.Names, keyed: bool) -> frozenset[bytes]:
+def _dropped(keys: _dialect.HeaderNames, keyed: bool) -> frozenset[bytes]:
     """Return the fields that go no further, or that this daemon sets itself.
 
     ``keyed`` where requests carry the keys of customers.
@@ -165,7 +167,7 @@
     own = {keys.caller, keys.customer, keys.deadline_ms, keys.target}
     if keyed:
         own.add(keys.key)
-    return _wire.OWN_FIELDS | own
+    return _wire.INTERNAL_HEADERS | own
 
 
 def _rank(
@@ -179,7 +181,9 @@
     Only the own upstream calls an inner route here.
     """
     if admission.called_only_by_upstreams(daemon.chains, route.name):
-        running = [run for run in daemon.runs.values() if run.job is not None]
+        running = [
+            run for run in daemon.executions.values() if run.job is not None
+        ]
         rank = admission.parent_rank(
             daemon.parents, route.name, expires, running
         )
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -29,7 +29,7 @@
 def handle(daemon: _state.Daemon, exchange: httpio.Exchange) -> None:
     """Serve one request of a daemon."""
     request = exchange.request
-    asked = request.found.get(_wire.ASK_KEY)
+    asked = request.found.get(_wire.METADATA_HEADER_LOWER)
     if asked is not None:
         _serve_order(daemon, exchange, asked)
         return
@@ -57,39 +57,39 @@
 ) -> None:
     request = exchange.request
     try:
-        ask = _wire.decode_ask(asked)
+        ask = _wire.decode_metadata(asked)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
         return
     _peers.heard(daemon, exchange.peer, ask.content)
     customer = _customers.of_order(
-        daemon, ask.route, request.found.get(_wire.DIGEST_KEY)
+        daemon, ask.route, request.found.get(_wire.KEY_DIGEST_HEADER_LOWER)
     )
     if customer is None:
         reason = outcomes.Reason.POLICY_BEHIND
         state = _own_state(daemon, requests.Ending.TURNED_AWAY, reason)
         exchange.respond(503, [state], b"")
         return
-    request_id = request.found.get(daemon.keys.request_id, b"")
-    dropped = _wire.OWN_FIELDS
-    order = _records.Order(
+    request_id = request.found.get(daemon.header_keys.request_id, b"")
+    dropped = _wire.INTERNAL_HEADERS
+    order = _records.InboundRequest(
         ask,
-        request.found.get(daemon.keys.caller, b"").decode("latin-1"),
+        request.found.get(daemon.header_keys.caller, b"").decode("latin-1"),
         request_id,
         request.method,
         request.found.get(b"host", b""),
         request.target,
         httpio.end_to_end(
-            request.fields, request.found, _dropped(daemon.keys)
+            request.fields, request.found, _dropped(daemon.header_keys)
         ),
         request.body,
-        _wire.decode_trial(request.found.get(_wire.TRIAL_KEY)),
+        _wire.decode_trial(request.found.get(_wire.TRIAL_HEADER_LOWER)),
         customer.name,
     )
 
     def done(result: _records.Result) -> None:
-        state = (_wire.STATE, _wire.encode_state(result.state))
+        state = (_wire.STATE_HEADER, _wire.encode_state(result.state))
         response = result.response
         if response is None:
             exchange.respond(503, [state], b"", daemon.upstream_leaving)
@@ -105,9 +105,9 @@
 
 
 @functools.lru_cache(maxsize=4)
-def _dropped(keys: _dialect.Names) -> frozenset[bytes]:
+def _dropped(keys: _dialect.HeaderNames) -> frozenset[bytes]:
     """Return the fields that this daemon sets itself, whoever sent them."""
-    return _wire.OWN_FIELDS | {keys.customer, keys.deadline_ms}
+    return _wire.INTERNAL_HEADERS | {keys.customer, keys.deadline_ms}
 
 
 def _own_state(
@@ -115,7 +115,7 @@
     ending: requests.Ending | None = None,
     reason: outcomes.Reason = outcomes.Reason.NONE,
 ) -> tuple[bytes, bytes]:
-    state = _wire.State(
+    state = _wire.CalleeState(
         daemon.view.content,
         daemon.upstream_leaving or daemon.upstream_down,
         calls.LoadReport(),
@@ -125,4 +125,4 @@
         ending,
         reason,
     )
-    return _wire.STATE, _wire.encode_state(state)
+    return _wire.STATE_HEADER, _wire.encode_state(state)
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -70,7 +70,7 @@
     """Note a word of the store, that a daemon may have had ``age`` ago."""
     away = views.lost_store_seconds(daemon.view, now) or 0.0
     if views.store_answered(daemon.view, now, age):
-        _counters.believed(daemon.counters, "store_back")
+        _counters.count_state_change(daemon.counters, "store_back")
         daemon.journal.note(
             "store_back",
             revision=views.number_in_era(daemon.view.revision),
@@ -85,7 +85,7 @@
 ) -> None:
     """Note that there has been no word of the store since then."""
     if views.store_failed(daemon.view, since):
-        _counters.believed(daemon.counters, "store_lost")
+        _counters.count_state_change(daemon.counters, "store_lost")
         daemon.journal.note(
             "store_lost",
             reason=reason,
@@ -114,7 +114,7 @@
 
 def _note_outdated(daemon: _state.Daemon, reading: _dialect.Reading) -> None:
     """Log an answer that is dropped, as older than what is known."""
-    _counters.believed(daemon.counters, "reading_outdated")
+    _counters.count_state_change(daemon.counters, "reading_outdated")
     daemon.journal.request(
         "reading_outdated",
         "whole" if reading.whole else "watch",
@@ -126,14 +126,14 @@
 
 
 def note_refused(
-    daemon: _state.Daemon, refused: abc.Iterable[_dialect.Refusal]
+    daemon: _state.Daemon, refused: abc.Iterable[_dialect.RefusedItem]
 ) -> None:
     """Log and count each item that could not be used, once a revision."""
     for refusal in refused:
         if refusal.key and not _is_new(daemon, refusal):
             continue
         reason = refusal.reason.partition(":")[0]
-        _counters.refused(daemon.counters, reason)
+        _counters.count_refused_item(daemon.counters, reason)
         daemon.journal.request(
             "item_refused",
             reason,
@@ -150,7 +150,7 @@
 ) -> None:
     """Log what became different, take it into use and tell it on."""
     for news, key in told:
-        _counters.believed(daemon.counters, news.value)
+        _counters.count_state_change(daemon.counters, news.value)
         if news is views.News.RESTARTED:
             calls.record_restart(daemon.routes, key, daemon.clock.monotonic())
         _log(daemon, news, key, source)
@@ -160,7 +160,7 @@
     known = daemon.hosts
     daemon.hosts = views.other_hosts(view, daemon.feed.own_host)
     if daemon.hosts != known:
-        _state.share_slack(daemon)
+        _state.update_slack_parts(daemon)
     daemon.services = views.count_services(view)
     daemon.least_importance = views.least_importance(view)
     hosts = views.hosts_by_domain(view)
@@ -190,7 +190,7 @@
         return
     if news is views.News.RESTORED:
         # The revisions that refused items had are given out again.
-        daemon.refused.clear()
+        daemon.refused_items.clear()
         daemon.journal.note(
             news.value,
             era=views.era_of(view.revision),
@@ -207,14 +207,14 @@
     )
 
 
-def _is_new(daemon: _state.Daemon, refusal: _dialect.Refusal) -> bool:
+def _is_new(daemon: _state.Daemon, refusal: _dialect.RefusedItem) -> bool:
     """Return whether the item had not been refused at this revision."""
-    if daemon.refused.get(refusal.key) == refusal.revision:
+    if daemon.refused_items.get(refusal.key) == refusal.revision:
         return False
-    daemon.refused.pop(refusal.key, None)
-    daemon.refused[refusal.key] = refusal.revision
-    if len(daemon.refused) > REFUSED_KEPT:
-        del daemon.refused[next(iter(daemon.refused))]
+    daemon.refused_items.pop(refusal.key, None)
+    daemon.refused_items[refusal.key] = refusal.revision
+    if len(daemon.refused_items) > REFUSED_KEPT:
+        del daemon.refused_items[next(iter(daemon.refused_items))]
     return True
 
 
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -62,9 +62,9 @@
 
 def heard(daemon: _state.Daemon, host: str, content: int) -> None:
     """Note what a peer knows; ask it if that stays more for a moment."""
-    if daemon.pulling or not views.is_behind(daemon.view, content):
+    if daemon.pulled_hosts or not views.is_behind(daemon.view, content):
         return
-    daemon.pulling.add(host)
+    daemon.pulled_hosts.add(host)
     now = daemon.clock.monotonic()
     known = views.knows_policy(daemon.view)
     heard_at = daemon.view.store_answered_at
@@ -98,7 +98,7 @@
     if others:
         asked.add(others[int(daemon.rng.random() * len(others))])
     for address in sorted(asked, key=str):
-        if address.host not in daemon.pulling:
+        if address.host not in daemon.pulled_hosts:
             _pull(daemon, address)
 
 
@@ -136,7 +136,9 @@
         return
     _crash_updates.receive(daemon, host, result.found)
     try:
-        state = _wire.decode_state(result.found.get(_wire.STATE_KEY, b""))
+        state = _wire.decode_state(
+            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+        )
         field = result.found.get(_feed_wire.KEY)
         if field is not None and not views.is_behind(
             daemon.view, state.content
@@ -152,14 +154,14 @@
 
 
 def _pull_if_behind(daemon: _state.Daemon, host: str, content: int) -> None:
-    daemon.pulling.discard(host)
+    daemon.pulled_hosts.discard(host)
     if views.is_behind(daemon.view, content):
         _pull(daemon, _dialect.Address(host, daemon.settings.daemons.port))
 
 
 def _pull(daemon: _state.Daemon, address: _dialect.Address) -> None:
     """Ask a daemon for what it knows more."""
-    daemon.pulling.add(address.host)
+    daemon.pulled_hosts.add(address.host)
     told = _crash_updates.field(daemon, address.host)
     head = _feed_wire.poll_head(address.host, daemon.view.revision, 0.0, told)
     asked_at = daemon.clock.monotonic()
@@ -179,7 +181,7 @@
 
 def _pull_timeout(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
     if _give_up(job):
-        daemon.pulling.discard(host)
+        daemon.pulled_hosts.discard(host)
 
 
 def _give_up(job: httpio.Job) -> bool:
@@ -196,7 +198,7 @@
     asked_at: float,
     result: httpio.Response | httpio.Failure,
 ) -> None:
-    daemon.pulling.discard(host)
+    daemon.pulled_hosts.discard(host)
     if isinstance(result, httpio.Failure) or result.status != 200:
         return
     _crash_updates.receive(daemon, host, result.found)
@@ -210,7 +212,7 @@
     if news and doubtful:
         # The own watch should have told it.
         feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
-        daemon.woken.set()
+        daemon.feed_woken.set()
 
 
 def _take(daemon: _state.Daemon, host: str, result: httpio.Response) -> bool:
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -67,24 +67,24 @@
 def _confirm_late(
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> None:
-    if _vouch(daemon, revision, asked_at) or daemon.confirming:
+    if _vouch(daemon, revision, asked_at) or daemon.confirming_policy:
         return
     if views.knows_policy(daemon.view) and feeds.reads_store(daemon.feed):
-        daemon.confirming = True
+        daemon.confirming_policy = True
         _state.start_task(daemon, _ask_policy(daemon))
 
 
 async def _ask_policy(daemon: _state.Daemon) -> None:
     """Read the policy alone: the watch has not told what has changed."""
     asked_at = daemon.clock.monotonic()
-    _counters.read(daemon.counters, VERB)
+    _counters.count_store_call(daemon.counters, VERB)
     try:
         reading = await daemon.source.policy()
     except _dialect.SourceError as error:
         _learning.note_failed_call(daemon, VERB, error, asked_at)
         return
     finally:
-        daemon.confirming = False
+        daemon.confirming_policy = False
     _learning.note_refused(daemon, reading.refused)
     if _confirm(daemon, reading, asked_at):
         views.note_full_read(daemon.view, reading.revision)
@@ -93,7 +93,7 @@
         "policy_not_told", revision=views.number_in_era(reading.content)
     )
     if feeds.request_full_read(daemon.feed, daemon.clock.monotonic()):
-        daemon.woken.set()
+        daemon.feed_woken.set()
 
 
 def _confirm(
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -53,7 +53,10 @@
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
         return
-    if exchange.request.found.get(_feed_wire.SENDER_KEY) == daemon.mark:
+    if (
+        exchange.request.found.get(_feed_wire.SENDER_KEY)
+        == daemon.process_mark
+    ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
         return
     if hold is None:
@@ -69,10 +72,10 @@
     if news or not hold or daemon.leaving:
         _answer(daemon, poll)
         return
-    if len(daemon.polls) >= KEPT_MAX:
+    if len(daemon.held_polls) >= KEPT_MAX:
         exchange.respond(503, [], b"")
         return
-    daemon.polls.append(poll)
+    daemon.held_polls.append(poll)
     exchange.gone = lambda: _forget(daemon, poll)
 
 
@@ -91,7 +94,7 @@
 
 def answer_news(daemon: _state.Daemon) -> None:
     """Answer all for whom there is news."""
-    daemon.encoded.clear()
+    daemon.encoded_answers.clear()
     _answer_if(daemon, lambda one: daemon.view.content > one.after)
 
 
@@ -104,27 +107,27 @@
     """Answer with what is new of crashes all who may not know it."""
     due = [
         poll
-        for poll in daemon.polls
+        for poll in daemon.held_polls
         if not _crash_updates.is_in_sync(daemon, poll.exchange.peer)
     ]
-    daemon.polls = [poll for poll in daemon.polls if poll not in due]
+    daemon.held_polls = [poll for poll in daemon.held_polls if poll not in due]
     for poll in due:
         _answer(daemon, poll, told)
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Answer those that have waited for as long as they asked for."""
-    if daemon.polls:
+    if daemon.held_polls:
         _answer_if(daemon, lambda one: one.until <= now)
 
 
 def _answer_if(
     daemon: _state.Daemon, wanted: typing.Callable[[HeldPoll], bool]
 ) -> None:
-    due = [one for one in daemon.polls if wanted(one)]
+    due = [one for one in daemon.held_polls if wanted(one)]
     if not due:
         return
-    daemon.polls = [one for one in daemon.polls if not wanted(one)]
+    daemon.held_polls = [one for one in daemon.held_polls if not wanted(one)]
     for poll in due:
         _answer(daemon, poll)
 
@@ -146,12 +149,12 @@
 def _encoded(daemon: _state.Daemon, after: int) -> bytes:
     if after >= daemon.view.content:
         return b""
-    body = daemon.encoded.get(after)
+    body = daemon.encoded_answers.get(after)
     if body is None:
         body = _feed_wire.encode_delta(views.delta_since(daemon.view, after))
-        if len(daemon.encoded) >= ENCODED_KEPT:
-            daemon.encoded.clear()
-        daemon.encoded[after] = body
+        if len(daemon.encoded_answers) >= ENCODED_KEPT:
+            daemon.encoded_answers.clear()
+        daemon.encoded_answers[after] = body
     return body
 
 
@@ -167,5 +170,5 @@
 
 
 def _forget(daemon: _state.Daemon, poll: HeldPoll) -> None:
-    if poll in daemon.polls:
-        daemon.polls.remove(poll)
+    if poll in daemon.held_polls:
+        daemon.held_polls.remove(poll)
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -52,7 +52,9 @@
         _silent(daemon, vm, host, result.value)
         return
     try:
-        state = _wire.decode_state(result.found.get(_wire.STATE_KEY, b""))
+        state = _wire.decode_state(
+            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+        )
     except _wire.WireError as error:
         _silent(daemon, vm, host, str(error))
         return
@@ -77,4 +79,4 @@
         daemon.journal.note("peer_lost", peer=host, instance=vm, reason=reason)
     calls.probe_ended(daemon.routes, vm, False, now)
     _state.pool(daemon, host).drop_idle()
-    _attempts.lose_all(daemon, vm)
+    _attempts.fail_attempts_at(daemon, vm)
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -49,7 +49,7 @@
     quotas.track_request(tokens.stocks, customer.name, now)
     if quotas.take_token(tokens.stocks, customer.name, now):
         if quotas.is_low(tokens.stocks, customer.name, now):
-            tokens.soon = True
+            tokens.ask_soon = True
         answer(outcomes.Reason.NONE)
     elif quotas.is_exhausted(tokens.stocks, customer.name, now):
         answer(outcomes.Reason.QUOTA_EXCEEDED)
@@ -77,8 +77,8 @@
         return
     period = _period(daemon)
     tokens.stocks.prefetch_seconds = AHEAD_PERIODS * period
-    since = now - tokens.asked
-    if since >= period or (tokens.soon and since >= GAP_SECONDS):
+    since = now - tokens.asked_at
+    if since >= period or (tokens.ask_soon and since >= GAP_SECONDS):
         _ask(daemon, now)
 
 
@@ -131,7 +131,7 @@
     """Ask the allocator, which may be this daemon."""
     tokens = daemon.tokens
     host = _allocator(daemon, now)
-    tokens.asked, tokens.soon = now, False
+    tokens.asked_at, tokens.ask_soon = now, False
     asked = quotas.AllocationRequest(
         daemon.feed.own_host, quotas.list_needs(tokens.stocks, now)
     )
@@ -197,7 +197,7 @@
     tokens, now = daemon.tokens, daemon.clock.monotonic()
     tokens.asking = False
     tokens.avoided[host] = now + AVOID_SECONDS * (0.5 + daemon.rng.random())
-    tokens.soon = True
+    tokens.ask_soon = True
     daemon.journal.request("allocator_lost", reason, peer=host)
     if tokens.waiting:
         asyncio.get_running_loop().call_soon(_ask_for_waiting, daemon)
@@ -214,13 +214,13 @@
     if granted.redirect and granted.redirect != host:
         if granted.redirect not in tokens.avoided:
             tokens.allocator = granted.redirect
-        tokens.soon = True
+        tokens.ask_soon = True
         return
     quotas.handle_grants(tokens.stocks, granted.grants, asked_at, now)
     for customer in list(tokens.waiting):
         _serve_waiting(daemon, customer, now)
     if tokens.waiting:
-        tokens.soon = True
+        tokens.ask_soon = True
 
 
 def _serve_waiting(daemon: _state.Daemon, customer: str, now: float) -> None:
--- a/src/sassafrasstair/forwarding/_records.py
+++ b/src/sassafrasstair/forwarding/_records.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Order:
+class InboundRequest:
     """A request for the upstream, with what its entrance told.
 
     ``caller`` is the service on the VM where it began, ``host`` names the
@@ -27,7 +27,7 @@
     it is needed.
     """
 
-    ask: _wire.Ask
+    metadata: _wire.RequestMetadata
     caller: str
     request_id: bytes
     method: bytes
@@ -35,7 +35,7 @@
     target: bytes
     fields: httpio.Fields
     body: bytes
-    trial: int = 0
+    trial_strikes: int = 0
     customer: str = ""
     fingerprint: int | None = None
 
@@ -44,12 +44,12 @@
 class Result:
     """The end of a run: the instance's answer, or why there is none."""
 
-    state: _wire.State
+    state: _wire.CalleeState
     response: httpio.Response | None
 
 
 @dataclasses.dataclass(slots=True)
-class Run:
+class Execution:
     """One request that waits for the upstream or is there.
 
     ``guard`` is that of the run of the instance for which it came.
@@ -58,23 +58,23 @@
     """
 
     key: str
-    order: Order
+    request: InboundRequest
     deadline: float
-    done: abc.Callable[[Result], None]
+    on_done: abc.Callable[[Result], None]
     guard: load.Guard
     job: httpio.Job | None = None
-    broken: bool = False
+    connection_broken: bool = False
     isolated: bool = False
 
     @property
     def rank(self) -> float:
         """What the entrance told of its importance; see ``load.Work``."""
-        return self.order.ask.rank
+        return self.request.metadata.rank
 
     @property
     def route(self) -> str:
         """The name of its route."""
-        return self.order.ask.route
+        return self.request.metadata.route
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -89,14 +89,14 @@
 
     instance: str
     host: str
-    sent: float
+    sent_at: float
     born: int
-    ask: _wire.Ask
+    metadata: _wire.RequestMetadata
     fields: httpio.Fields
-    trial: int = 0
-    left: calls.CrossingReason | None = None
+    trial_strikes: int = 0
+    cross_domain_reason: calls.CrossingReason | None = None
     job: httpio.Job | None = None
-    run: str = ""
+    execution_key: str = ""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -115,6 +115,6 @@
     attempt: Attempt | None = None
     timer: asyncio.TimerHandle | None = None
     customer: str = ""
-    key: bytes | None = None
-    charged: bool = False
+    key_digest: bytes | None = None
+    holds_token: bool = False
     fingerprint: int | None = None
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -43,12 +43,12 @@
         if settled and _is_first(daemon) and _has_limits(daemon):
             activate(daemon, now)
         return
-    if now - allocation.ticked < TICK_SECONDS:
+    if now - allocation.ticked_at < TICK_SECONDS:
         return
-    allocation.ticked = now
+    allocation.ticked_at = now
     _use_policy(daemon, allocation, now)
     allocator = allocation.allocator
-    idle = now - allocation.asked >= IDLE_SECONDS
+    idle = now - allocation.asked_at >= IDLE_SECONDS
     if idle and allocator.shares.other_allocator and not _is_first(daemon):
         daemon.allocation = None
         return
@@ -64,7 +64,7 @@
         return daemon.allocation
     domain = daemon.settings.failure_domain
     domains = {*daemon.settings.regions, domain}
-    mark = daemon.mark.decode("latin-1")
+    mark = daemon.process_mark.decode("latin-1")
     shares = quotas.new_shares(
         domain, daemon.feed.own_host, mark, domains, now
     )
@@ -83,7 +83,7 @@
     """Return tokens for a daemon of the own domain."""
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
-    allocation.asked = now
+    allocation.asked_at = now
     _use_policy(daemon, allocation, now)
     allocator = allocation.allocator
     if allocator.shares.other_allocator:
@@ -126,7 +126,7 @@
     quotas.fill_buckets(allocator, now)
     answer = quotas.receive_update(shares, update, now)
     if not answer.occupied:
-        allocation.contacts[update.domain] = update.host
+        allocation.peer_allocators[update.domain] = update.host
     return answer
 
 
@@ -145,9 +145,9 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, now: float
 ) -> None:
     version = views.active_version(daemon.view)
-    if version == allocation.policy or daemon.view.table is None:
+    if version == allocation.policy_version or daemon.view.table is None:
         return
-    allocation.policy = version
+    allocation.policy_version = version
     rules = daemon.settings.bounds.quota
     customers = daemon.view.table.policy.customers or ()
     limits = {
@@ -178,9 +178,9 @@
 ) -> None:
     shares = allocation.allocator.shares
     for domain in shares.peers:
-        since = now - allocation.updated.get(domain, -math.inf)
+        since = now - allocation.updated_at.get(domain, -math.inf)
         due = since >= UPDATE_SECONDS or quotas.has_changes(shares, domain)
-        if due and domain not in allocation.updating:
+        if due and domain not in allocation.updates_in_flight:
             _update(daemon, allocation, domain, now)
 
 
@@ -193,8 +193,8 @@
     host = _contact(daemon, allocation, domain)
     if not host:
         return
-    allocation.updating.add(domain)
-    allocation.updated[domain] = now
+    allocation.updates_in_flight.add(domain)
+    allocation.updated_at[domain] = now
     update = quotas.update_for(allocation.allocator.shares, domain)
     body = _quota_wire.encode(update)
     head = httpio.request_head(
@@ -215,14 +215,14 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, domain: str
 ) -> str:
     """Return the host that allocates for a domain, or the next to try."""
-    known = allocation.contacts.get(domain)
+    known = allocation.peer_allocators.get(domain)
     if known is not None:
         return known
     hosts = views.hosts_by_domain(daemon.view).get(domain, frozenset())
     first = feeds.reader_hosts(hosts)
     if not first:
         return ""
-    return first[allocation.tried.get(domain, 0) % len(first)]
+    return first[allocation.failed_contacts.get(domain, 0) % len(first)]
 
 
 def _give_up(
@@ -244,14 +244,16 @@
     update: quotas.Update,
     result: httpio.Response | httpio.Failure,
 ) -> None:
-    allocation.updating.discard(domain)
+    allocation.updates_in_flight.discard(domain)
     answer = _decoded(daemon, result)
     if answer is None:
-        allocation.contacts.pop(domain, None)
-        allocation.tried[domain] = allocation.tried.get(domain, 0) + 1
+        allocation.peer_allocators.pop(domain, None)
+        allocation.failed_contacts[domain] = (
+            allocation.failed_contacts.get(domain, 0) + 1
+        )
         return
     if answer.redirect:
-        allocation.contacts[domain] = answer.redirect
+        allocation.peer_allocators[domain] = answer.redirect
         return
     now = daemon.clock.monotonic()
     allocator = allocation.allocator
--- a/src/sassafrasstair/forwarding/_state.py
+++ b/src/sassafrasstair/forwarding/_state.py
@@ -77,8 +77,8 @@
 
     dialect: _dialect.Dialect
     settings: _dialect.Settings
-    names: _dialect.Names
-    keys: _dialect.Names
+    header_names: _dialect.HeaderNames
+    header_keys: _dialect.HeaderNames
     clock: clocks.Clock
     rng: random.Random
     journal: _events.Journal
@@ -101,7 +101,7 @@
     parents: admission.Parents = dataclasses.field(
         default_factory=admission.Parents
     )
-    windows: dict[str, requests.Window] = dataclasses.field(
+    retry_windows: dict[str, requests.Window] = dataclasses.field(
         default_factory=dict
     )
     guards: dict[tuple[str, int], load.Guard] = dataclasses.field(
@@ -109,18 +109,20 @@
     )
     pools: dict[str, httpio.Pool] = dataclasses.field(default_factory=dict)
     calls: set[_records.Call] = dataclasses.field(default_factory=set)
-    runs: dict[str, _records.Run] = dataclasses.field(default_factory=dict)
-    broken: dict[str, httpio.Response | httpio.Failure] = dataclasses.field(
+    executions: dict[str, _records.Execution] = dataclasses.field(
         default_factory=dict
     )
-    familiar: collections.OrderedDict[
+    broken_results: dict[str, httpio.Response | httpio.Failure] = (
+        dataclasses.field(default_factory=dict)
+    )
+    completed_requests: collections.OrderedDict[
         tuple[bytes, bytes, bytes, bytes], None
     ] = dataclasses.field(default_factory=collections.OrderedDict)
-    familiar_prints: collections.OrderedDict[int, None] | None = None
-    ledger: crashes.Ledger = dataclasses.field(
+    completed_fingerprints: collections.OrderedDict[int, None] | None = None
+    crash_ledger: crashes.Ledger = dataclasses.field(
         default_factory=crashes.new_ledger
     )
-    standings: dict[int, crashes.Standing] = dataclasses.field(
+    suspect_standings: dict[int, crashes.Standing] = dataclasses.field(
         default_factory=dict
     )
     crash_peers: dict[str, _crash_updates.Peer] = dataclasses.field(
@@ -136,23 +138,27 @@
     tokens: _tokens.Tokens = dataclasses.field(default_factory=_tokens.Tokens)
     allocation: _tokens.Allocation | None = None
     tasks: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
-    checks: set[asyncio.Future[int]] = dataclasses.field(default_factory=set)
-    refused: dict[str, int] = dataclasses.field(default_factory=dict)
+    store_checks: set[asyncio.Future[int]] = dataclasses.field(
+        default_factory=set
+    )
+    refused_items: dict[str, int] = dataclasses.field(default_factory=dict)
     hosts: list[str] = dataclasses.field(default_factory=list)
     foreign_readers: list[str] = dataclasses.field(default_factory=list)
-    polls: list[_polls.HeldPoll] = dataclasses.field(default_factory=list)
-    encoded: dict[int, bytes] = dataclasses.field(default_factory=dict)
-    woken: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
+    held_polls: list[_polls.HeldPoll] = dataclasses.field(default_factory=list)
+    encoded_answers: dict[int, bytes] = dataclasses.field(default_factory=dict)
+    feed_woken: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
     services: int = 0
     least_importance: int = 0
-    serial: int = 0
-    mark: bytes = b""
+    execution_serial: int = 0
+    process_mark: bytes = b""
     leaving: bool = False
     upstream_leaving: bool = False
     upstream_down: bool = False
     upstream_tried: float = 0.0
-    pulling: set[str] = dataclasses.field(default_factory=set)
-    confirming: bool = False
+    pulled_hosts: set[str] = dataclasses.field(default_factory=set)
+    confirming_policy: bool = False
 
 
 def new_daemon(
@@ -168,8 +174,8 @@
     return Daemon(
         dialect=dialect,
         settings=settings,
-        names=dialect.names,
-        keys=dialect.names.keys(),
+        header_names=dialect.names,
+        header_keys=dialect.names.lowercased(),
         clock=clock,
         rng=rng,
         journal=journal,
@@ -182,7 +188,7 @@
             settings.host, _timing(settings), clock.monotonic()
         ),
         routes=calls.Routes(domain, region, try_unreachable=False),
-        mark=b"%s.%08x" % (settings.vm.encode(), rng.getrandbits(32)),
+        process_mark=b"%s.%08x" % (settings.vm.encode(), rng.getrandbits(32)),
     )
 
 
@@ -196,7 +202,7 @@
     return found
 
 
-def use_settings(daemon: Daemon, settings: _dialect.Settings) -> None:
+def apply_settings(daemon: Daemon, settings: _dialect.Settings) -> None:
     """Take settings that have changed; what is under way is not cut."""
     old = daemon.settings
     daemon.settings = settings
@@ -227,9 +233,9 @@
     )
 
 
-def share_slack(daemon: Daemon) -> None:
+def update_slack_parts(daemon: Daemon) -> None:
     """Take anew the parts of the slack: other daemons are known."""
-    for service, window in daemon.windows.items():
+    for service, window in daemon.retry_windows.items():
         window.slack = slack_part(daemon, service)
 
 
--- a/src/sassafrasstair/forwarding/_status.py
+++ b/src/sassafrasstair/forwarding/_status.py
@@ -135,7 +135,7 @@
         policy=-1 if view.table is None else view.table.policy.version,
         rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
-        waiting=len(daemon.polls),
+        waiting=len(daemon.held_polls),
         avoided=_current(feed.avoided, now),
         lost=_current(feed.lost, now),
         era=views.era_of(view.revision),
@@ -207,18 +207,18 @@
     table = daemon.view.table
     feed = daemon.feed
     now = daemon.clock.monotonic()
-    standings = list(daemon.standings.values())
+    standings = list(daemon.suspect_standings.values())
     return {
         "reads_store": int(feeds.reads_store(feed)),
         "feed_rank": len(feed.earlier_hosts),
         "feed_seconds": now - feed.parent_since,
         "view_age_seconds": view_age(daemon, now),
-        "polls_held": len(daemon.polls),
+        "polls_held": len(daemon.held_polls),
         "policy_version": 0 if table is None else table.policy.version,
         "store_revision": views.number_in_era(daemon.view.revision),
         "store_era": views.era_of(daemon.view.revision),
         "calls_in_flight": len(daemon.calls),
-        "runs_in_flight": len(daemon.runs),
+        "runs_in_flight": len(daemon.executions),
         "instances_known": len(daemon.view.instances),
         "body_bytes_held": daemon.memory.held,
         "upstream_connections_opened": daemon.upstream.opened,
@@ -228,7 +228,7 @@
         "requests_waiting_for_tokens": sum(
             map(len, daemon.tokens.waiting.values())
         ),
-        "crashes_known": len(daemon.ledger.crashes),
+        "crashes_known": len(daemon.crash_ledger.crashes),
         "requests_suspected": standings.count(crashes.Standing.ISOLATED),
         "requests_blocked": standings.count(crashes.Standing.BLOCKED),
     }
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -29,7 +29,7 @@
 async def follow(daemon: _state.Daemon) -> None:
     """Keep the view until cancelled."""
     while True:
-        daemon.woken.clear()
+        daemon.feed_woken.clear()
         before = daemon.feed.parent
         step = feeds.next_step(daemon.feed, daemon.clock.monotonic())
         if daemon.feed.parent != before:
@@ -46,7 +46,7 @@
     match step:
         case feeds.Sleep(seconds):
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(daemon.woken.wait(), seconds)
+                await asyncio.wait_for(daemon.feed_woken.wait(), seconds)
         case feeds.Poll(host, hold, within):
             await _ask(daemon, host, hold, within)
         case feeds.Read(stale):
@@ -71,10 +71,10 @@
     so that a watch that hears nothing while peers know more is not waited
     for.
     """
-    _counters.read(daemon.counters, verb)
+    _counters.count_store_call(daemon.counters, verb)
     begun = daemon.clock.monotonic()
     reading = asyncio.ensure_future(call)
-    woken = asyncio.ensure_future(daemon.woken.wait())
+    woken = asyncio.ensure_future(daemon.feed_woken.wait())
     try:
         await asyncio.wait(
             (reading, woken), return_when=asyncio.FIRST_COMPLETED
@@ -122,7 +122,7 @@
 ) -> None:
     """Ask the daemon that is followed for what is new."""
     told = _crash_updates.field(daemon, host)
-    sender = (_feed_wire.SENDER, daemon.mark)
+    sender = (_feed_wire.SENDER, daemon.process_mark)
     after = daemon.view.revision
     head = _feed_wire.poll_head(host, after, hold, told, sender)
     asked_at = daemon.clock.monotonic()
@@ -196,7 +196,7 @@
 def _fell_silent(daemon: _state.Daemon, host: str, reason: str) -> None:
     now = daemon.clock.monotonic()
     feeds.peer_failed(daemon.feed, host, now, daemon.rng)
-    _counters.believed(daemon.counters, "parent_lost")
+    _counters.count_state_change(daemon.counters, "parent_lost")
     daemon.journal.note("parent_lost", peer=host, reason=reason)
 
 
@@ -209,7 +209,7 @@
 def _note_parent(daemon: _state.Daemon, before: str | None) -> None:
     """Log whom the daemon follows from now on."""
     feed = daemon.feed
-    _counters.believed(daemon.counters, "parent_changed")
+    _counters.count_state_change(daemon.counters, "parent_changed")
     daemon.journal.note(
         "follows",
         parent=_status.parent_name(feed.parent),
--- a/src/sassafrasstair/forwarding/_tokens.py
+++ b/src/sassafrasstair/forwarding/_tokens.py
@@ -39,8 +39,8 @@
     allocator: str = ""
     avoided: dict[str, float] = dataclasses.field(default_factory=dict)
     asking: bool = False
-    asked: float = -math.inf
-    soon: bool = False
+    asked_at: float = -math.inf
+    ask_soon: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -55,10 +55,10 @@
     """
 
     allocator: quotas.Allocator
-    ticked: float = -math.inf
-    asked: float = -math.inf
-    policy: int = -1
-    contacts: dict[str, str] = dataclasses.field(default_factory=dict)
-    tried: dict[str, int] = dataclasses.field(default_factory=dict)
-    updating: set[str] = dataclasses.field(default_factory=set)
-    updated: dict[str, float] = dataclasses.field(default_factory=dict)
+    ticked_at: float = -math.inf
+    asked_at: float = -math.inf
+    policy_version: int = -1
+    peer_allocators: dict[str, str] = dataclasses.field(default_factory=dict)
+    failed_contacts: dict[str, int] = dataclasses.field(default_factory=dict)
+    updates_in_flight: set[str] = dataclasses.field(default_factory=set)
+    updated_at: dict[str, float] = dataclasses.field(default_factory=dict)
--- a/src/sassafrasstair/forwarding/_wire.py
+++ b/src/sassafrasstair/forwarding/_wire.py
@@ -14,17 +14,24 @@
 from sassafrasstair import httpio
 from sassafrasstair import outcomes
 
-ASK = b"Sassafras-Ask"
-STATE = b"Sassafras-State"
-ASK_KEY = ASK.lower()
-STATE_KEY = STATE.lower()
-TRIAL = b"Sassafras-Trial"
+METADATA_HEADER = b"Sassafras-Ask"
+STATE_HEADER = b"Sassafras-State"
+METADATA_HEADER_LOWER = METADATA_HEADER.lower()
+STATE_HEADER_LOWER = STATE_HEADER.lower()
+TRIAL_HEADER = b"Sassafras-Trial"
 """After how many strikes a request is tried that was blocked."""
-TRIAL_KEY = TRIAL.lower()
-DIGEST = b"Sassafras-Key"
+TRIAL_HEADER_LOWER = TRIAL_HEADER.lower()
+KEY_DIGEST_HEADER = b"Sassafras-Key"
 """The digest of a request's API key, in hexadecimal."""
-DIGEST_KEY = DIGEST.lower()
-OWN_FIELDS = httpio.kept_back({ASK_KEY, STATE_KEY, TRIAL_KEY, DIGEST_KEY})
+KEY_DIGEST_HEADER_LOWER = KEY_DIGEST_HEADER.lower()
+INTERNAL_HEADERS = httpio.kept_back(
+    {
+        METADATA_HEADER_LOWER,
+        STATE_HEADER_LOWER,
+        TRIAL_HEADER_LOWER,
+        KEY_DIGEST_HEADER_LOWER,
+    }
+)
 PING_PATH = b"/-sassafras/ping"
 
 _ANSWERED = "answered"
@@ -35,7 +42,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class RequestMetadata:
     """What the entrance tells: see ``load.Work`` for rank and wait.
 
     ``content`` is that of the sender's view; ``remaining`` and ``wait``
@@ -47,11 +54,11 @@
     route: str
     rank: float
     remaining: float
-    wait: float
+    max_wait: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class State:
+class CalleeState:
     """What a callee's daemon tells with each answer.
 
     ``ahead`` is what a request of the asked rank must yield to at the
@@ -64,14 +71,14 @@
     content: int
     leaving: bool
     load: calls.LoadReport
-    ahead: float
-    below: float
-    inner: bool
+    load_at_rank: float
+    downstream_load: float
+    internal_route: bool
     ending: requests.Ending | None
     reason: outcomes.Reason
 
 
-def encode_ask(ask: Ask) -> bytes:
+def encode_metadata(ask: RequestMetadata) -> bytes:
     """Return the field's value."""
     return b"%d %s %s %.4f %.4f %.4f" % (
         ask.content,
@@ -79,15 +86,15 @@
         ask.route.encode(),
         ask.rank,
         max(0.0, ask.remaining),
-        max(0.0, ask.wait),
+        max(0.0, ask.max_wait),
     )
 
 
-def decode_ask(value: bytes) -> Ask:
+def decode_metadata(value: bytes) -> RequestMetadata:
     """Return what the field says; raises ``WireError``."""
     try:
         content, instance, route, rank, remaining, wait = value.split(b" ")
-        return Ask(
+        return RequestMetadata(
             int(content),
             instance.decode(),
             route.decode(),
@@ -104,7 +111,7 @@
     return int(value) if value is not None and value.isdigit() else 0
 
 
-def encode_state(state: State) -> bytes:
+def encode_state(state: CalleeState) -> bytes:
     """Return the field's value."""
     ending = _ANSWERED if state.ending is None else state.ending.value
     load = state.load
@@ -112,23 +119,23 @@
         state.content,
         state.leaving,
         load.busy,
-        state.ahead,
+        state.load_at_rank,
         load.limit,
         load.service_seconds,
-        state.below,
-        state.inner,
+        state.downstream_load,
+        state.internal_route,
         ending.encode(),
         state.reason.value.encode(),
     )
 
 
-def decode_state(value: bytes) -> State:
+def decode_state(value: bytes) -> CalleeState:
     """Return what the field says; raises ``WireError``."""
     try:
         parts = value.decode().split(" ")
         content, leaving, busy, ahead, limit, service = parts[:6]
         below, inner, ending, reason = parts[6:]
-        return State(
+        return CalleeState(
             int(content),
             leaving == "1",
             calls.LoadReport(
--- a/src/sassafrasstair/platform/_dialect.py
+++ b/src/sassafrasstair/platform/_dialect.py
@@ -17,7 +17,7 @@
 SETTINGS_VARIABLE = "SASSAFRASSTAIR_BOOT"
 SETTINGS_PATH = "/etc/sassafrasstair/boot.conf"
 
-NAMES = forwarding.Names(
+NAMES = forwarding.HeaderNames(
     request_id=b"Sassafrasstair-Request-Id",
     deadline_ms=b"Sassafrasstair-Deadline-Ms",
     target=b"Sassafrasstair-Target-Instance",
--- a/src/sassafrasstair/platform/_items.py
+++ b/src/sassafrasstair/platform/_items.py
@@ -64,10 +64,10 @@
 
 def changes(
     items: abc.Iterable[Item], regions: abc.Mapping[str, str]
-) -> tuple[tuple[views.Change, ...], tuple[forwarding.Refusal, ...]]:
+) -> tuple[tuple[views.Change, ...], tuple[forwarding.RefusedItem, ...]]:
     """Return what the items change, and which were refused, with why."""
     told: list[views.Change] = []
-    refused: list[forwarding.Refusal] = []
+    refused: list[forwarding.RefusedItem] = []
     for item in items:
         try:
             change = _change(item, regions)
@@ -102,8 +102,8 @@
     return key.removeprefix(_entries.INSTANCES_PREFIX)
 
 
-def _refusal(item: Item, reason: str) -> forwarding.Refusal:
-    return forwarding.Refusal(item.key, item.revision, reason)
+def _refusal(item: Item, reason: str) -> forwarding.RefusedItem:
+    return forwarding.RefusedItem(item.key, item.revision, reason)
 
 
 def _revision(value: object) -> int | None:
--- a/src/sassafrasstair/platform/_store.py
+++ b/src/sassafrasstair/platform/_store.py
@@ -82,7 +82,7 @@
         first: _Range | None = None
         era = 0
         read: list[_items.Item] = []
-        unread: list[forwarding.Refusal] = []
+        unread: list[forwarding.RefusedItem] = []
         for _ in range(PAGES_MAX):
             query = {"prefix": ""} | ({"after": after} if after else {})
             if stale:
@@ -127,7 +127,7 @@
                 forwarding.SourceReason.HISTORY_GONE, "watch: another era"
             )
         told = _decoded(_WATCH, answer.body)
-        unread: list[forwarding.Refusal] = []
+        unread: list[forwarding.RefusedItem] = []
         events = _read_items(told.events, unread)
         content = max((event.revision for event in events), default=-1)
         changes, refused = _items.changes(events, self._regions)
@@ -143,7 +143,7 @@
         """Return the latest policy; raises ``SourceError``."""
         query = {"key": _documents.POLICY_KEY}
         answer = await self._call("key", query, CALL_SECONDS)
-        unread: list[forwarding.Refusal] = []
+        unread: list[forwarding.RefusedItem] = []
         items = _read_items([msgspec.Raw(answer.body)], unread)
         content = max((item.revision for item in items), default=-1)
         number = _decoded(_KEY, answer.body).store_revision
@@ -219,7 +219,7 @@
 
 
 def _read_items(
-    found: abc.Iterable[msgspec.Raw], unread: list[forwarding.Refusal]
+    found: abc.Iterable[msgspec.Raw], unread: list[forwarding.RefusedItem]
 ) -> list[_items.Item]:
     """Return the items that can be read; ``unread`` gets the others."""
     read = []
@@ -227,7 +227,7 @@
         try:
             read.append(_items.read(raw))
         except _items.ItemError as error:
-            unread.append(forwarding.Refusal("", 0, str(error)))
+            unread.append(forwarding.RefusedItem("", 0, str(error)))
     return read
 
 
--- a/tests/fleets/fleet.py
+++ b/tests/fleets/fleet.py
@@ -173,7 +173,7 @@
             task.cancel()
         old = self.daemons.pop(host, None)
         if old is not None:
-            old.polls.clear()
+            old.held_polls.clear()
 
     def entry(
         self,
--- a/tests/fleets/instances.py
+++ b/tests/fleets/instances.py
@@ -152,7 +152,7 @@
         self, job: httpio.Job, request: httpio.Request, status: int = 200
     ) -> None:
         self._running.pop(job, None)
-        names = self._plant.fleet.daemons[self.host].keys
+        names = self._plant.fleet.daemons[self.host].header_keys
         fields = [
             (names.request_id, request.found[names.request_id]),
             (names.signature, b"s"),
@@ -199,8 +199,8 @@
     daemon = fleet.daemons[host]
     fields = [
         (b"Host", b"a.example"),
-        (daemon.names.request_id, b"q%d" % next(_serial)),
-        (daemon.names.deadline_ms, DEADLINE_MS),
+        (daemon.header_names.request_id, b"q%d" % next(_serial)),
+        (daemon.header_names.deadline_ms, DEADLINE_MS),
     ]
     method = b"POST" if body else b"GET"
     head = httpio.request_head(method, target, fields, len(body))
--- a/tests/fleets/test_crashes.py
+++ b/tests/fleets/test_crashes.py
@@ -385,7 +385,7 @@
         plant.crashing.update(dict.fromkeys(bad, CRASH_SECONDS))
         await send_often(fleet, itertools.cycle(bad), 60.0, 20.0)
         for daemon in fleet.daemons.values():
-            ledger = daemon.ledger
+            ledger = daemon.crash_ledger
             assert len(ledger.crashes) <= 256
             assert ledger.run_count <= 1_200
             told = crashes.reports_since(ledger, daemon.clock.monotonic())
--- a/tests/forwarding/measure_hop.py
+++ b/tests/forwarding/measure_hop.py
@@ -35,7 +35,9 @@
     def data_received(self, data: bytes) -> None:
         start = data.index(b"X-Request: ") + len(b"X-Request: ")
         request_id = data[start : data.index(b"\r\n", start)]
-        got = place.Got(b"", {b"x-request": request_id}, b"", asyncio.Event())
+        got = place.ReceivedRequest(
+            b"", {b"x-request": request_id}, b"", asyncio.Event()
+        )
         self._transport.write(place.signed(got, b"whole"))
 
 
@@ -63,7 +65,7 @@
         self._transport.write(HEAD % (self._path, self._left))
 
 
-async def _measure(world: place.Place, path: bytes) -> float:
+async def _measure(world: place.Cluster, path: bytes) -> float:
     """Return microseconds of processor time a call."""
     loop = asyncio.get_running_loop()
     begun = time.process_time()
@@ -74,9 +76,9 @@
     return (time.process_time() - begun) / CALLS * 1e6
 
 
-async def _world() -> place.Place:
+async def _world() -> place.Cluster:
     entrance, callee, _ = place.HOSTS
-    world = place.Place()
+    world = place.Cluster()
     world.policy(3, place.route("/s/", "s"), place.route("/t/", "s"))
     loop = asyncio.get_running_loop()
     await loop.create_server(_Upstream, callee, world.ports[3])
--- a/tests/forwarding/place.py
+++ b/tests/forwarding/place.py
@@ -26,7 +26,7 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-NAMES = forwarding.Names(
+NAMES = forwarding.HeaderNames(
     request_id=b"X-Request",
     deadline_ms=b"X-Deadline-Ms",
     target=b"X-Target",
@@ -153,7 +153,7 @@
     names = NAMES
     ready_path = b"/ready"
 
-    def __init__(self, place: Place, host: str, service: str) -> None:
+    def __init__(self, place: Cluster, host: str, service: str) -> None:
         self._place = place
         self._host = host
         self._service = service
@@ -200,7 +200,7 @@
 
 
 @dataclasses.dataclass
-class Got:
+class ReceivedRequest:
     """What an upstream got: the request's head, fields and body."""
 
     line: bytes
@@ -209,15 +209,19 @@
     cut: asyncio.Event
 
 
-Script = typing.Callable[[Got, asyncio.StreamWriter], "abc.Awaitable[None]"]
+Script = typing.Callable[
+    [ReceivedRequest, asyncio.StreamWriter], "abc.Awaitable[None]"
+]
 
 
-async def answer(got: Got, writer: asyncio.StreamWriter) -> None:
+async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
     """Answer as a sound instance does."""
     writer.write(signed(got, b"whole"))
 
 
-def signed(got: Got, body: bytes, status: bytes = b"200 OK") -> bytes:
+def signed(
+    got: ReceivedRequest, body: bytes, status: bytes = b"200 OK"
+) -> bytes:
     """Return an instance's whole answer."""
     return (
         b"HTTP/1.1 %s\r\nX-Request: %s\r\nX-Signature: s\r\n"
@@ -231,7 +235,7 @@
 
     def __init__(self, script: Script) -> None:
         self.script = script
-        self.got: list[Got] = []
+        self.got: list[ReceivedRequest] = []
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -266,13 +270,13 @@
                 fields[name.strip().lower()] = value.strip()
             size = int(fields.get(b"content-length", b"0"))
             body = await reader.readexactly(size)
-            got = Got(line, fields, body, asyncio.Event())
+            got = ReceivedRequest(line, fields, body, asyncio.Event())
             self.got.append(got)
             await self._run(got, reader, writer)
 
     async def _run(
         self,
-        got: Got,
+        got: ReceivedRequest,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
@@ -295,14 +299,14 @@
     seconds: float
 
 
-class Place:
+class Cluster:
     """Hosts with a daemon and an upstream each, and one store."""
 
     def __init__(self) -> None:
         self.source = Source()
         self.ports = _free_ports(4)
         self.seeds: tuple[forwarding.Address, ...] = ()
-        self.daemons: dict[str, _daemon.Running] = {}
+        self.daemons: dict[str, _daemon.RunningDaemon] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.lines: list[bytes] = []
         self.since: dict[str, int] = {}
@@ -384,7 +388,7 @@
         finally:
             writer.close()
 
-    async def daemon(self, host: str, service: str) -> _daemon.Running:
+    async def daemon(self, host: str, service: str) -> _daemon.RunningDaemon:
         """Start a daemon and wait until it knows what the store holds."""
         dialect = Dialect(self, host, service)
         journal = _events.Journal(self._take_line)
@@ -396,7 +400,7 @@
             random.Random(1),
             journal,
         )
-        running = _daemon.Running(made)
+        running = _daemon.RunningDaemon(made)
         await _daemon.open_listeners(running)
         _daemon.start(running)
         self.daemons[host] = running
--- a/tests/forwarding/test_counters.py
+++ b/tests/forwarding/test_counters.py
@@ -21,9 +21,9 @@
 def test_page_has_each_kind_of_line(line: str) -> None:
     counters = _counters.new_counters()
     for seconds in (0.1, 0.2):
-        _counters.ended(counters, "r", 9, 200, "answered", seconds)
-    _counters.attempted(counters, "s", "queue_delay")
-    _counters.believed(counters, "store_lost")
+        _counters.count_answer(counters, "r", 9, 200, "answered", seconds)
+    _counters.count_attempt(counters, "s", "queue_delay")
+    _counters.count_state_change(counters, "store_lost")
     page = _counters.render(counters, {"leaving": 0.0}).decode()
     assert line in page
 
@@ -32,6 +32,6 @@
     """A policy with hundreds of routes must not make as many histograms."""
     counters = _counters.new_counters()
     for serial in range(500):
-        _counters.ended(counters, f"r{serial}", 9, 200, "answered", 0.1)
+        _counters.count_answer(counters, f"r{serial}", 9, 200, "answered", 0.1)
     assert len(counters.seconds) <= _counters.ROUTES_MAX + 1
     assert sum(counters.seconds["other"].counts) > 400
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -16,7 +16,7 @@
     asyncio.run(asyncio.wait_for(test, 20.0))
 
 
-def events(world: place.Place, name: str) -> list[dict[str, typing.Any]]:
+def events(world: place.Cluster, name: str) -> list[dict[str, typing.Any]]:
     """Return the lines of one event."""
     for running in world.daemons.values():
         running.daemon.journal.flush_lines()
@@ -25,9 +25,9 @@
     return [line for line in found if line["event"] == name]
 
 
-async def _world(idempotent: bool = True) -> place.Place:
+async def _world(idempotent: bool = True) -> place.Cluster:
     """Return a client's VM A, and instances of ``s`` on B and C."""
-    world = place.Place()
+    world = place.Cluster()
     world.policy(3, place.route("/s/", "s", idempotent))
     await world.upstream(B, "s")
     await world.upstream(C, "s")
@@ -38,11 +38,13 @@
     return world
 
 
-def crash_on(world: place.Place, path: str, seconds: float = 0.03) -> None:
+def crash_on(world: place.Cluster, path: str, seconds: float = 0.03) -> None:
     """Let each instance crash that runs a request for the path."""
 
     def script_of(upstream: place.Upstream) -> place.Script:
-        async def script(got: place.Got, writer: asyncio.StreamWriter) -> None:
+        async def script(
+            got: place.ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             await asyncio.sleep(seconds)
             if got.line.split(b" ")[1] == path.encode():
                 upstream.crash()
@@ -80,7 +82,9 @@
     async def test() -> None:
         world = await _world(idempotent=False)
 
-        async def lose(got: place.Got, writer: asyncio.StreamWriter) -> None:
+        async def lose(
+            got: place.ReceivedRequest, writer: asyncio.StreamWriter
+        ) -> None:
             writer.transport.abort()
 
         for upstream in world.upstreams.values():
--- a/tests/forwarding/test_customers.py
+++ b/tests/forwarding/test_customers.py
@@ -11,7 +11,7 @@
 from sassafrasstair.decisions import policies
 from tests.forwarding import place as place_module
 
-Place = place_module.Place
+Place = place_module.Cluster
 ONE, OTHER, _ = place_module.HOSTS
 KEY, OTHER_KEY = b"key-of-one", b"key-of-two"
 CUSTOMERS = (
@@ -212,7 +212,7 @@
     """What an instance refused was charged to its customer's quota."""
 
     async def refuse(
-        got: place_module.Got, writer: asyncio.StreamWriter
+        got: place_module.ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(
             b"HTTP/1.1 503 No\r\nX-Request: %s\r\nX-Not-Run: 1\r\n"
--- a/tests/forwarding/test_lifecycle.py
+++ b/tests/forwarding/test_lifecycle.py
@@ -18,7 +18,9 @@
     Each gets its answer; readiness says at once that others should serve.
     """
 
-    async def slow(got: place.Got, writer: asyncio.StreamWriter) -> None:
+    async def slow(
+        got: place.ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.3)
         writer.write(place.signed(got, b"whole"))
 
@@ -50,7 +52,9 @@
     and the log says why. Then it has another memory limit.
     """
 
-    async def slow(got: place.Got, writer: asyncio.StreamWriter) -> None:
+    async def slow(
+        got: place.ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(1.0)
         writer.write(place.signed(got, b"whole"))
 
@@ -82,7 +86,9 @@
     once.
     """
 
-    async def slow(got: place.Got, writer: asyncio.StreamWriter) -> None:
+    async def slow(
+        got: place.ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.2)
         writer.write(place.signed(got, b"whole"))
 
@@ -94,7 +100,7 @@
             asyncio.ensure_future(world.call(A, "/s/", "POST"))
             for _ in range(3)
         ]
-        while len(world.daemons[B].daemon.runs) < len(calls):
+        while len(world.daemons[B].daemon.executions) < len(calls):
             await asyncio.sleep(0.01)
         time.sleep(1.0)
         woken = time.monotonic()
--- a/tests/forwarding/test_path.py
+++ b/tests/forwarding/test_path.py
@@ -26,9 +26,9 @@
     idempotent: bool = True,
     timeout: float = 2.0,
     slots: int = 8,
-) -> place.Place:
+) -> place.Cluster:
     """Return a client's VM A, and an instance of ``s`` on B."""
-    world = place.Place()
+    world = place.Cluster()
     world.policy(3, place.route("/s/", "s", idempotent, timeout))
     await world.upstream(B, "s", script, slots)
     await world.daemon(A, "front")
@@ -37,41 +37,57 @@
     return world
 
 
-async def refuse(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def refuse(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     writer.write(
         b"HTTP/1.1 503 Busy\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
     )
 
 
-async def fail(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def fail(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     writer.write(place.signed(got, b"bad", b"500 Internal Server Error"))
 
 
-async def unsigned(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def unsigned(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     whole = place.signed(got, b"x")
     writer.write(whole.replace(b"X-Signature: s\r\n", b""))
 
 
-async def of_another(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def of_another(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     whole = place.signed(got, b"x")
     writer.write(whole.replace(got.fields[b"x-request"], b"other"))
     writer.close()
 
 
-async def cut_short(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def cut_short(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     writer.write(place.signed(got, b"whole")[:-1])
     writer.close()
 
 
-async def lose(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def lose(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     writer.transport.abort()
 
 
-async def hang(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def hang(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     await asyncio.sleep(60.0)
 
 
-async def other_instance(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def other_instance(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     writer.write(b"HTTP/1.1 421 Misdirected\r\nContent-Length: 0\r\n\r\n")
 
 
@@ -206,7 +222,7 @@
         writer.close()
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.policy(3, place.route("/s/", "s", True, 4.0))
         await asyncio.start_server(silent, C, world.ports[1])
         await world.upstream(B, "s")
@@ -236,7 +252,7 @@
         writer.close()
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.policy(3, place.route("/s/", "s", False, 0.8))
         world.entry(C, "s")
         await asyncio.start_server(silent, C, world.ports[1])
@@ -257,7 +273,7 @@
     """
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.policy(3, place.route("/s/", "s", False))
         world.entry(C, "s")
         await world.daemon(A, "front")
@@ -306,7 +322,7 @@
     """
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.policy(3, place.route("/s/", "s", False, 0.6, objective=4.0))
         await world.upstream(B, "s", hang, slots=1)
         await world.daemon(A, "front")
@@ -355,7 +371,9 @@
     in the instance's own queue they could not be called back.
     """
 
-    async def slow(got: place.Got, writer: asyncio.StreamWriter) -> None:
+    async def slow(
+        got: place.ReceivedRequest, writer: asyncio.StreamWriter
+    ) -> None:
         await asyncio.sleep(0.1)
         writer.write(place.signed(got, b"whole"))
 
@@ -366,7 +384,7 @@
         async def look() -> None:
             nonlocal most
             while True:
-                held = world.daemons[B].daemon.runs.values()
+                held = world.daemons[B].daemon.executions.values()
                 most = max(most, sum(run.job is not None for run in held))
                 await asyncio.sleep(0.005)
 
@@ -388,7 +406,7 @@
     """
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.policy(3, place.route("/s/", "s"))
         world.entry(B, "s")
         await world.daemon(A, "front")
--- a/tests/forwarding/test_restarts.py
+++ b/tests/forwarding/test_restarts.py
@@ -24,13 +24,15 @@
     return time.time_ns() // 1_000_000
 
 
-async def _hang(got: place.Got, writer: asyncio.StreamWriter) -> None:
+async def _hang(
+    got: place.ReceivedRequest, writer: asyncio.StreamWriter
+) -> None:
     await asyncio.sleep(60.0)
 
 
-async def _world(idempotent: bool) -> place.Place:
+async def _world(idempotent: bool) -> place.Cluster:
     """Return a client's VM A, and an instance of one slot on B that hangs."""
-    world = place.Place()
+    world = place.Cluster()
     world.policy(3, place.route("/s/", "s", idempotent, timeout=3.0))
     await world.upstream(B, "s", _hang, slots=1)
     world.put_instance(f"i-{B}", B, "s", slots=1, born=_now_ms() - AGO_MS)
@@ -41,7 +43,7 @@
     return world
 
 
-async def _restart(world: place.Place) -> None:
+async def _restart(world: place.Cluster) -> None:
     """Start B's instance again, and one on C that answers."""
     await world.upstream(C, "s")
     await world.knows(A, B, C)
@@ -69,7 +71,7 @@
             asyncio.ensure_future(world.call(A, "/s/", "POST"))
             for _ in range(2)
         ]
-        while len(world.daemons[B].daemon.runs) < 2:
+        while len(world.daemons[B].daemon.executions) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.3)
         await _restart(world)
@@ -90,7 +92,7 @@
         world = await _world(True)
         instance = f"i-{B}"
         call = asyncio.ensure_future(world.call(A, "/s/"))
-        while not world.daemons[B].daemon.runs:
+        while not world.daemons[B].daemon.executions:
             await asyncio.sleep(0.01)
         (before,) = world.daemons[B].daemon.guards.values()
         peers = world.daemons[A].daemon.routes.peers
@@ -128,13 +130,13 @@
             world.put_instance(key, B, "s", slots=1)
             await world.knows(A, B, C)
         call = asyncio.ensure_future(world.call(A, "/s/"))
-        while not world.daemons[B].daemon.runs:
+        while not world.daemons[B].daemon.executions:
             await asyncio.sleep(0.01)
         guards = dict(world.daemons[B].daemon.guards)
         world.put_instance(key, B, "s", slots=2, born=born)
         await world.knows(A, B, C)
         await asyncio.sleep(0.2)
-        assert len(world.daemons[B].daemon.runs) == 1
+        assert len(world.daemons[B].daemon.executions) == 1
         assert not any(guard.leaving for guard in guards.values())
         call.cancel()
 
--- a/tests/forwarding/test_sync.py
+++ b/tests/forwarding/test_sync.py
@@ -22,7 +22,7 @@
     """
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.source.away.add(A)
         world.policy(1, place.route("/s/", "s"))
         await world.daemon(A, "front")
@@ -118,13 +118,13 @@
     """
 
     async def test() -> None:
-        world = place.Place()
+        world = place.Cluster()
         world.policy(3, place.route("/s/", "s"))
         daemon = (await world.daemon(A, "front")).daemon
         for revision in (7, 7, 8):
-            refusal = forwarding.Refusal("servers/x", revision, "state")
+            refusal = forwarding.RefusedItem("servers/x", revision, "state")
             _learning.note_refused(daemon, [refusal])
-        unread = forwarding.Refusal("", 0, "not_an_object")
+        unread = forwarding.RefusedItem("", 0, "not_an_object")
         _learning.note_refused(daemon, [unread, unread])
         assert daemon.counters.refusals == {"state": 2, "not_an_object": 2}
         daemon.journal.flush_lines()
@@ -187,7 +187,7 @@
     test_path.run(test())
 
 
-async def _feed_of(world: place.Place, host: str) -> dict[str, typing.Any]:
+async def _feed_of(world: place.Cluster, host: str) -> dict[str, typing.Any]:
     reader, writer = await asyncio.open_connection(host, world.ports[2])
     writer.write(b"GET /feed HTTP/1.1\r\nHost: x\r\n\r\n")
     got = await place._read_answer(reader, 0.0)
--- a/tests/forwarding/test_walks.py
+++ b/tests/forwarding/test_walks.py
@@ -24,7 +24,7 @@
     import pathlib
 
 
-async def _fill_and_call(world: place.Place) -> place.Answer:
+async def _fill_and_call(world: place.Cluster) -> place.Answer:
     """Hold the only slot with other requests, then send one more."""
     held = [
         asyncio.ensure_future(world.call(test_path.A, "/s/")) for _ in range(4)
@@ -37,7 +37,7 @@
     return got
 
 
-async def _call(world: place.Place) -> place.Answer:
+async def _call(world: place.Cluster) -> place.Answer:
     return await world.call(test_path.A, "/s/", "POST")
 
 
@@ -74,7 +74,7 @@
     tmp_path: pathlib.Path,
     script: place.Script,
     send: typing.Callable[
-        [place.Place], typing.Coroutine[typing.Any, typing.Any, place.Answer]
+        [place.Cluster], typing.Coroutine[typing.Any, typing.Any, place.Answer]
     ],
     status: int,
     request_id: str,
--- a/tests/forwarding/test_wire.py
+++ b/tests/forwarding/test_wire.py
@@ -17,8 +17,8 @@
 from sassafrasstair.forwarding import _wire
 from sassafrasstair import outcomes
 
-ASK = _wire.Ask(7, "i-1", "lookup", 5.25, 1.5, 0.5)
-STATE = _wire.State(
+ASK = _wire.RequestMetadata(7, "i-1", "lookup", 5.25, 1.5, 0.5)
+STATE = _wire.CalleeState(
     7,
     False,
     calls.LoadReport(0.5, 0.0, 20.0, 0.03),
@@ -43,7 +43,7 @@
 
 
 def test_fields_come_back_as_they_were() -> None:
-    assert _wire.decode_ask(_wire.encode_ask(ASK)) == ASK
+    assert _wire.decode_metadata(_wire.encode_metadata(ASK)) == ASK
     assert _wire.decode_state(_wire.encode_state(STATE)) == STATE
     snapshot = views.Snapshot(5, 4, POLICY, (INSTANCE,))
     assert (
@@ -66,7 +66,7 @@
 )
 def test_ask_that_cannot_be_counted_with_is_refused(value: bytes) -> None:
     with pytest.raises(_wire.WireError):
-        _wire.decode_ask(value)
+        _wire.decode_metadata(value)
 
 
 @pytest.mark.parametrize("bad", [b"inf", b"nan", b"-1", b"x"])
@@ -130,7 +130,7 @@
 @given(st.binary(max_size=60))
 def test_any_bytes_are_understood_or_refused(data: bytes) -> None:
     for decode in (
-        _wire.decode_ask,
+        _wire.decode_metadata,
         _wire.decode_state,
         _feed_wire.decode_snapshot,
     ):
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -195,15 +195,15 @@
 
 
 def _ask() -> Codec:
-    ask = _wire.Ask(9, "i-1", "r", 7.25, 1.5, 0.25)
+    ask = _wire.RequestMetadata(9, "i-1", "r", 7.25, 1.5, 0.25)
     return Codec(
-        lambda: _wire.encode_ask(ask),
-        lambda data: _wire.encode_ask(_wire.decode_ask(data)),
+        lambda: _wire.encode_metadata(ask),
+        lambda data: _wire.encode_metadata(_wire.decode_metadata(data)),
     )
 
 
 def _state() -> Codec:
-    state = _wire.State(
+    state = _wire.CalleeState(
         9,
         True,
         calls.LoadReport(0.5, 0.0, 8.0, 0.25),
