--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -50,7 +50,7 @@
     the load that they are told instead.
     """
 
-    limits: _limits.Limit
+    limit_state: _limits.Limit
     floors: _floors.Floors
     running: dict[str, float] = dataclasses.field(default_factory=dict)
     running_by_level: dict[int, int] = dataclasses.field(default_factory=dict)
@@ -77,7 +77,7 @@
     @property
     def limit(self) -> float:
         """The learnt concurrency limit, warm-up left out."""
-        return self.limits.value
+        return self.limit_state.value
 
 
 def new_guard(
@@ -132,9 +132,9 @@
     taken = now - started
     if end is _messages.End.DONE:
         _learn(guard, work, taken, now)
-        _limits.succeeded(guard.limits)
+        _limits.succeeded(guard.limit_state)
     elif end is _messages.End.REFUSED:
-        _limits.refused(guard.limits, guard.mean_service_seconds, now)
+        _limits.refused(guard.limit_state, guard.mean_service_seconds, now)
     return _dispatch(guard, now)
 
 
@@ -209,7 +209,7 @@
 
 
 def _has_room(guard: Guard, now: float) -> bool:
-    return len(guard.running) + 1 <= _limits.current(guard.limits, now)
+    return len(guard.running) + 1 <= _limits.current(guard.limit_state, now)
 
 
 def _start(guard: Guard, work: _messages.Work, now: float) -> _messages.Effect:
@@ -290,7 +290,9 @@
 
 def _turn_seconds(guard: Guard, now: float) -> float:
     """Return how long it takes on average until a slot falls free."""
-    return guard.current_service_seconds / _limits.current(guard.limits, now)
+    return guard.current_service_seconds / _limits.current(
+        guard.limit_state, now
+    )
 
 
 def _standing(guard: Guard, now: float) -> int:
@@ -351,7 +353,9 @@
     """Return the lowest level with room to spare, all above counted."""
     if guard.current_service_seconds <= 0.0:
         return 0
-    served = _limits.current(guard.limits, now) / guard.current_service_seconds
+    served = (
+        _limits.current(guard.limit_state, now) / guard.current_service_seconds
+    )
     return _floors.reach(guard.floors, COMFORTABLE_SHARE * served)
 
 
@@ -387,7 +391,7 @@
     """
     if guard.current_service_seconds <= 0.0:
         return math.inf
-    limit = _limits.current(guard.limits, now)
+    limit = _limits.current(guard.limit_state, now)
     served = limit / guard.current_service_seconds * SLACK_SECONDS
     return (served + math.sqrt(served) + 0.5) / SLACK_SECONDS
 
--- a/src/sassafrasstair/decisions/load/_views.py
+++ b/src/sassafrasstair/decisions/load/_views.py
@@ -12,7 +12,7 @@
 
 def limit(guard: _guards.Guard, now: float) -> float:
     """Return how many attempts may run at the upstream now."""
-    return _limits.current(guard.limits, now)
+    return _limits.current(guard.limit_state, now)
 
 
 def resize(guard: _guards.Guard, slots: int) -> None:
@@ -21,7 +21,7 @@
     What was learnt below the old slots is kept; a limit that stood at the
     old slots goes to the new ones.
     """
-    limits = guard.limits
+    limits = guard.limit_state
     at_slots = limits.value >= limits.slots
     limits.slots = float(slots)
     limits.value = limits.slots if at_slots else min(limits.value, slots)
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -264,7 +264,7 @@
     end = load.End.DONE
     if ending is requests.Ending.REFUSED:
         guard = run.guard
-        full = len(guard.running) >= FULL_SHARE * guard.limits.slots
+        full = len(guard.running) >= FULL_SHARE * guard.limit_state.slots
         end = load.End.REFUSED if full else load.End.FAILED
     elif ending is not None:
         end = load.End.FAILED
--- a/src/sassafrasstair/forwarding/_guards.py
+++ b/src/sassafrasstair/forwarding/_guards.py
@@ -50,7 +50,7 @@
     """Let the guard have the slots that the instance's entry tells."""
     known = views.instance_by_id(daemon.view, instance)
     slots = _usable_slots(known)
-    if known is not None and slots != guard.limits.slots:
+    if known is not None and slots != guard.limit_state.slots:
         load.resize(guard, slots)
 
 
--- a/tests/decisions/admission/test_admissions.py
+++ b/tests/decisions/admission/test_admissions.py
@@ -64,7 +64,7 @@
     assert min(settled) > 0.2
 
 
-def test_least_important_makes_room() -> None:
+def test_least_important_route_is_shed_first() -> None:
     shares = _simulate(
         {"lookup": (0, 100.0, 10), "binding": (2, 100.0, 5)}, 20.0
     )
@@ -102,7 +102,7 @@
     assert gates.gates["r"].share == 1.0
 
 
-def test_gate_opens_again_when_nothing_is_heard() -> None:
+def test_gate_opens_again_without_reports() -> None:
     gates = admission.Admission()
     rng = random.Random(1)
     _shut(gates, rng)
@@ -121,7 +121,7 @@
         (1.5, 0.0, 1.5),
     ],
 )
-def test_wait_counts_and_not_how_many_wait(
+def test_pressure_counts_wait_not_queue_length(
     busy: float, service: float, expected: float
 ) -> None:
     """A quick instance has a queue of half its slots, 10 ms long.
@@ -162,7 +162,7 @@
     assert not admission.is_inner(known, "r", 4)
 
 
-def test_load_below_fades_when_it_is_not_heard() -> None:
+def test_callee_load_expires_when_not_reported() -> None:
     """The service below has gone; its last load must not stay for ever."""
     chains = admission.CalleeLoads()
     admission.observe_inner_load(chains, "r", 5, 3.0, 100.0)
--- a/tests/decisions/calls/test_retries.py
+++ b/tests/decisions/calls/test_retries.py
@@ -37,7 +37,7 @@
         (Outcome.NOT_RUN, Reason.PEER_UNREACHABLE, False, 60.0, False),
     ],
 )
-def test_what_is_retried(
+def test_which_failures_are_retried(
     outcome: outcomes.Outcome,
     reason: outcomes.Reason,
     once: bool,
@@ -70,7 +70,7 @@
     ("left", "leaf", "given"),
     [(0, False, 0), (1, False, 1), (2, False, 1), (3, False, 2), (3, True, 0)],
 )
-def test_share_of_the_allowance_that_goes_down(
+def test_retries_granted_to_an_attempt(
     left: int, leaf: bool, given: int
 ) -> None:
     assert _retries.passed_down(left, leaf) == given
--- a/tests/decisions/load/test_floors.py
+++ b/tests/decisions/load/test_floors.py
@@ -72,7 +72,7 @@
     assert _floors.floor(floors, "main") == 0.0
 
 
-def test_no_pressure_no_floor() -> None:
+def test_no_floor_without_overload() -> None:
     floors = _floors.new_floors(0.0)
     now = _offer(floors, {"main": 1000.0}, 1.0, capacity=200.0)
     _floors.look(floors, 200.0, pressed=False, now=now + TICK)
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize(
     ("room", "level"), [(50.0, 10), (150.0, 4), (450.0, 4), (900.0, 0)]
 )
-def test_reach_is_the_lowest_level_with_room(room: float, level: int) -> None:
+def test_lowest_level_within_capacity(room: float, level: int) -> None:
     floors = _floors.new_floors(0.0)
     for step in range(1, 60):
         for rank, count in ((9.5, 5), (3.5, 20)):
--- a/tests/decisions/load/test_guards.py
+++ b/tests/decisions/load/test_guards.py
@@ -62,7 +62,7 @@
     assert _reasons(effects) == {"late": reason}
 
 
-def test_slow_once_is_not_slow_for_ever() -> None:
+def test_service_estimate_fades_without_samples() -> None:
     """An instance that refuses all as too slow must be tried again.
 
     One service took 8 s, so that no deadline of 5 s can be met. Nothing is
@@ -77,7 +77,7 @@
     assert _started(later) == ["later"]
 
 
-def test_waiters_are_looked_at_again_after_a_pause() -> None:
+def test_deadlines_are_checked_again_after_a_pause() -> None:
     """A process that slept must not start what nobody waits for.
 
     A request waits, the process pauses beyond its deadline, and the slot
--- a/tests/decisions/requests/test_budgets.py
+++ b/tests/decisions/requests/test_budgets.py
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("daemons", [1, 16, 195, 1_333])
 @pytest.mark.parametrize("slack", [0.0, 4.0, 48.0, 213.0])
-def test_parts_of_the_slack_are_within_one_hop_s(
+def test_parts_of_the_slack_stay_within_the_share_of_a_hop(
     daemons: int, slack: float
 ) -> None:
     rules = requests.BudgetRules(0.2, slack, WINDOW)
