--- a/src/sassafrasstair/bench/_capacity_fleets.py
+++ b/src/sassafrasstair/bench/_capacity_fleets.py
@@ -68,7 +68,7 @@
     in_force: dict[str, list[tuple[float, int]]] = dataclasses.field(
         default_factory=lambda: collections.defaultdict(list)
     )
-    reports: list[tuple[float, str, fleet.Report]] = dataclasses.field(
+    reports: list[tuple[float, str, fleet.ReportEvent]] = dataclasses.field(
         default_factory=list
     )
     wire: collections.Counter[str] = dataclasses.field(
@@ -98,10 +98,10 @@
 
     def adopt(self, node: fleet.Node) -> None:
         """Take in a daemon that was made ready outside."""
-        self.nodes[node.me.address] = node
+        self.nodes[node.local_record.address] = node
         self.at(
             self.rng.uniform(0, TICK),
-            lambda: self._tick(node.me.address, node),
+            lambda: self._tick(node.local_record.address, node),
         )
 
     def at(self, delay: float, action: abc.Callable[[], None]) -> None:
@@ -139,7 +139,7 @@
             elif isinstance(effect, fleet.ReadPlatform):
                 self._read_later(address, effect.delay)
             elif isinstance(effect, fleet.Watch):
-                self._watch(address, effect.on)
+                self._watch(address, effect.enabled)
             else:
                 self.reports.append((self.now, address, effect))
 
@@ -154,7 +154,9 @@
 
     def cut(self, *names: str, alone: bool = True) -> None:
         """Cut off each failure domain from all others, or as a group."""
-        domains = {node.me.failure_domain for node in self.nodes.values()}
+        domains = {
+            node.local_record.failure_domain for node in self.nodes.values()
+        }
         for name in names:
             for other in domains - ({name} if alone else set(names)):
                 self.cuts.add(frozenset((name, other)))
@@ -242,7 +244,9 @@
         if self._wait_out(flight.receiver, lambda: self._arrive(flight)):
             return
         message = fleet.decode(flight.request)
-        reply, effects = fleet.handle(receiver, message, self.now, self.rng)
+        reply, effects = fleet.handle_request(
+            receiver, message, self.now, self.rng
+        )
         self.perform(flight.receiver, effects)
         if reply is not None and flight.delay is not None:
             data = fleet.encode(reply)
@@ -258,7 +262,7 @@
             return
         self._count(flight, len(reply))
         message = fleet.decode(reply)
-        effects = fleet.replied(
+        effects = fleet.process_reply(
             flight.node, flight.receiver, message, self.now, self.rng
         )
         self.perform(flight.sender, effects)
@@ -300,17 +304,20 @@
             return None
         if (sender, receiver) in self.broken:
             return None
-        ends = (one.me.failure_domain, other.me.failure_domain)
+        ends = (
+            one.local_record.failure_domain,
+            other.local_record.failure_domain,
+        )
         if ends[0] == ends[1]:
             return SAME_DOMAIN_DELAY
         if frozenset(ends) in self.cuts:
             return None
-        if one.me.region != other.me.region:
+        if one.local_record.region != other.local_record.region:
             return OTHER_REGION_DELAY
         return OTHER_DOMAIN_DELAY
 
     def _reaches_platform(self, address: str) -> bool:
-        domain = self.nodes[address].me.failure_domain
+        domain = self.nodes[address].local_record.failure_domain
         return self.platform.up and frozenset((domain, "")) not in self.cuts
 
     def _read_later(self, address: str, delay: float) -> None:
@@ -336,17 +343,19 @@
     def _deliver(self, address: str) -> None:
         node, contents = self.nodes[address], self.platform.contents
         vms = list(contents.vms)
-        effects = fleet.platform_vms(
+        effects = fleet.process_platform_vms(
             node, vms, contents.index, self.now, self.rng
         )
-        effects += fleet.platform_bundles(
+        effects += fleet.process_platform_bundles(
             node, list(contents.bundles), contents.index, self.now, self.rng
         )
         self.perform(address, effects)
 
     def _platform_failed(self, address: str) -> None:
         node = self.nodes[address]
-        self.perform(address, fleet.platform_failed(node, self.now, self.rng))
+        self.perform(
+            address, fleet.process_platform_failure(node, self.now, self.rng)
+        )
 
     def _watch(self, address: str, on: bool) -> None:
         if on:
--- a/src/sassafrasstair/bench/_capacity_slopes.py
+++ b/src/sassafrasstair/bench/_capacity_slopes.py
@@ -89,22 +89,24 @@
     def exchange() -> None:
         clock[0] += 1.0
         request = fleet.decode(fleet.encode(gossip))
-        reply, _ = fleet.handle(other, request, clock[0], rng)
+        reply, _ = fleet.handle_request(other, request, clock[0], rng)
         assert reply is not None
         answer = fleet.decode(fleet.encode(reply))
-        fleet.replied(one, other.me.address, answer, clock[0], rng)
+        fleet.process_reply(
+            one, other.local_record.address, answer, clock[0], rng
+        )
 
     def tick() -> None:
         clock[0] += 0.25
         fleet.tick(one, clock[0], rng)
 
-    vm = other.me.vm
+    vm = other.local_record.vm
     approved = _capacity_bundles.envelope(_capacity_bundles.bundle(1))
     return {
         "gossip_exchange_both_ends_us": _microseconds(exchange, 2_000),
         "tick_us": _microseconds(tick, 2_000),
         "observed_us": _microseconds(
-            lambda: fleet.observed(one, vm, True, "", clock[0]), 20_000
+            lambda: fleet.observe_call(one, vm, True, "", clock[0]), 20_000
         ),
         "targets_us": _microseconds(
             lambda: fleet.targets(one, "service-00", clock[0]), 20_000
@@ -122,9 +124,9 @@
     rng = random.Random(1)
     approved = _capacity_bundles.envelope(_capacity_bundles.bundle(1))
     held = _holding(approved)
-    wanted = next(iter(held.held))
-    empty = fleet.MembersFetch((0,) * len(one.checksums))
-    buckets = list(one.checksums)
+    wanted = next(iter(held.bundles_by_id))
+    empty = fleet.MembersFetch((0,) * len(one.bucket_checksums))
+    buckets = list(one.bucket_checksums)
     buckets[0] += 1
     requests: dict[str, tuple[fleet.Node, fleet.Message]] = {
         "gossip": (other, _gossip(one)),
@@ -133,7 +135,7 @@
         "members_one_bucket": (other, fleet.MembersFetch(tuple(buckets))),
         "probe_request": (
             other,
-            fleet.ProbeRequest("vm-1299", one.me.address, False),
+            fleet.ProbeRequest("vm-1299", one.local_record.address, False),
         ),
     }
     figures: dict[str, float] = {
@@ -141,7 +143,7 @@
         "connection_bytes": _capacity_wire.connection_bytes(),
     }
     for name, (receiver, request) in requests.items():
-        reply, _ = fleet.handle(receiver, request, 1.0, rng)
+        reply, _ = fleet.handle_request(receiver, request, 1.0, rng)
         assert reply is not None
         figures[f"{name}_exchange_bytes"] = _capacity_wire.exchange_bytes(
             len(fleet.encode(request)), len(fleet.encode(reply))
@@ -151,13 +153,13 @@
 
 def _gossip(node: fleet.Node) -> fleet.Gossip:
     return fleet.Gossip(
-        node.me.vm,
-        node.me.address,
+        node.local_record.vm,
+        node.local_record.address,
         node.incarnation,
         True,
-        node.index,
+        node.vm_list_index,
         0,
-        tuple(node.held),
+        tuple(node.bundles_by_id),
     )
 
 
@@ -176,7 +178,7 @@
     record = _capacity_fleets.records(1, 1)[0]
     rng = random.Random(1)
     node = fleet.new_node(record, "1", (), _capacity_bundles.verify, 0.0, rng)
-    fleet.platform_bundles(node, [approved], 1, 0.0, rng)
+    fleet.process_platform_bundles(node, [approved], 1, 0.0, rng)
     return node
 
 
--- a/src/sassafrasstair/bench/_capacity_spreads.py
+++ b/src/sassafrasstair/bench/_capacity_spreads.py
@@ -41,7 +41,7 @@
     inside = {
         address
         for address, node in made.nodes.items()
-        if node.me.failure_domain == "domain-0"
+        if node.local_record.failure_domain == "domain-0"
     }
     made.cut("domain-0")
     made.cuts.add(frozenset(("domain-0", "")))
@@ -147,9 +147,9 @@
     What a daemon holds of the other region does not grow with time.
     """
     region = [
-        node.me.failure_domain
+        node.local_record.failure_domain
         for node in made.nodes.values()
-        if node.me.region == "region-0"
+        if node.local_record.region == "region-0"
     ]
     cut_at = made.now
     made.cut(*set(region), alone=False)
@@ -177,8 +177,8 @@
 
 
 def _lost(made: _capacity_fleets.Fleet, gone: list[str]) -> dict[str, float]:
-    names = {made.nodes[address].me.vm for address in gone}
-    domain = made.nodes[gone[0]].me.failure_domain
+    names = {made.nodes[address].local_record.vm for address in gone}
+    domain = made.nodes[gone[0]].local_record.failure_domain
     for address in gone:
         made.stop(address)
     begun = made.now
@@ -208,11 +208,11 @@
 
 
 def _may_call(node: fleet.Node, names: set[str], domain: str) -> bool:
-    reach = node.reach.get(domain)
-    if reach is not None and reach.cut:
+    reach = node.reachability.get(domain)
+    if reach is not None and reach.unreachable:
         return False
     return any(
-        member.life == 0 and not member.barred
+        member.liveness == 0 and not member.ejected
         for vm in names
         for member in (node.members[vm],)
     )
@@ -242,7 +242,7 @@
     made.perform(address, fleet.set_leaving(node, made.now, made.rng))
     made.at(3.0, lambda: made.stop(address))
     seeds = tuple(made.rng.sample(list(made.nodes), 3))
-    made.at(6.0, lambda: made.start(node.me, seeds))
+    made.at(6.0, lambda: made.start(node.local_record, seeds))
 
 
 def _traffic(
@@ -262,7 +262,7 @@
     return [
         address
         for address, node in made.nodes.items()
-        if node.me.failure_domain == domain
+        if node.local_record.failure_domain == domain
     ]
 
 
@@ -272,4 +272,7 @@
 
 
 def _sees_cut(made: _capacity_fleets.Fleet, address: str) -> bool:
-    return any(reach.cut for reach in made.nodes[address].reach.values())
+    return any(
+        reach.unreachable
+        for reach in made.nodes[address].reachability.values()
+    )
--- a/src/sassafrasstair/bench/_capacity_warm.py
+++ b/src/sassafrasstair/bench/_capacity_warm.py
@@ -30,14 +30,14 @@
     me = records[number]
     node = fleet.new_node(me, _incarnation(number), (), verify, 0.0, rng)
     node.settled = True
-    fleet.platform_vms(node, records, INDEX, 0.0, rng)
-    fleet.platform_bundles(node, [approved], INDEX, 0.0, rng)
+    fleet.process_platform_vms(node, records, INDEX, 0.0, rng)
+    fleet.process_platform_bundles(node, [approved], INDEX, 0.0, rng)
     rumours = tuple(
         fleet.Rumour(record.vm, _incarnation(other), 0, 0)
         for other, record in enumerate(records)
     )
     greeting = fleet.Gossip("", "", "", False, 0, 0, rumours=rumours)
-    fleet.handle(node, greeting, 0.0, rng)
+    fleet.handle_request(node, greeting, 0.0, rng)
     _quiet(node, rng)
     return node
 
@@ -72,30 +72,30 @@
     node = fleet.new_node(
         records[number], _incarnation(number), (), template.verify, 0.0, rng
     )
-    kind = type(template.members[template.me.vm])
+    kind = type(template.members[template.local_record.vm])
     node.members = {
         vm: kind(member.record, member.incarnation)
         for vm, member in template.members.items()
     }
     node.by_address = template.by_address
-    node.checksums = list(template.checksums)
-    node.index = template.index
-    node.held = dict(template.held)
+    node.bucket_checksums = list(template.bucket_checksums)
+    node.vm_list_index = template.vm_list_index
+    node.bundles_by_id = dict(template.bundles_by_id)
     node.in_force = template.in_force
     node.settled = True
-    node.edition += 1
-    node.roster += 1
+    node.usability_version += 1
+    node.membership_version += 1
     _quiet(node, rng)
     return node
 
 
 def _quiet(node: fleet.Node, rng: random.Random) -> None:
-    node.hot.clear()
-    node.unlisted.clear()
-    node.urgent = False
-    node.offer = False
-    node.next_gossip = rng.random()
-    node.round = rng.randrange(64)
+    node.transmissions_left.clear()
+    node.unshared_records.clear()
+    node.push_pending = False
+    node.bundle_push_pending = False
+    node.next_gossip_at = rng.random()
+    node.gossip_round = rng.randrange(64)
 
 
 def _incarnation(number: int) -> str:
--- a/src/sassafrasstair/decisions/fleet/__init__.py
+++ b/src/sassafrasstair/decisions/fleet/__init__.py
@@ -12,7 +12,7 @@
 from sassafrasstair.decisions.fleet._effects import EXCHANGE_TIMEOUT
 from sassafrasstair.decisions.fleet._effects import InForce
 from sassafrasstair.decisions.fleet._effects import ReadPlatform
-from sassafrasstair.decisions.fleet._effects import Report
+from sassafrasstair.decisions.fleet._effects import ReportEvent
 from sassafrasstair.decisions.fleet._effects import Watch
 from sassafrasstair.decisions.fleet._messages import BadMessage
 from sassafrasstair.decisions.fleet._messages import BundleFetch
@@ -27,17 +27,17 @@
 from sassafrasstair.decisions.fleet._messages import Message
 from sassafrasstair.decisions.fleet._messages import ProbeRequest
 from sassafrasstair.decisions.fleet._messages import ProbeResult
-from sassafrasstair.decisions.fleet._messages import Received
+from sassafrasstair.decisions.fleet._messages import Receipt
 from sassafrasstair.decisions.fleet._messages import Record
 from sassafrasstair.decisions.fleet._messages import Rumour
 from sassafrasstair.decisions.fleet._messages import SERVING
-from sassafrasstair.decisions.fleet._nodes import handle
+from sassafrasstair.decisions.fleet._nodes import handle_request
 from sassafrasstair.decisions.fleet._nodes import new_node
-from sassafrasstair.decisions.fleet._nodes import observed
-from sassafrasstair.decisions.fleet._nodes import platform_bundles
-from sassafrasstair.decisions.fleet._nodes import platform_failed
-from sassafrasstair.decisions.fleet._nodes import platform_vms
-from sassafrasstair.decisions.fleet._nodes import replied
+from sassafrasstair.decisions.fleet._nodes import observe_call
+from sassafrasstair.decisions.fleet._nodes import process_platform_bundles
+from sassafrasstair.decisions.fleet._nodes import process_platform_failure
+from sassafrasstair.decisions.fleet._nodes import process_platform_vms
+from sassafrasstair.decisions.fleet._nodes import process_reply
 from sassafrasstair.decisions.fleet._nodes import set_leaving
 from sassafrasstair.decisions.fleet._nodes import tick
 from sassafrasstair.decisions.fleet._nodes import unreachable
@@ -46,7 +46,7 @@
 from sassafrasstair.decisions.fleet._queries import incarnation_of
 from sassafrasstair.decisions.fleet._queries import is_leaving
 from sassafrasstair.decisions.fleet._queries import is_serving
-from sassafrasstair.decisions.fleet._queries import ready
+from sassafrasstair.decisions.fleet._queries import ready_to_serve
 from sassafrasstair.decisions.fleet._queries import status
 from sassafrasstair.decisions.fleet._states import Node
 from sassafrasstair.decisions.fleet._subsets import targets
@@ -71,27 +71,27 @@
     "ProbeRequest",
     "ProbeResult",
     "ReadPlatform",
-    "Received",
+    "Receipt",
     "Record",
-    "Report",
+    "ReportEvent",
     "Rumour",
     "Watch",
     "address_of",
     "bundle_id",
     "decode",
     "encode",
-    "handle",
+    "handle_request",
     "in_force",
     "incarnation_of",
     "is_leaving",
     "is_serving",
     "new_node",
-    "observed",
-    "platform_bundles",
-    "platform_failed",
-    "platform_vms",
-    "ready",
-    "replied",
+    "observe_call",
+    "process_platform_bundles",
+    "process_platform_failure",
+    "process_platform_vms",
+    "ready_to_serve",
+    "process_reply",
     "set_leaving",
     "status",
     "targets",
--- a/src/sassafrasstair/decisions/fleet/_effects.py
+++ b/src/sassafrasstair/decisions/fleet/_effects.py
@@ -26,7 +26,7 @@
 class Watch:
     """Hold, or give up, a blocking watch at the platform."""
 
-    on: bool
+    enabled: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -44,11 +44,11 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Report:
+class ReportEvent:
     """One event for the log."""
 
     event: str
     fields: dict[str, str]
 
 
-Effect = Exchange | Watch | ReadPlatform | InForce | Report
+Effect = Exchange | Watch | ReadPlatform | InForce | ReportEvent
--- a/src/sassafrasstair/decisions/fleet/_fetches.py
+++ b/src/sassafrasstair/decisions/fleet/_fetches.py
@@ -36,7 +36,7 @@
             if address not in running.others:
                 running.others.append(address)
             continue
-        if now < node.shunned.get(one, now):
+        if now < node.fetch_blocked_until.get(one, now):
             continue
         node.fetches[one] = _states.Fetch(address, now + FETCH_DEADLINE)
         effects.append(_fetch(one, address))
@@ -50,13 +50,17 @@
     now: float,
 ) -> list[_effects.Effect]:
     """Take in a fetched bundle, or try the next peer that has it."""
-    envelope = _versions.unpack(reply.body) if reply.body else None
+    envelope = (
+        _versions.unpack(reply.compressed_envelope)
+        if reply.compressed_envelope
+        else None
+    )
     if envelope is None:
-        return retry(node, reply.bundle, now)
-    node.fetches.pop(reply.bundle, None)
+        return retry(node, reply.bundle_id, now)
+    node.fetches.pop(reply.bundle_id, None)
     effects = _versions.offered(node, envelope, address)
-    if reply.bundle not in node.held:
-        _shun(node, reply.bundle, now)
+    if reply.bundle_id not in node.bundles_by_id:
+        _shun(node, reply.bundle_id, now)
     return effects
 
 
@@ -98,26 +102,26 @@
     node: _states.Node, request: _messages.BundleFetch
 ) -> _messages.BundleReply:
     """Return the bundle asked for, empty if not held."""
-    held = node.held.get(request.bundle)
-    body = b"" if held is None else held.body
-    return _messages.BundleReply(request.bundle, body)
+    held = node.bundles_by_id.get(request.bundle_id)
+    body = b"" if held is None else held.compressed_envelope
+    return _messages.BundleReply(request.bundle_id, body)
 
 
 def compare(
     node: _states.Node, peer: _messages.Summary, now: float
 ) -> list[_effects.Effect]:
     """Fetch the differing members if the tables differ for long."""
-    uninformed = node.index == 0 and peer.index > 0
-    if peer.members == _members.checksum(node):
-        node.index = max(node.index, peer.index)
+    uninformed = node.vm_list_index == 0 and peer.vm_list_index > 0
+    if peer.members_checksum == _members.checksum(node):
+        node.vm_list_index = max(node.vm_list_index, peer.vm_list_index)
         return []
     if now < node.next_sync and not (uninformed and not node.syncing):
         return []
-    if node.hot and not uninformed:
+    if node.transmissions_left and not uninformed:
         return []
     node.next_sync = now + SYNC_EVERY
     node.syncing = True
-    request = _messages.MembersFetch(tuple(node.checksums))
+    request = _messages.MembersFetch(tuple(node.bucket_checksums))
     return [_effects.Exchange(peer.address, request)]
 
 
@@ -125,9 +129,9 @@
     node: _states.Node, request: _messages.MembersFetch
 ) -> _messages.MembersReply:
     """Return the members in the buckets that differ."""
-    rumours = _members.differing(node, request.checksums)
+    rumours = _members.differing(node, request.bucket_checksums)
     body = zlib.compress(_messages.encode_rumours(rumours), 6)
-    return _messages.MembersReply(body, node.index)
+    return _messages.MembersReply(body, node.vm_list_index)
 
 
 def took_members(
@@ -137,11 +141,13 @@
     node.syncing = False
     # One kilobyte a second is what the budget leaves: after a large
     # table the next comparison waits until its bytes are paid for.
-    wait = len(reply.body) / SYNC_BYTES_PER_SECOND
+    wait = len(reply.compressed_rumours) / SYNC_BYTES_PER_SECOND
     node.next_sync = now + max(SYNC_EVERY, wait)
-    node.index = max(node.index, reply.index)
+    node.vm_list_index = max(node.vm_list_index, reply.vm_list_index)
     try:
-        data = zlib.decompressobj().decompress(reply.body, MOST_MEMBERS_BYTES)
+        data = zlib.decompressobj().decompress(
+            reply.compressed_rumours, MOST_MEMBERS_BYTES
+        )
     except zlib.error as error:
         raise _messages.BadMessage(str(error)) from error
     return _messages.decode_rumours(data)
@@ -154,6 +160,6 @@
 def _shun(node: _states.Node, bundle: _messages.BundleId, now: float) -> None:
     # A peer that announces a bundle which is refused here would be asked
     # for it at each exchange, and the body sent again and again.
-    while len(node.shunned) >= MOST_SHUNNED:
-        del node.shunned[next(iter(node.shunned))]
-    node.shunned[bundle] = now + SHUNNED_FOR
+    while len(node.fetch_blocked_until) >= MOST_SHUNNED:
+        del node.fetch_blocked_until[next(iter(node.fetch_blocked_until))]
+    node.fetch_blocked_until[bundle] = now + SHUNNED_FOR
--- a/src/sassafrasstair/decisions/fleet/_members.py
+++ b/src/sassafrasstair/decisions/fleet/_members.py
@@ -35,17 +35,17 @@
 
 def usable(node: _states.Node, member: _states.Member, now: float) -> bool:
     """Return whether ``member`` may be given new work."""
-    if member.life != _messages.SERVING or member.leaving:
+    if member.liveness != _messages.SERVING or member.leaving:
         return False
-    if member.record.state == "leaving" or member.barred:
+    if member.record.state == "leaving" or member.ejected:
         return False
-    reach = node.reach.get(member.record.failure_domain)
-    return now >= member.hold_until and not (reach and reach.cut)
+    reach = node.reachability.get(member.record.failure_domain)
+    return now >= member.hold_down_until and not (reach and reach.unreachable)
 
 
 def is_member(member: _states.Member) -> bool:
     """Return whether ``member`` takes part in gossip, as far as known."""
-    return member.life == _messages.SERVING
+    return member.liveness == _messages.SERVING
 
 
 def rumour_of(member: _states.Member, whole: bool) -> _messages.Rumour:
@@ -54,18 +54,18 @@
         member.record.vm,
         member.incarnation,
         member.revision,
-        member.life,
+        member.liveness,
         member.leaving,
-        member.blind,
+        member.platform_unreachable,
         member.record if whole else None,
     )
 
 
 def changed(node: _states.Node, roster: bool = False) -> None:
     """Void what was worked out of who is usable, or of all members."""
-    node.edition += 1
+    node.usability_version += 1
     if roster:
-        node.roster += 1
+        node.membership_version += 1
 
 
 def merge(node: _states.Node, rumour: _messages.Rumour, now: float) -> bool:
@@ -99,12 +99,12 @@
     member = node.members[vm]
     spread = math.log(len(node.members) + 2)
     times = math.ceil(RETRANSMISSIONS * spread)
-    if member.life != _messages.SERVING or member.leaving:
-        node.hot[vm] = FIRST + times
-    elif vm == node.me.vm or len(node.hot) < MOST_HOT:
+    if member.liveness != _messages.SERVING or member.leaving:
+        node.transmissions_left[vm] = FIRST + times
+    elif vm == node.local_record.vm or len(node.transmissions_left) < MOST_HOT:
         # When a whole fleet starts, everyone announces itself: beyond this
         # the announcements are left to the comparison of tables.
-        node.hot[vm] = times
+        node.transmissions_left[vm] = times
 
 
 def piggyback(
@@ -117,11 +117,13 @@
     ``known`` is what the receiver has just told itself.
     """
     told = {rumour.vm for rumour in known if _is_current(node, rumour)}
-    fresh = [vm for vm in node.hot if vm not in told]
-    chosen = sorted(fresh, key=node.hot.__getitem__, reverse=True)
+    fresh = [vm for vm in node.transmissions_left if vm not in told]
+    chosen = sorted(
+        fresh, key=node.transmissions_left.__getitem__, reverse=True
+    )
     rumours = [_told(node, vm) for vm in chosen[:MAX_RUMOURS]]
     member = node.members.get(receiver)
-    if member is not None and member.life != _messages.SERVING:
+    if member is not None and member.liveness != _messages.SERVING:
         # A paused process wakes and is rumoured dead: unless it hears so
         # it cannot refute, and gets no work though it serves.
         rumours.append(rumour_of(member, whole=False))
@@ -136,7 +138,7 @@
 
 def checksum(node: _states.Node) -> int:
     """Return the checksum of the whole member table."""
-    return zlib.crc32(_BUCKET_VALUES.pack(*node.checksums))
+    return zlib.crc32(_BUCKET_VALUES.pack(*node.bucket_checksums))
 
 
 def differing(
@@ -145,7 +147,7 @@
     """Return all rumours of the buckets that differ from ``checksums``."""
     wanted = {
         bucket
-        for bucket, value in enumerate(node.checksums)
+        for bucket, value in enumerate(node.bucket_checksums)
         if bucket >= len(checksums) or checksums[bucket] != value
     }
     return tuple(
@@ -159,26 +161,28 @@
     """Bar a member that is back for a while, longer the more it flaps."""
     # Hysteresis: a VM at the edge of failure would take work and lose it
     # again each second; each return within a minute doubles the wait.
-    if now - member.hold_until > FLAPS_FORGOTTEN:
+    if now - member.hold_down_until > FLAPS_FORGOTTEN:
         member.flaps = 0
     wait = min(HOLD_FIRST * 2**member.flaps, HOLD_LONGEST)
     member.flaps += 1
-    member.hold_until = now + wait
-    node.holding.add(member.record.vm)
+    member.hold_down_until = now + wait
+    node.held_down.add(member.record.vm)
     changed(node)
 
 
 def release(node: _states.Node, now: float) -> None:
     """End the holds whose time is over."""
-    over = {vm for vm in node.holding if node.members[vm].hold_until <= now}
+    over = {
+        vm for vm in node.held_down if node.members[vm].hold_down_until <= now
+    }
     if over:
-        node.holding -= over
+        node.held_down -= over
         changed(node)
 
 
 def common(node: _states.Node, vm: str) -> None:
     """Note that peers have the record of ``vm`` already."""
-    node.unlisted.discard(vm)
+    node.unshared_records.discard(vm)
 
 
 def forget(node: _states.Node, vm: str) -> None:
@@ -187,11 +191,11 @@
     _toggle(node, member)
     if node.by_address.get(member.record.address) == vm:
         del node.by_address[member.record.address]
-    node.hot.pop(vm, None)
-    node.barred.discard(vm)
-    node.holding.discard(vm)
-    node.unwell.discard(vm)
-    node.unlisted.discard(vm)
+    node.transmissions_left.pop(vm, None)
+    node.ejected.discard(vm)
+    node.held_down.discard(vm)
+    node.not_serving.discard(vm)
+    node.unshared_records.discard(vm)
     changed(node, roster=True)
 
 
@@ -205,9 +209,9 @@
     return (
         rumour.incarnation == member.incarnation
         and rumour.revision == member.revision
-        and rumour.life == member.life
+        and rumour.liveness == member.liveness
         and rumour.leaving == member.leaving
-        and rumour.blind == member.blind
+        and rumour.platform_unreachable == member.platform_unreachable
         and (rumour.record is None or rumour.record.state == "live")
     )
 
@@ -215,13 +219,13 @@
 def _add(node: _states.Node, rumour: _messages.Rumour, now: float) -> bool:
     if rumour.record is None or rumour.record.vm != rumour.vm:
         return False
-    member = _states.Member(rumour.record, changed=now)
+    member = _states.Member(rumour.record, changed_at=now)
     _join(member, rumour)
     node.members[rumour.vm] = member
     node.by_address[rumour.record.address] = rumour.vm
     _toggle(node, member)
     _note_life(node, member)
-    node.unlisted.add(rumour.vm)
+    node.unshared_records.add(rumour.vm)
     changed(node, roster=True)
     return True
 
@@ -233,16 +237,19 @@
     if rumour.incarnation and rumour.incarnation < member.incarnation:
         return
     member.leaving = member.leaving or rumour.leaving
-    later = (rumour.revision, rumour.life) > (member.revision, member.life)
+    later = (rumour.revision, rumour.liveness) > (
+        member.revision,
+        member.liveness,
+    )
     # The VM list names no incarnation: what it says holds for the one
     # that runs, which refutes it if it is wrong.
     listed = not rumour.incarnation and bool(member.incarnation)
     if listed:
-        member.life = max(member.life, rumour.life)
+        member.liveness = max(member.liveness, rumour.liveness)
     elif later:
-        member.blind = rumour.blind
+        member.platform_unreachable = rumour.platform_unreachable
         member.revision = rumour.revision
-        member.life = rumour.life
+        member.liveness = rumour.liveness
     _take_record(member, rumour.record)
 
 
@@ -251,8 +258,8 @@
     member.leaving = rumour.leaving or (member.leaving and not known)
     member.incarnation = rumour.incarnation
     member.revision = rumour.revision
-    member.life = rumour.life
-    member.blind = rumour.blind
+    member.liveness = rumour.liveness
+    member.platform_unreachable = rumour.platform_unreachable
     if rumour.record is not None:
         member.record = rumour.record
 
@@ -273,29 +280,29 @@
     now: float,
 ) -> None:
     node.by_address[member.record.address] = member.record.vm
-    member.changed = now
+    member.changed_at = now
     _note_life(node, member)
     back = before[2] != _messages.SERVING
-    if back and member.life == _messages.SERVING:
-        member.barred = False
+    if back and member.liveness == _messages.SERVING:
+        member.ejected = False
         member.failures = 0
-        node.barred.discard(member.record.vm)
+        node.ejected.discard(member.record.vm)
         hold(node, member, now)
     if before[2:] != _place(member)[2:]:
         changed(node, roster=True)
     # That a suspected VM is now held for gone changes nothing for calls
     # and can wait for the next rounds; a rack's loss would send it twice.
     if _takes_work(before[2], before[3]) != _takes_work(
-        member.life, member.leaving
+        member.liveness, member.leaving
     ):
-        node.urgent = True
+        node.push_pending = True
 
 
 def _note_life(node: _states.Node, member: _states.Member) -> None:
-    if member.life == _messages.SERVING:
-        node.unwell.discard(member.record.vm)
+    if member.liveness == _messages.SERVING:
+        node.not_serving.discard(member.record.vm)
     else:
-        node.unwell.add(member.record.vm)
+        node.not_serving.add(member.record.vm)
 
 
 def _takes_work(life: int, leaving: bool) -> bool:
@@ -306,27 +313,27 @@
     return (
         member.incarnation,
         member.revision,
-        member.life,
+        member.liveness,
         member.leaving,
-        member.blind,
+        member.platform_unreachable,
     )
 
 
 def _told(node: _states.Node, vm: str) -> _messages.Rumour:
-    node.hot[vm] -= 1
-    if node.hot[vm] in (0, FIRST):
-        del node.hot[vm]
+    node.transmissions_left[vm] -= 1
+    if node.transmissions_left[vm] in (0, FIRST):
+        del node.transmissions_left[vm]
     member = node.members[vm]
-    return rumour_of(member, whole=vm in node.unlisted)
+    return rumour_of(member, whole=vm in node.unshared_records)
 
 
 def _toggle(node: _states.Node, member: _states.Member) -> None:
     # Members that are gone count for nothing: nodes forget them at
     # different times, which must not look like a difference.
-    if member.life == _messages.GONE:
+    if member.liveness == _messages.GONE:
         return
     value = _digest(f"{member.record.vm} {_place(member)}")
-    node.checksums[bucket_of(member.record.vm)] ^= value
+    node.bucket_checksums[bucket_of(member.record.vm)] ^= value
 
 
 @functools.lru_cache(maxsize=8192)
--- a/src/sassafrasstair/decisions/fleet/_messages.py
+++ b/src/sassafrasstair/decisions/fleet/_messages.py
@@ -14,7 +14,7 @@
 SERVING = 0
 SUSPECTED = 1
 GONE = 2
-Life = typing.Annotated[int, msgspec.Meta(ge=SERVING, le=GONE)]
+Liveness = typing.Annotated[int, msgspec.Meta(ge=SERVING, le=GONE)]
 Count = typing.Annotated[int, msgspec.Meta(ge=0)]
 
 
@@ -45,9 +45,9 @@
     vm: str
     incarnation: str
     revision: Count
-    life: Life
+    liveness: Liveness
     leaving: bool = False
-    blind: bool = False
+    platform_unreachable: bool = False
     record: Record | None = None
 
 
@@ -70,10 +70,10 @@
     address: str
     incarnation: str
     settled: bool
-    index: int
-    members: int
-    held: tuple[BundleId, ...] = ()
-    cut: tuple[str, ...] = ()
+    vm_list_index: int
+    members_checksum: int
+    bundle_ids: tuple[BundleId, ...] = ()
+    unreachable_domains: tuple[str, ...] = ()
     rumours: tuple[Rumour, ...] = ()
 
 
@@ -88,27 +88,27 @@
 class BundleFetch(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """Request: the envelope of one bundle that the peer holds."""
 
-    bundle: BundleId
+    bundle_id: BundleId
 
 
 class BundleReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """Reply: the compressed envelope, empty if no longer held."""
 
-    bundle: BundleId
-    body: bytes
+    bundle_id: BundleId
+    compressed_envelope: bytes
 
 
 class MembersFetch(msgspec.Struct, frozen=True, array_like=True, tag=5):
     """Request: the members in the buckets whose checksums differ."""
 
-    checksums: tuple[int, ...]
+    bucket_checksums: tuple[int, ...]
 
 
 class MembersReply(msgspec.Struct, frozen=True, array_like=True, tag=6):
     """Reply: compressed msgpack of ``tuple[Rumour, ...]`` with records."""
 
-    body: bytes
-    index: int
+    compressed_rumours: bytes
+    vm_list_index: int
 
 
 class ProbeRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
@@ -119,7 +119,7 @@
 
     vm: str
     reply_to: str
-    whole: bool
+    with_helpers: bool
 
 
 class ProbeResult(msgspec.Struct, frozen=True, array_like=True, tag=8):
@@ -130,7 +130,7 @@
     reached: bool
 
 
-class Received(msgspec.Struct, frozen=True, array_like=True, tag=9):
+class Receipt(msgspec.Struct, frozen=True, array_like=True, tag=9):
     """Reply: nothing to say but that the request came."""
 
 
@@ -143,7 +143,7 @@
     | MembersReply
     | ProbeRequest
     | ProbeResult
-    | Received
+    | Receipt
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -46,11 +46,11 @@
     )
     _members.merge(node, rumour, now)
     _members.mark_hot(node, me.vm)
-    node.read_at = _platform.first_read_at(now, rng)
-    node.next_gossip = now
-    node.ticked = now
+    node.next_read_at = _platform.first_read_at(now, rng)
+    node.next_gossip_at = now
+    node.last_tick_at = now
     node.flushed = now
-    node.tokens = _spreads.MOST_TOKENS
+    node.push_tokens = _spreads.MOST_TOKENS
     return node
 
 
@@ -59,8 +59,8 @@
 ) -> list[_effects.Effect]:
     """Do what time has brought due; to be called each 250 ms."""
     effects = _woken(node, now)
-    node.ticked = now
-    waiting, node.waiting = node.waiting, []
+    node.last_tick_at = now
+    waiting, node.pending_effects = node.pending_effects, []
     effects += waiting
     effects += _missed_calls(node, now, rng)
     effects += _suspicions.review(node, now, rng)
@@ -75,7 +75,7 @@
     return effects + _spreads.flush(node, now, rng)
 
 
-def handle(
+def handle_request(
     node: _states.Node,
     message: _messages.Message,
     now: float,
@@ -83,7 +83,7 @@
 ) -> tuple[_messages.Message | None, list[_effects.Effect]]:
     """Answer one request of a peer; no reply to what is no request."""
     effects = _woken(node, now)
-    reply: _messages.Message | None = _messages.Received()
+    reply: _messages.Message | None = _messages.Receipt()
     if isinstance(message, _messages.Gossip):
         effects += _heard(node, message, now, rng)
         reply = _summaries.summary(
@@ -95,7 +95,7 @@
         reply = _fetches.give_members(node, message)
     elif isinstance(message, _messages.ProbeRequest):
         effects += _suspicions.check(
-            node, message.vm, message.reply_to, message.whole, now, rng
+            node, message.vm, message.reply_to, message.with_helpers, now, rng
         )
     elif isinstance(message, _messages.ProbeResult):
         effects += _suspicions.result(node, message, now)
@@ -104,7 +104,7 @@
     return reply, effects + _spreads.flush(node, now, rng)
 
 
-def replied(
+def process_reply(
     node: _states.Node,
     peer_address: str,
     message: _messages.Message,
@@ -117,7 +117,7 @@
         node, node.by_address.get(peer_address, ""), now
     )
     if isinstance(message, _messages.GossipReply):
-        node.answered[peer_address] = message.settled
+        node.settled_by_address[peer_address] = message.settled
         effects += _heard(node, message, now, rng)
         effects += _spreads.settle(node, now, rng)
     elif isinstance(message, _messages.BundleReply):
@@ -143,7 +143,7 @@
     return effects + _spreads.flush(node, now, rng)
 
 
-def platform_bundles(
+def process_platform_bundles(
     node: _states.Node,
     envelopes: list[bytes],
     index: int,
@@ -155,7 +155,7 @@
     return effects + _spreads.flush(node, now, rng)
 
 
-def platform_vms(
+def process_platform_vms(
     node: _states.Node,
     records: list[_messages.Record],
     index: int,
@@ -167,7 +167,7 @@
     return effects + _spreads.flush(node, now, rng)
 
 
-def platform_failed(
+def process_platform_failure(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Take in a lost or overflown watch, or a read that failed."""
@@ -179,20 +179,25 @@
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Tell all that this VM takes no new work from now on."""
-    me = node.members[node.me.vm]
+    me = node.members[node.local_record.vm]
     rumour = _messages.Rumour(
-        node.me.vm, node.incarnation, node.revision, me.life, True, me.blind
+        node.local_record.vm,
+        node.incarnation,
+        node.revision,
+        me.liveness,
+        True,
+        me.platform_unreachable,
     )
     if _members.merge(node, rumour, now):
-        _members.mark_hot(node, node.me.vm)
+        _members.mark_hot(node, node.local_record.vm)
     node.next_flush = now
     return _spreads.flush(node, now, rng)
 
 
-def observed(
+def observe_call(
     node: _states.Node,
     vm: str,
-    alive: bool,
+    answered: bool,
     incarnation: str,
     now: float,
 ) -> None:
@@ -201,43 +206,43 @@
     ``incarnation`` is empty when the daemon did not answer.
     """
     member = node.members.get(vm)
-    if member is None or vm == node.me.vm:
+    if member is None or vm == node.local_record.vm:
         return
-    if not alive:
-        node.missed_calls.add(vm)
+    if not answered:
+        node.failed_calls.add(vm)
         return
     if incarnation > member.incarnation:
         _members.contacted(node, vm, incarnation, now)
     domain = member.record.failure_domain
     if member.failures or vm in node.checks:
-        node.waiting += _suspicions.alive(node, vm, now)
+        node.pending_effects += _suspicions.alive(node, vm, now)
     elif _reaches.is_cut(node, domain):
-        node.waiting += _suspicions.alive(node, vm, now)
-    node.missed_calls.discard(vm)
+        node.pending_effects += _suspicions.alive(node, vm, now)
+    node.failed_calls.discard(vm)
 
 
 def _woken(node: _states.Node, now: float) -> list[_effects.Effect]:
     """Forget, after a pause of this process, what it seemed to show."""
     # A paused process wakes to find every exchange overdue: it would take
     # all its peers for dead, and tell others so.
-    gap = now - node.ticked
+    gap = now - node.last_tick_at
     if gap <= PAUSE:
         return []
-    node.ticked = now
-    node.deaf_until = now + DEAF_AFTER_PAUSE
+    node.last_tick_at = now
+    node.ignore_failures_until = now + DEAF_AFTER_PAUSE
     node.checks.clear()
-    node.missed_calls.clear()
-    node.next_gossip = now
+    node.failed_calls.clear()
+    node.next_gossip_at = now
     fields = {"seconds": f"{gap:.1f}"}
-    return [_effects.Report("woke_late", fields)]
+    return [_effects.ReportEvent("woke_late", fields)]
 
 
 def _missed_calls(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
-    missed = sorted(node.missed_calls)
-    node.missed_calls.clear()
+    missed = sorted(node.failed_calls)
+    node.failed_calls.clear()
     for vm in missed:
         effects += _suspicions.failed(node, vm, now, rng)
     return effects
@@ -258,15 +263,17 @@
         effects += _suspicions.alive(node, peer.vm, now)
     for rumour in peer.rumours:
         effects += _take(node, rumour, now)
-    effects += _reaches.told_cut(node, peer.vm, peer.cut, now, rng)
-    effects += _fetches.want(node, peer.held, peer.address, now)
+    effects += _reaches.told_cut(
+        node, peer.vm, peer.unreachable_domains, now, rng
+    )
+    effects += _fetches.want(node, peer.bundle_ids, peer.address, now)
     return effects + _fetches.compare(node, peer, now)
 
 
 def _take(
     node: _states.Node, rumour: _messages.Rumour, now: float
 ) -> list[_effects.Effect]:
-    if rumour.vm == node.me.vm:
+    if rumour.vm == node.local_record.vm:
         return _about_me(node, rumour, now)
     if _members.merge(node, rumour, now):
         _members.mark_hot(node, rumour.vm)
@@ -279,30 +286,30 @@
     """Refute what is wrongly said of this VM; accept that it leaves."""
     if rumour.incarnation > node.incarnation:
         fields = {"incarnation": rumour.incarnation}
-        return [_effects.Report("incarnation_superseded", fields)]
+        return [_effects.ReportEvent("incarnation_superseded", fields)]
     if rumour.incarnation and rumour.incarnation < node.incarnation:
         return []
-    me = node.members[node.me.vm]
-    slandered = rumour.life != _messages.SERVING
+    me = node.members[node.local_record.vm]
+    slandered = rumour.liveness != _messages.SERVING
     if slandered and rumour.revision >= node.revision:
         node.revision = rumour.revision + 1
     leaving = me.leaving or rumour.leaving
     mine = _messages.Rumour(
-        node.me.vm,
+        node.local_record.vm,
         node.incarnation,
         node.revision,
         _messages.SERVING,
         leaving,
-        me.blind,
+        me.platform_unreachable,
     )
     if not _members.merge(node, mine, now):
         return []
-    _members.mark_hot(node, node.me.vm)
-    node.urgent = True
+    _members.mark_hot(node, node.local_record.vm)
+    node.push_pending = True
     if not slandered:
-        return [_effects.Report("listed_as_leaving", {})]
+        return [_effects.ReportEvent("listed_as_leaving", {})]
     fields = {"revision": str(node.revision)}
-    return [_effects.Report("refuted", fields)]
+    return [_effects.ReportEvent("refuted", fields)]
 
 
 def _took_members(
@@ -313,9 +320,9 @@
         rumours = _fetches.took_members(node, reply, now)
     except _messages.BadMessage as error:
         fields = {"reason": str(error)}
-        return [_effects.Report("bad_members", fields)]
+        return [_effects.ReportEvent("bad_members", fields)]
     for rumour in rumours:
-        if rumour.vm == node.me.vm:
+        if rumour.vm == node.local_record.vm:
             effects += _about_me(node, rumour, now)
         else:
             _members.merge(node, rumour, now)
--- a/src/sassafrasstair/decisions/fleet/_platform.py
+++ b/src/sassafrasstair/decisions/fleet/_platform.py
@@ -51,23 +51,23 @@
     for record in records:
         if _listed(node, record, now):
             _members.mark_hot(node, record.vm)
-            if record.vm == node.me.vm:
-                effects.append(_effects.Report("listed_as_leaving", {}))
-        elif index > node.index > 0:
+            if record.vm == node.local_record.vm:
+                effects.append(_effects.ReportEvent("listed_as_leaving", {}))
+        elif index > node.vm_list_index > 0:
             _members.common(node, record.vm)
     names: dict[str, str] = {each.vm: each.state for each in records}
-    if index < node.index:
+    if index < node.vm_list_index:
         # A platform that came back older does not know some VMs yet, and
         # dropping those would empty services: only what it has listed since
         # and lists no more has been removed.
-        if index > node.older_index:
-            _drop_missing(node, node.older_listed, names, now)
-        node.older_listed, node.older_index = names, index
+        if index > node.restored_index:
+            _drop_missing(node, node.restored_states, names, now)
+        node.restored_states, node.restored_index = names, index
         return effects
-    _drop_missing(node, node.listed, names, now)
-    node.older_listed, node.older_index = {}, 0
-    node.listed = names
-    node.index = index
+    _drop_missing(node, node.listed_states, names, now)
+    node.restored_states, node.restored_index = {}, 0
+    node.listed_states = names
+    node.vm_list_index = index
     return effects
 
 
@@ -85,11 +85,11 @@
 def lost(node: _states.Node, rng: random.Random) -> list[_effects.Effect]:
     """Take in a lost or overflown watch, or a failed read."""
     node.platform_failures += 1
-    if node.held and not node.watching:
-        node.reading = False
+    if node.bundles_by_id and not node.watching:
+        node.read_pending = False
         return []
     longest = LOST_WATCH_SPREAD * 2 ** min(node.platform_failures - 1, 6)
-    node.reading = True
+    node.read_pending = True
     delay = rng.uniform(0.0, min(longest, LONGEST_BACKOFF))
     if node.platform_failures == FAILURES_TO_BLIND:
         _set_blind(node, blind=True)
@@ -104,16 +104,16 @@
     # Watchers are looked for again only when the members change, so a look
     # before the peers are known must not count as one.
     knows = node.settled and _knows_peers(node, now)
-    if knows and node.watchers_roster != node.roster:
-        node.watchers_roster = node.roster
-        chosen = node.me.vm in _subsets.watchers(node)
+    if knows and node.watchers_roster != node.membership_version:
+        node.watchers_roster = node.membership_version
+        chosen = node.local_record.vm in _subsets.watchers(node)
         if chosen != node.watching:
             node.watching = chosen
             effects.append(_effects.Watch(chosen))
-    uninformed = not node.held and not node.watching
-    if uninformed and not node.reading and now >= node.read_at:
-        node.reading = True
-        node.read_at = now + LONGEST_BACKOFF
+    uninformed = not node.bundles_by_id and not node.watching
+    if uninformed and not node.read_pending and now >= node.next_read_at:
+        node.read_pending = True
+        node.next_read_at = now + LONGEST_BACKOFF
         effects.append(_effects.ReadPlatform(0.0))
     return effects
 
@@ -126,29 +126,29 @@
 def _knows_peers(node: _states.Node, now: float) -> bool:
     # All start at once: a daemon that knows only its seeds is among the
     # first two of those few, and so would each of the whole fleet be.
-    return node.index > 0 or now - node.started > KNOWN_AFTER
+    return node.vm_list_index > 0 or now - node.started_at > KNOWN_AFTER
 
 
 def _sees(node: _states.Node) -> None:
-    node.reading = False
+    node.read_pending = False
     if node.platform_failures >= FAILURES_TO_BLIND:
         _set_blind(node, blind=False)
     node.platform_failures = 0
 
 
 def _set_blind(node: _states.Node, blind: bool) -> None:
-    me = node.members[node.me.vm]
+    me = node.members[node.local_record.vm]
     node.revision += 1
     rumour = _messages.Rumour(
-        node.me.vm,
+        node.local_record.vm,
         node.incarnation,
         node.revision,
         _messages.SERVING,
         me.leaving,
         blind,
     )
-    _members.merge(node, rumour, node.ticked)
-    _members.mark_hot(node, node.me.vm)
+    _members.merge(node, rumour, node.last_tick_at)
+    _members.mark_hot(node, node.local_record.vm)
 
 
 def _listed(node: _states.Node, record: _messages.Record, now: float) -> bool:
@@ -164,7 +164,7 @@
 
 def _unlisted(node: _states.Node, vm: str, now: float) -> bool:
     member = node.members.get(vm)
-    if member is None or vm == node.me.vm:
+    if member is None or vm == node.local_record.vm:
         return False
     rumour = _messages.Rumour(vm, "", 0, _messages.GONE)
     return _members.merge(node, rumour, now)
--- a/src/sassafrasstair/decisions/fleet/_queries.py
+++ b/src/sassafrasstair/decisions/fleet/_queries.py
@@ -16,7 +16,7 @@
     return None if node.in_force is None else node.in_force.bundle
 
 
-def ready(node: _states.Node, now: float) -> bool:
+def ready_to_serve(node: _states.Node, now: float) -> bool:
     """Return whether this daemon may serve: settled, with a bundle."""
     return node.settled and node.in_force is not None
 
@@ -36,26 +36,29 @@
 def is_serving(node: _states.Node, vm: str) -> bool:
     """Return whether the fleet believes that the daemon of ``vm`` runs."""
     member = node.members.get(vm)
-    return member is not None and member.life == _messages.SERVING
+    return member is not None and member.liveness == _messages.SERVING
 
 
 def is_leaving(node: _states.Node) -> bool:
     """Return whether this VM is known to be leaving, whoever said so."""
-    return node.members[node.me.vm].leaving
+    return node.members[node.local_record.vm].leaving
 
 
 def status(node: _states.Node) -> dict[str, typing.Any]:
     """Return what ``sassafras status`` shows of the fleet, as JSON has."""
-    lives = [member.life for member in node.members.values()]
+    lives = [member.liveness for member in node.members.values()]
     return {
-        "vm": node.me.vm,
+        "vm": node.local_record.vm,
         "incarnation": node.incarnation,
         "settled": node.settled,
         "in_force": _shown(node.in_force),
-        "held": [_shown(node.held[one]) for one in sorted(node.held)],
-        "refused": dict(node.refused),
-        "conflicts": {str(v): d for v, d in node.conflicts.items()},
-        "vm_list_index": node.index,
+        "held": [
+            _shown(node.bundles_by_id[one])
+            for one in sorted(node.bundles_by_id)
+        ],
+        "refused": dict(node.refusal_reasons),
+        "conflicts": {str(v): d for v, d in node.dropped_digests.items()},
+        "vm_list_index": node.vm_list_index,
         "watching": node.watching,
         "platform_failures": node.platform_failures,
         "members": {
@@ -64,13 +67,15 @@
             "suspected": lives.count(_messages.SUSPECTED),
             "gone": lives.count(_messages.GONE),
             "leaving": sum(m.leaving for m in node.members.values()),
-            "barred": sorted(node.barred),
+            "barred": sorted(node.ejected),
         },
-        "cut": sorted(name for name, r in node.reach.items() if r.cut),
+        "cut": sorted(
+            name for name, r in node.reachability.items() if r.unreachable
+        ),
     }
 
 
-def _shown(held: _states.Held | None) -> dict[str, typing.Any] | None:
+def _shown(held: _states.StoredBundle | None) -> dict[str, typing.Any] | None:
     if held is None:
         return None
     return {
--- a/src/sassafrasstair/decisions/fleet/_reaches.py
+++ b/src/sassafrasstair/decisions/fleet/_reaches.py
@@ -27,8 +27,8 @@
 
 def is_cut(node: _states.Node, domain: str) -> bool:
     """Return whether ``domain`` cannot be reached from here."""
-    reach = node.reach.get(domain)
-    return reach is not None and reach.cut
+    reach = node.reachability.get(domain)
+    return reach is not None and reach.unreachable
 
 
 def told_cut(
@@ -40,15 +40,15 @@
 ) -> list[_effects.Effect]:
     """Look for oneself at what an own-domain peer says of its reach."""
     member = node.members.get(sender)
-    own = node.me.failure_domain
+    own = node.local_record.failure_domain
     if member is None or member.record.failure_domain != own:
         return []
     effects: list[_effects.Effect] = []
     for domain in domains:
         if domain != own and not is_cut(node, domain):
             effects += _look(node, domain, REACH_PROBES, now, rng)
-    for domain, reach in node.reach.items():
-        if reach.cut and domain not in domains:
+    for domain, reach in node.reachability.items():
+        if reach.unreachable and domain not in domains:
             effects += _look(node, domain, 1, now, rng)
     return effects
 
@@ -57,19 +57,19 @@
     node: _states.Node, domain: str, now: float
 ) -> list[_effects.Effect]:
     """Take in that a VM of ``domain`` was reached."""
-    if domain == node.me.failure_domain:
+    if domain == node.local_record.failure_domain:
         return []
-    reach = node.reach.setdefault(domain, _states.Reach())
-    reach.success = now
-    reach.failed.clear()
-    if not reach.cut:
+    reach = node.reachability.setdefault(domain, _states.DomainReachability())
+    reach.last_success_at = now
+    reach.failed_at.clear()
+    if not reach.unreachable:
         return []
-    reach.cut = False
-    reach.changed = now
-    node.urgent = True
+    reach.unreachable = False
+    reach.changed_at = now
+    node.push_pending = True
     _free_domain(node, domain)
     _members.changed(node)
-    return [_effects.Report("domain_reached", {"failure_domain": domain})]
+    return [_effects.ReportEvent("domain_reached", {"failure_domain": domain})]
 
 
 def review(
@@ -77,20 +77,20 @@
 ) -> list[_effects.Effect]:
     """Return probes of the failure domains that are cut off."""
     effects: list[_effects.Effect] = []
-    for domain, reach in node.reach.items():
-        if reach.cut and now >= reach.next_probe:
-            reach.next_probe = now + REACH_RETRY * rng.uniform(0.8, 1.2)
+    for domain, reach in node.reachability.items():
+        if reach.unreachable and now >= reach.next_probe_at:
+            reach.next_probe_at = now + REACH_RETRY * rng.uniform(0.8, 1.2)
             effects += _probe_domain(node, domain, 1, rng)
     return effects
 
 
 def _free_domain(node: _states.Node, domain: str) -> None:
-    for vm in list(node.barred):
+    for vm in list(node.ejected):
         member = node.members[vm]
         if member.record.failure_domain == domain:
-            member.barred = False
+            member.ejected = False
             member.failures = 0
-            node.barred.discard(vm)
+            node.ejected.discard(vm)
 
 
 def missed(
@@ -101,20 +101,22 @@
 ) -> list[_effects.Effect]:
     """Take in a failure towards another domain; see if it is cut off."""
     domain = member.record.failure_domain
-    reach = node.reach.setdefault(domain, _states.Reach())
-    for vm in [vm for vm, at in reach.failed.items() if now - at > CUT_WINDOW]:
-        del reach.failed[vm]
-    reach.failed[member.record.vm] = now
-    if reach.cut:
+    reach = node.reachability.setdefault(domain, _states.DomainReachability())
+    for vm in [
+        vm for vm, at in reach.failed_at.items() if now - at > CUT_WINDOW
+    ]:
+        del reach.failed_at[vm]
+    reach.failed_at[member.record.vm] = now
+    if reach.unreachable:
         return []
-    if len(reach.failed) < _enough(node, domain):
+    if len(reach.failed_at) < _enough(node, domain):
         return _look(node, domain, REACH_PROBES, now, rng)
-    reach.cut = True
-    reach.changed = now
-    reach.next_probe = now + REACH_RETRY
-    node.urgent = True
+    reach.unreachable = True
+    reach.changed_at = now
+    reach.next_probe_at = now + REACH_RETRY
+    node.push_pending = True
     _members.changed(node)
-    return [_effects.Report("domain_cut", {"failure_domain": domain})]
+    return [_effects.ReportEvent("domain_cut", {"failure_domain": domain})]
 
 
 def _enough(node: _states.Node, domain: str) -> int:
@@ -132,10 +134,10 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    reach = node.reach.setdefault(domain, _states.Reach())
-    if now - reach.checked < REACH_RETRY:
+    reach = node.reachability.setdefault(domain, _states.DomainReachability())
+    if now - reach.last_probed_at < REACH_RETRY:
         return []
-    reach.checked = now
+    reach.last_probed_at = now
     return _probe_domain(node, domain, probes, rng)
 
 
@@ -150,7 +152,7 @@
         return (
             same
             and name not in chosen
-            and not member.life != _messages.SERVING
+            and not member.liveness != _messages.SERVING
         )
 
     for _ in range(probes):
--- a/src/sassafrasstair/decisions/fleet/_spreads.py
+++ b/src/sassafrasstair/decisions/fleet/_spreads.py
@@ -38,20 +38,20 @@
     """Return the periodic exchange if it is due."""
     if not node.settled:
         return _ask(node, rng)
-    if now < node.next_gossip:
+    if now < node.next_gossip_at:
         return []
-    node.next_gossip = now + GOSSIP_EVERY * rng.uniform(0.9, 1.1)
-    node.round += 1
-    if node.round % STRANGER_EACH == 0:
+    node.next_gossip_at = now + GOSSIP_EVERY * rng.uniform(0.9, 1.1)
+    node.gossip_round += 1
+    if node.gossip_round % STRANGER_EACH == 0:
         return _to_stranger(node, rng)
     own, other = _subsets.partners(node)
     chosen = own
-    if not own or (other and node.round % OTHER_DOMAIN_EACH == 0):
+    if not own or (other and node.gossip_round % OTHER_DOMAIN_EACH == 0):
         chosen = other
     if not chosen:
         return _to_stranger(node, rng)
     vm = chosen[_turn(node, chosen is other) % len(chosen)]
-    if vm in node.barred or _cut_off(node, vm):
+    if vm in node.ejected or _cut_off(node, vm):
         return _to_stranger(node, rng)
     return [_gossip(node, node.members[vm].record.address, vm)]
 
@@ -61,21 +61,23 @@
 ) -> list[_effects.Effect]:
     """Pass on at once what cannot wait for the next round."""
     effects: list[_effects.Effect] = []
-    if node.offer and node.settled:
+    if node.bundle_push_pending and node.settled:
         # Bundles pay no token: only operators can make them.
-        node.offer = False
+        node.bundle_push_pending = False
         others = OFFERS_OTHER if node.watching else 0
         effects += _push(node, OFFERS_OWN, others, rng)
-    if not node.urgent or now < node.next_flush:
+    if not node.push_pending or now < node.next_flush:
         return effects
     elapsed = max(0.0, now - node.flushed)
-    node.tokens = min(MOST_TOKENS, node.tokens + elapsed * TOKENS_PER_SECOND)
+    node.push_tokens = min(
+        MOST_TOKENS, node.push_tokens + elapsed * TOKENS_PER_SECOND
+    )
     node.flushed = now
-    if node.tokens < FANOUT_OWN + FANOUT_OTHER:
+    if node.push_tokens < FANOUT_OWN + FANOUT_OTHER:
         return effects
-    node.urgent = False
+    node.push_pending = False
     node.next_flush = now + FLUSH_EVERY
-    node.tokens -= FANOUT_OWN + FANOUT_OTHER
+    node.push_tokens -= FANOUT_OWN + FANOUT_OTHER
     return effects + _push_to_partners(node, rng)
 
 
@@ -88,14 +90,14 @@
     if not _knows_enough(node, now):
         return []
     node.settled = True
-    node.round = rng.randrange(STRANGER_EACH)
-    node.offer = bool(node.held)
-    node.next_gossip = now + GOSSIP_EVERY * rng.random()
+    node.gossip_round = rng.randrange(STRANGER_EACH)
+    node.bundle_push_pending = bool(node.bundles_by_id)
+    node.next_gossip_at = now + GOSSIP_EVERY * rng.random()
     return _versions.settle(node)
 
 
 def _knows_enough(node: _states.Node, now: float) -> bool:
-    waited = now - node.started
+    waited = now - node.started_at
     if node.fetches:
         return waited >= SETTLE_LONGEST
     if waited >= SETTLE_WAIT:
@@ -103,7 +105,7 @@
     # A restarted daemon beside a stale platform would bring an old bundle
     # back into force: peers that were settled before it know better. An
     # answer of a peer that has just started itself shows nothing.
-    knowing = [name for name, ok in node.answered.items() if ok]
+    knowing = [name for name, ok in node.settled_by_address.items() if ok]
     own = [name for name in knowing if _is_own(node, name)]
     if len(own) >= SETTLE_ANSWERS:
         return True
@@ -112,7 +114,7 @@
     known = {
         member.record.address
         for vm, member in node.members.items()
-        if vm != node.me.vm and _members.is_member(member)
+        if vm != node.local_record.vm and _members.is_member(member)
     }
     return bool(knowing) and known.union(node.seeds) <= set(knowing)
 
@@ -121,13 +123,13 @@
     member = node.members.get(node.by_address.get(address, ""))
     if member is None:
         return False
-    return member.record.failure_domain == node.me.failure_domain
+    return member.record.failure_domain == node.local_record.failure_domain
 
 
 def _turn(node: _states.Node, other: bool) -> int:
     """Return the count of rounds of the kind, to go through all partners."""
-    others = node.round // OTHER_DOMAIN_EACH
-    return others if other else node.round - others
+    others = node.gossip_round // OTHER_DOMAIN_EACH
+    return others if other else node.gossip_round - others
 
 
 def _ask(node: _states.Node, rng: random.Random) -> list[_effects.Effect]:
@@ -136,20 +138,23 @@
 
     def fresh(member: _states.Member) -> bool:
         address = member.record.address
-        return not node.answered.get(address) and address not in addresses
+        return (
+            not node.settled_by_address.get(address)
+            and address not in addresses
+        )
 
     def own(member: _states.Member) -> bool:
-        same = member.record.failure_domain == node.me.failure_domain
+        same = member.record.failure_domain == node.local_record.failure_domain
         return same and fresh(member)
 
-    node.round += 1
-    wanted = (own, own, fresh) if node.round <= ASK_MANY else (own,)
+    node.gossip_round += 1
+    wanted = (own, own, fresh) if node.gossip_round <= ASK_MANY else (own,)
     for accept in wanted:
         vm = _subsets.random_member(node, rng, accept)
         if vm is not None:
             addresses.add(node.members[vm].record.address)
-    seeds = [one for one in node.seeds if one != node.me.address]
-    if seeds and node.round <= ASK_MANY:
+    seeds = [one for one in node.seeds if one != node.local_record.address]
+    if seeds and node.gossip_round <= ASK_MANY:
         addresses.add(rng.choice(seeds))
     return [
         _gossip(node, address, node.by_address.get(address, ""))
@@ -164,7 +169,7 @@
     seeds = [
         one
         for one in node.seeds
-        if one != node.me.address and one not in node.by_address
+        if one != node.local_record.address and one not in node.by_address
     ]
     if seeds and rng.random() < 0.25:
         return [_gossip(node, rng.choice(seeds), "")]
@@ -183,12 +188,12 @@
 
     def home(member: _states.Member) -> bool:
         return _pushable(node, member, chosen) and (
-            member.record.failure_domain == node.me.failure_domain
+            member.record.failure_domain == node.local_record.failure_domain
         )
 
     def away(member: _states.Member) -> bool:
         return _pushable(node, member, chosen) and (
-            member.record.failure_domain != node.me.failure_domain
+            member.record.failure_domain != node.local_record.failure_domain
         )
 
     for accept in (home,) * own + (away,) * other:
@@ -221,7 +226,7 @@
     return (
         member.record.vm not in chosen
         and _members.is_member(member)
-        and not member.barred
+        and not member.ejected
         and not _reaches.is_cut(node, member.record.failure_domain)
     )
 
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -29,16 +29,16 @@
     record: _messages.Record
     incarnation: str = ""
     revision: int = 0
-    life: int = _messages.SERVING
+    liveness: int = _messages.SERVING
     leaving: bool = False
-    blind: bool = False
-    changed: float = 0.0
-    heard: float = -1e9
+    platform_unreachable: bool = False
+    changed_at: float = 0.0
+    last_contact_at: float = -1e9
     failures: int = 0
-    barred: bool = False
+    ejected: bool = False
     flaps: int = 0
-    hold_until: float = -1e9
-    next_probe: float = 0.0
+    hold_down_until: float = -1e9
+    next_probe_at: float = 0.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -54,19 +54,19 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Reach:
+class DomainReachability:
     """Whether another failure domain can be reached from here."""
 
-    failed: dict[str, float] = dataclasses.field(default_factory=dict)
-    success: float = -1e9
-    cut: bool = False
-    changed: float = -1e9
-    next_probe: float = 0.0
-    checked: float = -1e9
+    failed_at: dict[str, float] = dataclasses.field(default_factory=dict)
+    last_success_at: float = -1e9
+    unreachable: bool = False
+    changed_at: float = -1e9
+    next_probe_at: float = 0.0
+    last_probed_at: float = -1e9
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Held:
+class StoredBundle:
     """One verified bundle.
 
     ``body`` is its envelope compressed for the wire, ``seal`` the digest
@@ -75,8 +75,8 @@
 
     bundle_id: _messages.BundleId
     bundle: bundles.Bundle
-    body: bytes
-    seal: bytes
+    compressed_envelope: bytes
+    envelope_digest: bytes
 
 
 @dataclasses.dataclass(slots=True)
@@ -92,34 +92,38 @@
 class Node:
     """All that one daemon knows of the fleet; lost with its process."""
 
-    me: _messages.Record
+    local_record: _messages.Record
     incarnation: str
     seeds: tuple[str, ...]
     verify: abc.Callable[[bytes], bundles.Approved]
-    started: float
+    started_at: float
     # Membership.
     revision: int = 0
     members: dict[str, Member] = dataclasses.field(default_factory=dict)
     by_address: dict[str, str] = dataclasses.field(default_factory=dict)
-    edition: int = 0
-    roster: int = 0
-    checksums: list[int] = dataclasses.field(
+    usability_version: int = 0
+    membership_version: int = 0
+    bucket_checksums: list[int] = dataclasses.field(
         default_factory=lambda: [0] * BUCKETS
     )
-    hot: dict[str, int] = dataclasses.field(default_factory=dict)
-    urgent: bool = False
-    tokens: float = 0.0
-    index: int = 0
-    listed: dict[str, str] = dataclasses.field(default_factory=dict)
-    older_index: int = 0
-    older_listed: dict[str, str] = dataclasses.field(default_factory=dict)
+    transmissions_left: dict[str, int] = dataclasses.field(
+        default_factory=dict
+    )
+    push_pending: bool = False
+    push_tokens: float = 0.0
+    vm_list_index: int = 0
+    listed_states: dict[str, str] = dataclasses.field(default_factory=dict)
+    restored_index: int = 0
+    restored_states: dict[str, str] = dataclasses.field(default_factory=dict)
     checks: dict[str, Check] = dataclasses.field(default_factory=dict)
-    barred: set[str] = dataclasses.field(default_factory=set)
-    unwell: set[str] = dataclasses.field(default_factory=set)
-    unlisted: set[str] = dataclasses.field(default_factory=set)
-    holding: set[str] = dataclasses.field(default_factory=set)
-    missed_calls: set[str] = dataclasses.field(default_factory=set)
-    reach: dict[str, Reach] = dataclasses.field(default_factory=dict)
+    ejected: set[str] = dataclasses.field(default_factory=set)
+    not_serving: set[str] = dataclasses.field(default_factory=set)
+    unshared_records: set[str] = dataclasses.field(default_factory=set)
+    held_down: set[str] = dataclasses.field(default_factory=set)
+    failed_calls: set[str] = dataclasses.field(default_factory=set)
+    reachability: dict[str, DomainReachability] = dataclasses.field(
+        default_factory=dict
+    )
     next_sync: float = -1e9
     syncing: bool = False
     # Caches, valid for one edition of who is usable, or for one roster
@@ -132,32 +136,36 @@
         dataclasses.field(default_factory=dict)
     )
     # Bundles.
-    held: dict[_messages.BundleId, Held] = dataclasses.field(
+    bundles_by_id: dict[_messages.BundleId, StoredBundle] = dataclasses.field(
         default_factory=dict
     )
-    in_force: Held | None = None
+    in_force: StoredBundle | None = None
     settled: bool = False
-    answered: dict[str, bool] = dataclasses.field(default_factory=dict)
+    settled_by_address: dict[str, bool] = dataclasses.field(
+        default_factory=dict
+    )
     fetches: dict[_messages.BundleId, Fetch] = dataclasses.field(
         default_factory=dict
     )
-    refused: dict[str, str] = dataclasses.field(default_factory=dict)
-    conflicts: dict[int, str] = dataclasses.field(default_factory=dict)
-    shunned: dict[_messages.BundleId, float] = dataclasses.field(
+    refusal_reasons: dict[str, str] = dataclasses.field(default_factory=dict)
+    dropped_digests: dict[int, str] = dataclasses.field(default_factory=dict)
+    fetch_blocked_until: dict[_messages.BundleId, float] = dataclasses.field(
         default_factory=dict
     )
-    offer: bool = False
+    bundle_push_pending: bool = False
     # Platform.
     watching: bool = False
-    reading: bool = False
-    read_at: float = 0.0
+    read_pending: bool = False
+    next_read_at: float = 0.0
     platform_failures: int = 0
     # Time.
-    ticked: float = 0.0
-    next_gossip: float = 0.0
+    last_tick_at: float = 0.0
+    next_gossip_at: float = 0.0
     next_review: float = 0.0
     next_flush: float = 0.0
     flushed: float = 0.0
-    waiting: list[_effects.Effect] = dataclasses.field(default_factory=list)
-    round: int = 0
-    deaf_until: float = -1e9
+    pending_effects: list[_effects.Effect] = dataclasses.field(
+        default_factory=list
+    )
+    gossip_round: int = 0
+    ignore_failures_until: float = -1e9
--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -39,9 +39,9 @@
     one. So every member has exactly as many own-domain partners that test
     it as there are rings, and connections stay few and lasting.
     """
-    if node.partners_roster != node.roster:
+    if node.partners_roster != node.membership_version:
         node.partners = (_own_partners(node), _other_partners(node))
-        node.partners_roster = node.roster
+        node.partners_roster = node.membership_version
     return node.partners
 
 
@@ -51,15 +51,17 @@
     The two of greatest weight; while these say that they are blind they
     keep trying, and up to two more take over.
     """
-    domain = node.me.failure_domain
+    domain = node.local_record.failure_domain
     ranked = sorted(
-        (vm for vm in _domain(node, domain) if not node.members[vm].barred),
+        (vm for vm in _domain(node, domain) if not node.members[vm].ejected),
         key=lambda vm: _watch_rank(node, vm),
         reverse=True,
     )[:MOST_WATCHERS]
     chosen: list[str] = []
     for vm in ranked:
-        sighted = [vm for vm in chosen if not node.members[vm].blind]
+        sighted = [
+            vm for vm in chosen if not node.members[vm].platform_unreachable
+        ]
         if len(sighted) >= WATCHERS:
             break
         chosen.append(vm)
@@ -78,9 +80,9 @@
     if node.in_force is None:
         return ()
     size = node.in_force.bundle.subset_size
-    if node.targets_edition != node.edition:
+    if node.targets_edition != node.usability_version:
         node.targets = {}
-        node.targets_edition = node.edition
+        node.targets_edition = node.usability_version
     key = (service, size)
     if key not in node.targets:
         node.targets[key] = choose(node, service, size, now)
@@ -97,11 +99,14 @@
         # as one that flaps, and all calls are refused though all serve.
         # Held back instances are better than none.
         live = _usable(node, service, math.inf)
-    live.sort(key=lambda record: weight(node.me.vm, record.vm), reverse=True)
-    domain = node.me.failure_domain
+    live.sort(
+        key=lambda record: weight(node.local_record.vm, record.vm),
+        reverse=True,
+    )
+    domain = node.local_record.failure_domain
     own = [record for record in live if record.failure_domain == domain]
     others = [record for record in live if record.failure_domain != domain]
-    others.sort(key=lambda record: record.region != node.me.region)
+    others.sort(key=lambda record: record.region != node.local_record.region)
     spill = min(len(others), max(1, size // SPILL_SHARE))
     near = own[: size - spill]
     chosen = near + others[: size - len(near)]
@@ -122,12 +127,12 @@
     names = list(node.members)
     for _ in range(8):
         vm = rng.choice(names)
-        if vm != node.me.vm and accept(node.members[vm]):
+        if vm != node.local_record.vm and accept(node.members[vm]):
             return vm
     left = [
         vm
         for vm, member in node.members.items()
-        if vm != node.me.vm and accept(member)
+        if vm != node.local_record.vm and accept(member)
     ]
     return rng.choice(left) if left else None
 
@@ -144,8 +149,8 @@
 
 
 def _own_partners(node: _states.Node) -> tuple[str, ...]:
-    names = list(_domain(node, node.me.failure_domain))
-    return _next_in_rings(node.me.vm, names, "own", OWN_RINGS)
+    names = list(_domain(node, node.local_record.failure_domain))
+    return _next_in_rings(node.local_record.vm, names, "own", OWN_RINGS)
 
 
 def _other_partners(node: _states.Node) -> tuple[str, ...]:
@@ -155,12 +160,16 @@
     by_domain: dict[str, list[str]] = {}
     for vm, member in node.members.items():
         domain = member.record.failure_domain
-        if domain != node.me.failure_domain and _members.is_member(member):
+        if domain != node.local_record.failure_domain and _members.is_member(
+            member
+        ):
             by_domain.setdefault(domain, []).append(vm)
     return tuple(
         vm
         for domain in sorted(by_domain)
-        for vm in _next_in_rings(node.me.vm, by_domain[domain], "other", 1)
+        for vm in _next_in_rings(
+            node.local_record.vm, by_domain[domain], "other", 1
+        )
     )
 
 
@@ -194,4 +203,4 @@
     # with nobody left to watch, new bundles never come into force there.
     # Those that leave therefore rank last but are not left out.
     member = node.members[vm]
-    return not member.leaving, weight(node.me.failure_domain, vm)
+    return not member.leaving, weight(node.local_record.failure_domain, vm)
--- a/src/sassafrasstair/decisions/fleet/_summaries.py
+++ b/src/sassafrasstair/decisions/fleet/_summaries.py
@@ -26,13 +26,17 @@
     ``known`` are the rumours that the receiver has just told.
     """
     return kind(
-        node.me.vm,
-        node.me.address,
+        node.local_record.vm,
+        node.local_record.address,
         node.incarnation,
         node.settled,
-        node.index,
+        node.vm_list_index,
         _members.checksum(node),
-        tuple(node.held),
-        tuple(name for name, reach in node.reach.items() if reach.cut),
+        tuple(node.bundles_by_id),
+        tuple(
+            name
+            for name, reach in node.reachability.items()
+            if reach.unreachable
+        ),
         _members.piggyback(node, receiver, known),
     )
--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -42,7 +42,11 @@
 ) -> list[_effects.Effect]:
     """Test ``vm``, for ``reply_to`` if not empty; with helpers if whole."""
     member = node.members.get(vm)
-    if member is None or vm == node.me.vm or member.life == _messages.GONE:
+    if (
+        member is None
+        or vm == node.local_record.vm
+        or member.liveness == _messages.GONE
+    ):
         return []
     running = node.checks.get(vm)
     if running is not None:
@@ -60,13 +64,13 @@
 def alive(node: _states.Node, vm: str, now: float) -> list[_effects.Effect]:
     """Take in that ``vm`` was reached or has called."""
     member = node.members.get(vm)
-    if member is None or vm == node.me.vm:
+    if member is None or vm == node.local_record.vm:
         return []
-    member.heard = now
+    member.last_contact_at = now
     member.failures = 0
-    if member.barred:
-        member.barred = False
-        node.barred.discard(vm)
+    if member.ejected:
+        member.ejected = False
+        node.ejected.discard(vm)
         _members.hold(node, member, now)
         _members.changed(node, roster=_is_own(node, member))
     effects = _end_check(node, vm, reached=True)
@@ -78,7 +82,11 @@
 ) -> list[_effects.Effect]:
     """Take in that this daemon could not reach ``vm``."""
     member = node.members.get(vm)
-    if member is None or vm == node.me.vm or now < node.deaf_until:
+    if (
+        member is None
+        or vm == node.local_record.vm
+        or now < node.ignore_failures_until
+    ):
         # After a pause all timeouts look like failures of others, though
         # it was this process that did not run: they count for nothing.
         return []
@@ -86,7 +94,7 @@
     if member.failures >= FAILURES_TO_BAR:
         _bar(node, member, now)
     effects = _end_check(node, vm, reached=False)
-    own = member.record.failure_domain == node.me.failure_domain
+    own = member.record.failure_domain == node.local_record.failure_domain
     if not own:
         effects += _reaches.missed(node, member, now, rng)
     running = node.checks.get(vm)
@@ -123,12 +131,12 @@
     than the suspicion that all have heard of.
     """
     effects: list[_effects.Effect] = []
-    for vm in sorted(node.unwell):
+    for vm in sorted(node.not_serving):
         member = node.members[vm]
-        age = now - member.changed
-        if member.life == _messages.SUSPECTED and age > SUSPECTED_FOR:
+        age = now - member.changed_at
+        if member.liveness == _messages.SUSPECTED and age > SUSPECTED_FOR:
             effects += _declare(node, vm, _messages.GONE, now)
-        elif member.life == _messages.GONE and age > GONE_KEPT_FOR:
+        elif member.liveness == _messages.GONE and age > GONE_KEPT_FOR:
             _members.forget(node, vm)
     return effects
 
@@ -160,7 +168,7 @@
 ) -> list[_effects.Effect]:
     """Ask helpers: for an own-domain VM one at home and one elsewhere."""
     domain = node.members[vm].record.failure_domain
-    own = domain == node.me.failure_domain
+    own = domain == node.local_record.failure_domain
     scopes = (True, False) if own else (True, True)
     chosen: set[str] = set()
     for home in scopes:
@@ -168,7 +176,9 @@
         if helper is not None:
             chosen.add(helper)
     running.asked += len(chosen)
-    request = _messages.ProbeRequest(vm, node.me.address, whole=not own)
+    request = _messages.ProbeRequest(
+        vm, node.local_record.address, with_helpers=not own
+    )
     return [
         _effects.Exchange(
             node.members[helper].record.address,
@@ -219,7 +229,7 @@
 def _report_to(
     node: _states.Node, vm: str, address: str, reached: bool
 ) -> _effects.Effect:
-    message = _messages.ProbeResult(vm, node.me.vm, reached)
+    message = _messages.ProbeResult(vm, node.local_record.vm, reached)
     return _effects.Exchange(address, message, _effects.PROBE_TIMEOUT)
 
 
@@ -228,7 +238,10 @@
     running = node.checks.get(vm)
     if running is None or not running.whole or running.direct is not False:
         return []
-    own = node.members[vm].record.failure_domain == node.me.failure_domain
+    own = (
+        node.members[vm].record.failure_domain
+        == node.local_record.failure_domain
+    )
     if not own:
         return []
     # One daemon that is itself cut off, or a broken link between two,
@@ -257,23 +270,23 @@
         event = "member_suspected"
         _members.mark_hot(node, vm)
     fields = {"vm": vm, "incarnation": member.incarnation}
-    return [_effects.Report(event, fields)]
+    return [_effects.ReportEvent(event, fields)]
 
 
 def _judged(member: _states.Member) -> bool:
-    return member.life != _messages.SERVING
+    return member.liveness != _messages.SERVING
 
 
 def _is_own(node: _states.Node, member: _states.Member) -> bool:
-    return member.record.failure_domain == node.me.failure_domain
+    return member.record.failure_domain == node.local_record.failure_domain
 
 
 def _bar(node: _states.Node, member: _states.Member, now: float) -> None:
     wait = RETRY_FIRST * 2 ** min(member.failures - FAILURES_TO_BAR, 4)
-    member.next_probe = now + min(wait, RETRY_LONGEST)
-    if not member.barred:
-        member.barred = True
-        node.barred.add(member.record.vm)
+    member.next_probe_at = now + min(wait, RETRY_LONGEST)
+    if not member.ejected:
+        member.ejected = True
+        node.ejected.add(member.record.vm)
         _members.changed(node, roster=_is_own(node, member))
 
 
@@ -281,15 +294,15 @@
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
-    for vm in sorted(node.barred):
+    for vm in sorted(node.ejected):
         member = node.members[vm]
-        if now < member.next_probe or vm in node.checks:
+        if now < member.next_probe_at or vm in node.checks:
             continue
         if _reaches.is_cut(node, member.record.failure_domain):
             continue
         if len(effects) >= MOST_RETRIES:
             break
-        member.next_probe = now + RETRY_LONGEST * rng.uniform(0.8, 1.2)
+        member.next_probe_at = now + RETRY_LONGEST * rng.uniform(0.8, 1.2)
         effects.append(_summaries.probe(node, vm))
     return effects
 
--- a/src/sassafrasstair/decisions/fleet/_versions.py
+++ b/src/sassafrasstair/decisions/fleet/_versions.py
@@ -44,14 +44,16 @@
     seal = hashlib.sha256(envelope).digest()
     if len(envelope) > bundles.MAX_BUNDLE_BYTES:
         return _refuse(node, seal, "too large", source)
-    if any(seal == held.seal for held in node.held.values()):
+    if any(
+        seal == held.envelope_digest for held in node.bundles_by_id.values()
+    ):
         return []
     try:
         approved = node.verify(envelope)
     except bundles.BundleError as error:
         return _refuse(node, seal, str(error), source)
     place = bundle_id(approved)
-    held = _states.Held(place, approved.bundle, pack(envelope), seal)
+    held = _states.StoredBundle(place, approved.bundle, pack(envelope), seal)
     return _keep(node, held, source)
 
 
@@ -61,8 +63,8 @@
         return []
     applying = [
         held
-        for held in node.held.values()
-        if _applies(held.bundle, node.me.failure_domain)
+        for held in node.bundles_by_id.values()
+        if _applies(held.bundle, node.local_record.failure_domain)
     ]
     if not applying:
         return []
@@ -97,34 +99,38 @@
     # A staged bundle may come before the older one for all domains, which
     # others still need from here: only one for all makes older ones old.
     floor = min(
-        (one for one, held in node.held.items() if not held.bundle.rollout),
+        (
+            one
+            for one, held in node.bundles_by_id.items()
+            if not held.bundle.rollout
+        ),
         default=None,
     )
     missing = [
         one
         for one in ids
-        if one not in node.held and (floor is None or one > floor)
+        if one not in node.bundles_by_id and (floor is None or one > floor)
     ]
     return sorted(missing, reverse=True)
 
 
 def _keep(
-    node: _states.Node, held: _states.Held, source: str
+    node: _states.Node, held: _states.StoredBundle, source: str
 ) -> list[_effects.Effect]:
-    if held.bundle_id in node.held:
+    if held.bundle_id in node.bundles_by_id:
         return []
     effects = _conflict(node, held)
-    kept = _frontier(node.held | {held.bundle_id: held})
+    kept = _frontier(node.bundles_by_id | {held.bundle_id: held})
     if held.bundle_id not in kept:
         return effects + _outdated(node, held, max(kept), source)
-    node.held = kept
-    node.offer = True
+    node.bundles_by_id = kept
+    node.bundle_push_pending = True
     return effects + settle(node)
 
 
 def _outdated(
     node: _states.Node,
-    held: _states.Held,
+    held: _states.StoredBundle,
     newest: _messages.BundleId,
     source: str,
 ) -> list[_effects.Effect]:
@@ -132,25 +138,27 @@
     reason = f"downgraded: version {version}, newest is {newest.version}"
     if version == newest.version:
         reason = "same version as another, of lesser digest"
-    return _refuse(node, held.seal, reason, source)
+    return _refuse(node, held.envelope_digest, reason, source)
 
 
-def _conflict(node: _states.Node, held: _states.Held) -> list[_effects.Effect]:
-    for other in node.held:
+def _conflict(
+    node: _states.Node, held: _states.StoredBundle
+) -> list[_effects.Effect]:
+    for other in node.bundles_by_id:
         if other.version == held.bundle_id.version:
             fields = {
                 "version": str(other.version),
                 "kept": max(other, held.bundle_id).digest.hex(),
                 "dropped": min(other, held.bundle_id).digest.hex(),
             }
-            node.conflicts[other.version] = fields["dropped"]
-            return [_effects.Report("bundle_conflict", fields)]
+            node.dropped_digests[other.version] = fields["dropped"]
+            return [_effects.ReportEvent("bundle_conflict", fields)]
     return []
 
 
 def _frontier(
-    held: dict[_messages.BundleId, _states.Held],
-) -> dict[_messages.BundleId, _states.Held]:
+    held: dict[_messages.BundleId, _states.StoredBundle],
+) -> dict[_messages.BundleId, _states.StoredBundle]:
     """Return the bundles that are the greatest of some failure domain."""
     kept = {}
     covered: set[str] = set()
@@ -173,10 +181,10 @@
     node: _states.Node, seal: bytes, reason: str, source: str
 ) -> list[_effects.Effect]:
     key = seal[:DIGEST_BYTES].hex()
-    if key in node.refused:
+    if key in node.refusal_reasons:
         return []
-    while len(node.refused) >= MOST_REFUSED:
-        del node.refused[next(iter(node.refused))]
-    node.refused[key] = reason
+    while len(node.refusal_reasons) >= MOST_REFUSED:
+        del node.refusal_reasons[next(iter(node.refusal_reasons))]
+    node.refusal_reasons[key] = reason
     fields = {"digest": key, "reason": reason, "source": source}
-    return [_effects.Report("bundle_refused", fields)]
+    return [_effects.ReportEvent("bundle_refused", fields)]
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -107,7 +107,7 @@
             given = await entry.ask(target.vm, ask, TICKET_TIMEOUT)
         except daemons.PeerError:
             refusal = _refusal(outcomes.Reason.PEER_UNREACHABLE, 1.0)
-            fleet.observed(entry.node, target.vm, False, "", now)
+            fleet.observe_call(entry.node, target.vm, False, "", now)
             continue
         if not isinstance(given, daemons.TicketGiven):
             continue
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -81,7 +81,9 @@
         logs.event(_LOG, logging.WARNING, "bad_message", detail=str(error))
         return daemons.Nothing()
     now = control.clock.monotonic()
-    reply, effects = fleet.handle(control.node, decoded, now, control.rng)
+    reply, effects = fleet.handle_request(
+        control.node, decoded, now, control.rng
+    )
     apply(control, effects)
     if reply is None:
         return daemons.Nothing()
@@ -103,7 +105,7 @@
         if isinstance(effect, fleet.Exchange):
             _start(control, _exchange(control, effect))
         elif isinstance(effect, fleet.Watch):
-            _set_watch(control, effect.on)
+            _set_watch(control, effect.enabled)
         elif isinstance(effect, fleet.ReadPlatform):
             if not control.watches:
                 _start(control, _read(control, effect.delay))
@@ -114,7 +116,7 @@
             _report(control, effect)
 
 
-def _report(control: Control, effect: fleet.Report) -> None:
+def _report(control: Control, effect: fleet.ReportEvent) -> None:
     level = logging.INFO
     if effect.event in _FINDINGS:
         level = logging.WARNING
@@ -128,7 +130,7 @@
 def _note_refused(control: Control, fields: dict[str, str]) -> None:
     control.counts.bundle_refused(_defect(fields["reason"]))
     now = control.clock.monotonic()
-    shown = control.node.refused
+    shown = control.node.refusal_reasons
     control.refused = {
         digest: finding
         for digest, finding in control.refused.items()
@@ -169,7 +171,7 @@
             control.rng,
         )
     else:
-        effects = fleet.replied(
+        effects = fleet.process_reply(
             control.node,
             effect.address,
             decoded,
@@ -253,7 +255,7 @@
     now = control.clock.monotonic()
     apply(
         control,
-        fleet.platform_bundles(
+        fleet.process_platform_bundles(
             control.node, envelopes, snapshot.index, now, control.rng
         ),
     )
@@ -282,7 +284,7 @@
     now = control.clock.monotonic()
     apply(
         control,
-        fleet.platform_vms(
+        fleet.process_platform_vms(
             control.node, records, snapshot.index, now, control.rng
         ),
     )
@@ -293,7 +295,7 @@
 ) -> list[fleet.Effect]:
     logs.event(_LOG, logging.WARNING, "platform_failed", detail=str(error))
     now = control.clock.monotonic()
-    return fleet.platform_failed(control.node, now, control.rng)
+    return fleet.process_platform_failure(control.node, now, control.rng)
 
 
 def _failed(control: Control, error: configservice.PlatformError) -> float:
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -265,7 +265,7 @@
         serving = isinstance(reply, daemons.Pong) and reply.serving
     except daemons.PeerError:
         now = daemon.clock.monotonic()
-        fleet.observed(daemon.control.node, vm, False, "", now)
+        fleet.observe_call(daemon.control.node, vm, False, "", now)
         _drop_lost(daemon, vm)
     now = daemon.clock.monotonic()
     calls.probe_ended(daemon.entry.entrance.routes, vm, serving, now)
@@ -317,7 +317,7 @@
     message: daemons.Message,
     timeout: float,
 ) -> daemons.Message:
-    if vm == node.me.vm:
+    if vm == node.local_record.vm:
         return await _ask_self(slot, message, timeout)
     address = fleet.address_of(node, vm)
     if address is None:
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -256,9 +256,9 @@
     entry: _entries.Entry, vm: str, answer: calls.Answer, now: float
 ) -> None:
     if answer.incarnation:
-        fleet.observed(entry.node, vm, True, answer.incarnation, now)
+        fleet.observe_call(entry.node, vm, True, answer.incarnation, now)
     elif answer.reason is _Reason.PEER_UNREACHABLE:
-        fleet.observed(entry.node, vm, False, "", now)
+        fleet.observe_call(entry.node, vm, False, "", now)
 
 
 def _owner_target(
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -29,7 +29,7 @@
 
 def in_force(node: fleet.Node, clock: clocks.Clock) -> bundles.Bundle | None:
     """Return the bundle in force, None before this daemon may serve."""
-    if not fleet.ready(node, clock.monotonic()):
+    if not fleet.ready_to_serve(node, clock.monotonic()):
         return None
     return fleet.in_force(node)
 
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -91,7 +91,7 @@
     return operators.InForce(
         bundle=operators.BundleId(shown["version"], shown["digest"]),
         mesh=bundle.mesh,
-        approved_by=control.approvals.get(held.seal, ()),
+        approved_by=control.approvals.get(held.envelope_digest, ()),
         age_seconds=_age(control, control.adopted_at),
     )
 
@@ -109,7 +109,7 @@
         collections.Counter(
             member.record.failure_domain
             for member in control.node.members.values()
-            if member.life == fleet.SERVING
+            if member.liveness == fleet.SERVING
         )
     )
 
--- a/tests/decisions/fleet/test_fleet_failures.py
+++ b/tests/decisions/fleet/test_fleet_failures.py
@@ -29,21 +29,21 @@
     return not any(
         vm in _chosen(made, address)
         for address, node in made.nodes.items()
-        if address not in made.down and node.me.vm != vm
+        if address not in made.down and node.local_record.vm != vm
     )
 
 
 def _silence(made: _capacity_fleets.Fleet) -> None:
     """Stop the periodic exchanges, which might find the news themselves."""
     for node in made.nodes.values():
-        node.next_gossip = made.now + 60
+        node.next_gossip_at = made.now + 60
 
 
 def _domain(made: _capacity_fleets.Fleet, name: str) -> list[str]:
     return [
         address
         for address, node in made.nodes.items()
-        if node.me.failure_domain == name
+        if node.local_record.failure_domain == name
     ]
 
 
@@ -61,13 +61,13 @@
     assert made.run(6, lambda: made.at_version(2))
     made.platform.contents = old
     address = next(iter(made.nodes))
-    record = made.nodes[address].me
+    record = made.nodes[address].local_record
     seeds = tuple(_domain(made, "domain-0")[1:])
     made.in_force[address].clear()
     made.start(record, seeds)
     made.run(0.01)
     node = made.nodes[address]
-    effects = fleet.platform_bundles(
+    effects = fleet.process_platform_bundles(
         node, list(old.bundles), old.index, made.now, made.rng
     )
     made.perform(address, effects)
@@ -88,11 +88,11 @@
     for address in others:
         made.stop(address)
     made.cut("domain-0")
-    made.start(made.nodes[first].me, tuple(others))
+    made.start(made.nodes[first].local_record, tuple(others))
     made.run(0.01)
     node = made.nodes[first]
-    assert not fleet.ready(node, made.now)
-    assert made.run(9, lambda: fleet.ready(node, made.now))
+    assert not fleet.ready_to_serve(node, made.now)
+    assert made.run(9, lambda: fleet.ready_to_serve(node, made.now))
 
 
 def test_versions_never_go_back_while_two_operators_approve(
@@ -123,7 +123,7 @@
     for node in made.nodes.values():
         bundle = fleet.in_force(node)
         assert bundle is not None
-        staged_here = node.me.failure_domain == "domain-1"
+        staged_here = node.local_record.failure_domain == "domain-1"
         assert bundle.version == (2 if staged_here else 1)
 
 
@@ -157,7 +157,9 @@
     for address in watchers:
         del made.watching[address]
         for _ in range(3):
-            fleet.platform_failed(made.nodes[address], made.now, made.rng)
+            fleet.process_platform_failure(
+                made.nodes[address], made.now, made.rng
+            )
     made.run(10)
     watching = [a for a in _domain(made, "domain-0") if made.nodes[a].watching]
     assert len(watching) == 4
@@ -173,7 +175,7 @@
     """
     made = settled(7)
     inside = _domain(made, "domain-0")
-    names = {made.nodes[address].me.vm for address in inside}
+    names = {made.nodes[address].local_record.vm for address in inside}
     since = made.now
     made.cut("domain-0")
     made.cuts.add(frozenset(("domain-0", "")))
@@ -188,7 +190,8 @@
     assert made.run(6, lambda: made.at_version(2))
     made.run(6)
     assert all(
-        names - {made.nodes[a].me.vm} <= _chosen(made, a) for a in inside
+        names - {made.nodes[a].local_record.vm} <= _chosen(made, a)
+        for a in inside
     )
     assert any(names & _chosen(made, a) for a in _domain(made, "domain-1"))
     assert all(len(_chosen(made, a) - names) >= 2 for a in inside)
@@ -203,11 +206,11 @@
     call to each instance behind the cut.
     """
     made = settled(16)
-    names = {made.nodes[a].me.vm for a in _domain(made, "domain-0")}
+    names = {made.nodes[a].local_record.vm for a in _domain(made, "domain-0")}
     callers = _domain(made, "domain-1")
     made.cut("domain-0")
     caller = made.nodes[callers[0]]
-    fleet.observed(caller, min(names), False, "", made.now)
+    fleet.observe_call(caller, min(names), False, "", made.now)
     assert made.run(
         3, lambda: not any(names & _chosen(made, a) for a in callers)
     )
@@ -223,7 +226,7 @@
     """
     made = settled(8)
     address = next(iter(made.nodes))
-    vm = made.nodes[address].me.vm
+    vm = made.nodes[address].local_record.vm
     made.pause(address, 120)
     made.run(119.9)
     assert _shunned(made, vm)
@@ -237,7 +240,7 @@
     }
     assert not accused
     for other in made.nodes.values():
-        assert other.members[vm].life == 0
+        assert other.members[vm].liveness == 0
     near = _domain(made, "domain-0")
     assert all(vm in _chosen(made, a) for a in near if a != address)
 
@@ -250,10 +253,10 @@
         _domain(made, "domain-0")[0],
         _domain(made, "domain-3")[0],
     )
-    vm = made.nodes[address].me.vm
+    vm = made.nodes[address].local_record.vm
     made.stop(address)
     _silence(made)
-    fleet.observed(made.nodes[caller], vm, False, "", made.now)
+    fleet.observe_call(made.nodes[caller], vm, False, "", made.now)
     assert made.run(3, lambda: _shunned(made, vm))
 
 
@@ -266,7 +269,7 @@
         node = made.nodes[address]
         _silence(made)
         made.perform(address, fleet.set_leaving(node, made.now, made.rng))
-        shunned = functools.partial(_shunned, made, node.me.vm)
+        shunned = functools.partial(_shunned, made, node.local_record.vm)
         assert made.run(3, shunned)
 
 
@@ -292,7 +295,7 @@
     made.broken.add((one, other))
     made.run(60)
     assert not SUSPICIONS.intersection(_events(made, since))
-    vm = made.nodes[other].me.vm
+    vm = made.nodes[other].local_record.vm
     assert vm not in _chosen(made, one)
     assert vm in _chosen(made, _domain(made, "domain-0")[2])
 
@@ -329,7 +332,7 @@
     readers = sum(made.platform.calls.values()) / 3
     assert readers < 24 * 1.5
     assert len(made.watching) == 12
-    assert len({tuple(n.checksums) for n in made.nodes.values()}) == 1
+    assert len({tuple(n.bucket_checksums) for n in made.nodes.values()}) == 1
 
 
 def test_replaced_vm_with_a_new_incarnation_is_taken_in(
@@ -340,10 +343,10 @@
     node = made.nodes[address]
     made.stop(address)
     made.run(20)
-    made.start(node.me, tuple(_domain(made, "domain-0")))
+    made.start(node.local_record, tuple(_domain(made, "domain-0")))
     made.run(10)
     incarnation = made.nodes[address].incarnation
     assert incarnation > node.incarnation
     for other in made.nodes.values():
-        assert fleet.incarnation_of(other, node.me.vm) == incarnation
-        assert other.members[node.me.vm].life == 0
+        assert fleet.incarnation_of(other, node.local_record.vm) == incarnation
+        assert other.members[node.local_record.vm].liveness == 0
--- a/tests/decisions/fleet/test_members.py
+++ b/tests/decisions/fleet/test_members.py
@@ -55,7 +55,7 @@
         assert expected == (
             member.incarnation,
             member.revision,
-            member.life,
+            member.liveness,
             member.leaving,
         )
 
@@ -135,14 +135,14 @@
         _capacity_fleets.records(24, 1)[1], "1", (), verify, 0.0, rng
     )
     _members.merge(peer, _rumour("1", 0, _messages.SERVING), 0.0)
-    node.hot.clear()
-    peer.hot.clear()
-    gossip = _summaries.summary(peer, fleet.Gossip, node.me.vm)
-    _, effects = fleet.handle(node, gossip, 1.0, rng)
+    node.transmissions_left.clear()
+    peer.transmissions_left.clear()
+    gossip = _summaries.summary(peer, fleet.Gossip, node.local_record.vm)
+    _, effects = fleet.handle_request(node, gossip, 1.0, rng)
     (fetch,) = [e for e in effects if isinstance(e, fleet.Exchange)]
-    reply, _ = fleet.handle(peer, fetch.message, 1.0, rng)
+    reply, _ = fleet.handle_request(peer, fetch.message, 1.0, rng)
     assert reply is not None
-    fleet.replied(node, fetch.address, reply, 1.0, rng)
+    fleet.process_reply(node, fetch.address, reply, 1.0, rng)
     assert fleet.incarnation_of(node, RECORD.vm) == "1"
 
 
@@ -160,7 +160,7 @@
     fleet.tick(node, 1.0, rng)
     for _ in range(2):
         fleet.unreachable(node, RECORD.address, 1.0 + gap, rng)
-    assert node.members[RECORD.vm].barred is barred
+    assert node.members[RECORD.vm].ejected is barred
 
 
 def test_other_domains_do_not_accuse(
@@ -180,9 +180,9 @@
         _members.merge(node, rumour, 0.0)
     fleet.unreachable(node, RECORD.address, 0.1, rng)
     result = fleet.ProbeResult(RECORD.vm, "helper", reached=False)
-    fleet.handle(node, result, 0.1, rng)
+    fleet.handle_request(node, result, 0.1, rng)
     fleet.unreachable(node, RECORD.address, 0.1, rng)
-    assert node.members[RECORD.vm].life == _messages.SERVING
+    assert node.members[RECORD.vm].liveness == _messages.SERVING
 
 
 def test_a_vm_held_for_gone_hears_so_when_it_calls(node: fleet.Node) -> None:
@@ -192,10 +192,10 @@
     """
     _members.merge(node, _rumour("1", 0, _messages.GONE), 0.0)
     gossip = fleet.Gossip(RECORD.vm, RECORD.address, "1", True, 0, 0)
-    reply, _ = fleet.handle(node, gossip, 1.0, random.Random(1))
+    reply, _ = fleet.handle_request(node, gossip, 1.0, random.Random(1))
     assert isinstance(reply, fleet.GossipReply)
     assert _rumour("1", 0, _messages.GONE).vm in {
-        rumour.vm for rumour in reply.rumours if rumour.life
+        rumour.vm for rumour in reply.rumours if rumour.liveness
     }
 
 
@@ -210,7 +210,7 @@
 
     So the whole fleet would watch the platform.
     """
-    node.index = index
+    node.vm_list_index = index
     node.settled = True
     effects = fleet.tick(node, now, random.Random(1))
-    assert (fleet.Watch(on=True) in effects) is watches
+    assert (fleet.Watch(enabled=True) in effects) is watches
--- a/tests/decisions/fleet/test_versions.py
+++ b/tests/decisions/fleet/test_versions.py
@@ -19,7 +19,7 @@
 
 
 def _offer(node: fleet.Node, *envelopes: bytes) -> list[fleet.Effect]:
-    return fleet.platform_bundles(
+    return fleet.process_platform_bundles(
         node, list(envelopes), 11, 3.0, random.Random(1)
     )
 
@@ -46,7 +46,7 @@
     envelopes = [make_bundle(*offer) for offer in offers]
     for order in itertools.permutations(envelopes):
         one = fleet.new_node(
-            node.me, "0001", (), verify, 0.0, random.Random(1)
+            node.local_record, "0001", (), verify, 0.0, random.Random(1)
         )
         _settle(one)
         effects = _offer(one, *order)
@@ -59,7 +59,7 @@
         ]
         assert came == sorted(set(came))
         assert in_force.version == expected
-        assert {held.version for held in one.held} == kept
+        assert {held.version for held in one.bundles_by_id} == kept
 
 
 def test_same_version_twice_is_settled_alike_and_reported(
@@ -76,13 +76,13 @@
     winners = set()
     for order in (envelopes, envelopes[::-1]):
         one = fleet.new_node(
-            node.me, "0001", (), verify, 0.0, random.Random(1)
+            node.local_record, "0001", (), verify, 0.0, random.Random(1)
         )
         _settle(one)
         effects = _offer(one, *order)
         assert one.in_force is not None
         winners.add(one.in_force.bundle_id.digest)
-        events = [e.event for e in effects if isinstance(e, fleet.Report)]
+        events = [e.event for e in effects if isinstance(e, fleet.ReportEvent)]
         assert "bundle_conflict" in events
         assert fleet.status(one)["conflicts"]["2"] not in winners
     assert len(winners) == 1
@@ -131,11 +131,11 @@
     wanted = fleet.BundleId(9, b"9" * 16)
     gossip = fleet.Gossip("vm-0006", "10.0.0.6:1", "1", True, 0, 0, (wanted,))
     reply = fleet.BundleReply(wanted, zlib.compress(b"{}"))
-    _, effects = fleet.handle(node, gossip, 3.0, rng)
+    _, effects = fleet.handle_request(node, gossip, 3.0, rng)
     asked = fleet.Exchange("10.0.0.6:1", fleet.BundleFetch(wanted))
     assert asked in effects
-    fleet.replied(node, "10.0.0.6:1", reply, 3.1, rng)
-    assert asked not in fleet.handle(node, gossip, 4.0, rng)[1]
+    fleet.process_reply(node, "10.0.0.6:1", reply, 3.1, rng)
+    assert asked not in fleet.handle_request(node, gossip, 4.0, rng)[1]
 
 
 def test_order_follows_the_signed_text(
--- a/tests/decisions/fleet/test_vm_lists.py
+++ b/tests/decisions/fleet/test_vm_lists.py
@@ -20,16 +20,20 @@
     """It stayed a member until the index had passed what it was before."""
     made = settled(1)
     address, node = next(iter(made.nodes.items()))
-    records = [each.me for each in made.nodes.values() if each is not node]
+    records = [
+        each.local_record for each in made.nodes.values() if each is not node
+    ]
     removed, new = records[0].vm, records[-1].vm
-    index = node.index + 50
+    index = node.vm_list_index + 50
 
     def read(at: int, listed: list[fleet.Record]) -> None:
-        effects = fleet.platform_vms(node, listed, at, made.now, made.rng)
+        effects = fleet.process_platform_vms(
+            node, listed, at, made.now, made.rng
+        )
         made.perform(address, effects)
 
     def is_member(vm: str) -> bool:
-        return node.members[vm].life != _messages.GONE
+        return node.members[vm].liveness != _messages.GONE
 
     copied = records[: len(records) - lacking]
     read(index, records)
--- a/tests/fuzz/daemons.py
+++ b/tests/fuzz/daemons.py
@@ -144,7 +144,7 @@
     def begin(self, asked: upstreams.Asked) -> str:
         """Take a call; return its key at this entrance, or ""."""
         call, tell = asked.call, asked.tell
-        if not self.bundle or not fleet.ready(self.node, self.now):
+        if not self.bundle or not fleet.ready_to_serve(self.node, self.now):
             tell(*self.refusal(call, outcomes.Reason.NO_BUNDLE))
             return ""
         targets = fleet.targets(self.node, call.service, self.now)
@@ -203,7 +203,7 @@
         def replied(daemon: Daemon, value: tuple[calls.Answer, bytes]) -> None:
             heard.append(value)
             there = value[0].incarnation
-            fleet.observed(daemon.node, vm, True, there, daemon.now)
+            fleet.observe_call(daemon.node, vm, True, there, daemon.now)
             daemon.answered(key, attempt_id, call, *value)
 
         def failed(sent: bool) -> None:
@@ -214,7 +214,7 @@
             if not sent:
                 reason = outcomes.Reason.PEER_UNREACHABLE
                 outcome = outcomes.Outcome.NOT_RUN
-                fleet.observed(self.node, vm, False, "", self.now)
+                fleet.observe_call(self.node, vm, False, "", self.now)
             answer = calls.Answer(outcome, reason)
             self.answered(key, attempt_id, call, answer, b"")
 
--- a/tests/fuzz/members.py
+++ b/tests/fuzz/members.py
@@ -41,7 +41,9 @@
         peer: daemons.Daemon, reply: abc.Callable[[bytes], None]
     ) -> None:
         message = fleet.decode(fleet.encode(effect.message))
-        answer, effects = fleet.handle(peer.node, message, peer.now, peer.rng)
+        answer, effects = fleet.handle_request(
+            peer.node, message, peer.now, peer.rng
+        )
         carry_out(peer, effects)
         if answer is not None:
             reply(fleet.encode(answer))
@@ -51,7 +53,7 @@
             message = fleet.decode(text)
             carry_out(
                 daemon,
-                fleet.replied(
+                fleet.process_reply(
                     daemon.node,
                     effect.address,
                     message,
@@ -81,7 +83,10 @@
     if view is None:
         daemon.watch_failed = True
         carry_out(
-            daemon, fleet.platform_failed(daemon.node, daemon.now, daemon.rng)
+            daemon,
+            fleet.process_platform_failure(
+                daemon.node, daemon.now, daemon.rng
+            ),
         )
     elif view[0] != daemon.watched:
         read(daemon)
@@ -92,16 +97,23 @@
     view = daemon.world.platform.view(daemon.record.failure_domain)
     if view is None:
         carry_out(
-            daemon, fleet.platform_failed(daemon.node, daemon.now, daemon.rng)
+            daemon,
+            fleet.process_platform_failure(
+                daemon.node, daemon.now, daemon.rng
+            ),
         )
         return
     daemon.watch_failed = False
     daemon.watched, texts, records = view
     index = daemon.watched
     node, now, rng = daemon.node, daemon.now, daemon.rng
-    carry_out(daemon, fleet.platform_vms(node, list(records), index, now, rng))
     carry_out(
-        daemon, fleet.platform_bundles(node, list(texts), index, now, rng)
+        daemon,
+        fleet.process_platform_vms(node, list(records), index, now, rng),
+    )
+    carry_out(
+        daemon,
+        fleet.process_platform_bundles(node, list(texts), index, now, rng),
     )
 
 
--- a/tests/fuzz/test_found.py
+++ b/tests/fuzz/test_found.py
@@ -117,7 +117,7 @@
     world.run(12.0)
     daemon = world.daemons["ledger-a"]
     for vm in ("poster-a", "poster-b"):
-        daemon.node.members[vm].hold_until = daemon.now + 10.0
-    daemon.node.edition += 1
+        daemon.node.members[vm].hold_down_until = daemon.now + 10.0
+    daemon.node.usability_version += 1
     found = fleet.targets(daemon.node, "poster", daemon.now)
     assert [target.vm for target in found] == ["poster-a", "poster-b"]
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -433,7 +433,7 @@
         fleet_messages.ProbeRequest("vm-1", "10.0.0.5:7301", True)
     ),
     "probe result": _fleet(fleet_messages.ProbeResult("vm-1", "vm-2", True)),
-    "received": _fleet(fleet_messages.Received()),
+    "received": _fleet(fleet_messages.Receipt()),
     "members": Codec(
         lambda: fleet_messages.encode_rumours((_RUMOUR,)),
         lambda data: fleet_messages.encode_rumours(
