--- a/src/sassafrasstair/decisions/feeds/_checks.py
+++ b/src/sassafrasstair/decisions/feeds/_checks.py
@@ -59,7 +59,10 @@
 
 
 def next_check_at(
-    checks: Checks, timing: _types.Timing, first: bool, heard: float
+    checks: Checks,
+    timing: _types.Timing,
+    checks_for_all: bool,
+    last_answer_at: float,
 ) -> float:
     """Return when the next check is to be sent.
 
@@ -71,18 +74,18 @@
         return after_last
     quiet = (
         timing.quiet_limit
-        if first
+        if checks_for_all
         else OTHER_DOMAINS_QUIET_FACTOR * timing.quiet_limit
     )
     if timing.confirm_interval is not None:
         quiet = timing.confirm_interval
-    return max(after_last, heard + quiet)
+    return max(after_last, last_answer_at + quiet)
 
 
 def record_sent(
     checks: Checks,
     timing: _types.Timing,
-    stand_in: bool,
+    is_backup: bool,
     now: float,
     rng: random.Random,
 ) -> None:
@@ -92,9 +95,9 @@
         checks.unanswered_since = now
         checks.next_check_delay = SECOND_CHECK_SHARE * timing.answer_timeout
         return
-    share = INTERVAL_JITTER_MIN + (1.0 - INTERVAL_JITTER_MIN) * rng.random()
-    pauses = BACKUP_INTERVAL_FACTOR if stand_in else 1.0
-    checks.next_check_delay = pauses * share * timing.check_interval
+    jitter = INTERVAL_JITTER_MIN + (1.0 - INTERVAL_JITTER_MIN) * rng.random()
+    factor = BACKUP_INTERVAL_FACTOR if is_backup else 1.0
+    checks.next_check_delay = factor * jitter * timing.check_interval
 
 
 def forget_unanswered(checks: Checks) -> None:
@@ -111,20 +114,23 @@
     Then the store was away in between, and what waits there since before
     may wait in vain.
     """
-    first = checks.unanswered_since
-    later = checks.last_sent_at > sent_at
-    checks.unanswered_since = checks.last_sent_at if later else None
-    return first is not None and first < sent_at
+    first_unanswered = checks.unanswered_since
+    newer_sent = checks.last_sent_at > sent_at
+    checks.unanswered_since = checks.last_sent_at if newer_sent else None
+    return first_unanswered is not None and first_unanswered < sent_at
 
 
 def lost_since(
     checks: Checks, timing: _types.Timing, now: float
 ) -> float | None:
     """Return since when the store has been lost, None if it is not."""
-    first = checks.unanswered_since
-    if first is None or now - first < timing.answer_timeout:
+    first_unanswered = checks.unanswered_since
+    if (
+        first_unanswered is None
+        or now - first_unanswered < timing.answer_timeout
+    ):
         return None
-    return first
+    return first_unanswered
 
 
 def can_recheck(checks: Checks, now: float) -> bool:
--- a/src/sassafrasstair/decisions/feeds/_feeds.py
+++ b/src/sassafrasstair/decisions/feeds/_feeds.py
@@ -142,9 +142,11 @@
         return
     feed.hosts = known
     feed.earlier_hosts = _orders.earlier_hosts(feed.hosts, feed.own_host)
-    for passed in (feed.avoided_until, feed.without_store_until):
-        for gone in [host for host in passed if host not in feed.hosts]:
-            del passed[gone]
+    for until_by_host in (feed.avoided_until, feed.without_store_until):
+        for unknown in [
+            host for host in until_by_host if host not in feed.hosts
+        ]:
+            del until_by_host[unknown]
 
 
 def adopt_address(feed: Feed, own: str) -> None:
@@ -160,8 +162,10 @@
 
 def next_step(feed: Feed, now: float) -> _types.Step:
     """Return what to do now."""
-    if _starting(feed, now):
-        return _paced(feed.next_read_at, now) or _types.Read(allow_stale=True)
+    if _is_starting(feed, now):
+        return _sleep_until(feed.next_read_at, now) or _types.Read(
+            allow_stale=True
+        )
     parent = choose_parent(feed, now)
     if parent != feed.parent:
         feed.parent, feed.parent_since = parent, now
@@ -169,29 +173,33 @@
         feed.parent_behind_since = math.inf
         _checks.forget_unanswered(feed.checks)
     if parent == STORE:
-        return _paced(feed.next_read_at, now) or _read(feed)
+        return _sleep_until(feed.next_read_at, now) or _store_step(feed)
     hold = feed.timing.poll_hold if feed.parent_answered else 0.0
-    within = hold + feed.timing.poll_margin
-    return _paced(feed.next_poll_at, now) or _types.Poll(parent, hold, within)
+    timeout = hold + feed.timing.poll_margin
+    return _sleep_until(feed.next_poll_at, now) or _types.Poll(
+        parent, hold, timeout
+    )
 
 
 def choose_parent(feed: Feed, now: float) -> str:
     """Return whom to follow, ``STORE`` for the store itself."""
     if now < feed.use_store_until:
         return STORE
-    live = [
+    available = [
         host
         for host in feed.earlier_hosts
-        if _is_over(feed.avoided_until, host, now)
+        if _has_expired(feed.avoided_until, host, now)
     ]
-    fit = [
-        host for host in live if _is_over(feed.without_store_until, host, now)
+    preferred = [
+        host
+        for host in available
+        if _has_expired(feed.without_store_until, host, now)
     ]
-    if fit:
-        return _orders.select_parent(fit)
-    if len(live) < READERS_MAX:
+    if preferred:
+        return _orders.select_parent(preferred)
+    if len(available) < READERS_MAX:
         return STORE
-    return _orders.select_parent(live)
+    return _orders.select_parent(available)
 
 
 def read_done(feed: Feed, now: float, stale: bool, news: bool = True) -> None:
@@ -201,7 +209,7 @@
         START_READ_INTERVAL_SECONDS if starts else feed.timing.watch_interval
     )
     feed.next_read_at = now + pace
-    if stale and not _starting(feed, now):
+    if stale and not _is_starting(feed, now):
         feed.next_read_at = now
     feed.retry_delay = RETRY_SECONDS
     feed.needs_full_read = False
@@ -232,7 +240,7 @@
     feed: Feed,
     host: str,
     status: _types.PeerStatus,
-    content: int,
+    own_content: int,
     now: float,
     rng: random.Random,
 ) -> None:
@@ -248,22 +256,22 @@
     feed.avoided_until.pop(host, None)
     feed.without_store_until.pop(host, None)
     if status.leaving:
-        feed.avoided_until[host] = now + _spread(AVOID_SECONDS, rng)
+        feed.avoided_until[host] = now + _jitter(AVOID_SECONDS, rng)
     if status.lost is not None or status.age_seconds > PEER_AGE_SECONDS_MAX:
-        feed.without_store_until[host] = now + _spread(AVOID_SECONDS, rng)
-    _check_behind(feed, host, status.revision < content, now, rng)
+        feed.without_store_until[host] = now + _jitter(AVOID_SECONDS, rng)
+    _avoid_if_behind(feed, host, status.revision < own_content, now, rng)
 
 
 def peer_failed(feed: Feed, host: str, now: float, rng: random.Random) -> None:
     """Note that a daemon gave no answer in time."""
-    feed.avoided_until[host] = now + _spread(AVOID_SECONDS, rng)
-    feed.next_poll_at = now + _spread(NEXT_PEER_DELAY_SECONDS, rng)
+    feed.avoided_until[host] = now + _jitter(AVOID_SECONDS, rng)
+    feed.next_poll_at = now + _jitter(NEXT_PEER_DELAY_SECONDS, rng)
     feed.failed_polls += 1
     if feed.failed_polls >= FAILURES_TO_READ:
         feed.failed_polls = 0
-        feed.use_store_until = now + _spread(AVOID_SECONDS, rng)
+        feed.use_store_until = now + _jitter(AVOID_SECONDS, rng)
         feed.next_read_at = max(
-            feed.next_read_at, now + _spread(NEXT_PEER_DELAY_SECONDS, rng)
+            feed.next_read_at, now + _jitter(NEXT_PEER_DELAY_SECONDS, rng)
         )
 
 
@@ -278,7 +286,7 @@
 
     ``heard`` is when it last did, by any way; see ``_checks.due``.
     """
-    if feed.parent != STORE or _starting(feed, now):
+    if feed.parent != STORE or _is_starting(feed, now):
         return False
     due = _checks.next_check_at(
         feed.checks, feed.timing, feed.checks_for_all, heard
@@ -292,10 +300,10 @@
     The store's kept connections stall with it, and a check on one of them
     would not show its return.
     """
-    fresh = feed.checks.unanswered_since is not None
-    stand_in = bool(feed.earlier_hosts)
-    _checks.record_sent(feed.checks, feed.timing, stand_in, now, rng)
-    return fresh
+    needs_own_connection = feed.checks.unanswered_since is not None
+    is_backup = bool(feed.earlier_hosts)
+    _checks.record_sent(feed.checks, feed.timing, is_backup, now, rng)
+    return needs_own_connection
 
 
 def check_answered(feed: Feed, sent_at: float, now: float) -> bool:
@@ -303,10 +311,10 @@
 
     A watch from before an outage never returns, so the store is watched anew.
     """
-    away = _checks.record_answer(feed.checks, sent_at)
-    if away and reads_store(feed):
+    was_away = _checks.record_answer(feed.checks, sent_at)
+    if was_away and reads_store(feed):
         feed.next_read_at = min(feed.next_read_at, now)
-    return away
+    return was_away
 
 
 def lost_since(feed: Feed, now: float) -> float | None:
@@ -347,12 +355,15 @@
     return True
 
 
-def is_stalled(feed: Feed, heard: float, now: float) -> bool:
+def is_stalled(feed: Feed, last_answer_at: float, now: float) -> bool:
     """Return whether nobody that is known has heard of the store for long."""
-    return now - heard > _checks.STALLED_QUIET_FACTOR * feed.timing.quiet_limit
+    return (
+        now - last_answer_at
+        > _checks.STALLED_QUIET_FACTOR * feed.timing.quiet_limit
+    )
 
 
-def peer_ahead_limit(feed: Feed, heard: float, now: float) -> float:
+def peer_ahead_limit(feed: Feed, last_answer_at: float, now: float) -> float:
     """Return for how long a peer may know more before it is asked.
 
     A reader's own watch tells at once, but for the pace between two, and not
@@ -360,7 +371,7 @@
     """
     if not reads_store(feed):
         return feed.timing.lag_limit
-    if is_stalled(feed, heard, now):
+    if is_stalled(feed, last_answer_at, now):
         return 0.0
     pace = min(feed.timing.watch_interval, max(0.0, feed.next_read_at - now))
     return pace + feed.timing.lag_grace
@@ -379,12 +390,12 @@
 def without_store(feed: Feed, now: float) -> bool:
     """Return whether the daemon that is followed has lost the store."""
     parent = choose_parent(feed, now)
-    return parent != STORE and not _is_over(
+    return parent != STORE and not _has_expired(
         feed.without_store_until, parent, now
     )
 
 
-def _check_behind(
+def _avoid_if_behind(
     feed: Feed, host: str, behind: bool, now: float, rng: random.Random
 ) -> None:
     """Pass over a daemon that stays behind: it hears less than its own."""
@@ -393,10 +404,10 @@
         return
     feed.parent_behind_since = min(feed.parent_behind_since, now)
     if now - feed.parent_behind_since >= feed.timing.lag_limit:
-        feed.avoided_until[host] = now + _spread(AVOID_SECONDS, rng)
+        feed.avoided_until[host] = now + _jitter(AVOID_SECONDS, rng)
 
 
-def _read(feed: Feed) -> _types.Step:
+def _store_step(feed: Feed) -> _types.Step:
     if feed.needs_full_read or feed.has_stale_view:
         return _types.Read(allow_stale=False)
     if feed.recheck_due:
@@ -406,20 +417,22 @@
     )
 
 
-def _starting(feed: Feed, now: float) -> bool:
+def _is_starting(feed: Feed, now: float) -> bool:
     alone = not feed.own_listed and not feed.earlier_hosts
     return alone and now - feed.started_at < START_SECONDS
 
 
-def _paced(not_before: float, now: float) -> _types.Sleep | None:
-    left = not_before - now
-    return _types.Sleep(left) if left >= WAIT_SECONDS_MIN else None
+def _sleep_until(not_before: float, now: float) -> _types.Sleep | None:
+    remaining = not_before - now
+    return _types.Sleep(remaining) if remaining >= WAIT_SECONDS_MIN else None
 
 
-def _is_over(passed: abc.Mapping[str, float], host: str, now: float) -> bool:
-    return passed.get(host, -math.inf) <= now
+def _has_expired(
+    until_by_host: abc.Mapping[str, float], host: str, now: float
+) -> bool:
+    return until_by_host.get(host, -math.inf) <= now
 
 
-def _spread(seconds: float, rng: random.Random) -> float:
+def _jitter(seconds: float, rng: random.Random) -> float:
     """Return about ``seconds``: many that wait as long don't come at once."""
     return seconds * (0.5 + rng.random())
--- a/src/sassafrasstair/decisions/feeds/_orders.py
+++ b/src/sassafrasstair/decisions/feeds/_orders.py
@@ -34,8 +34,8 @@
 
 def earlier_hosts(hosts: abc.Iterable[str], own: str) -> tuple[str, ...]:
     """Return the hosts that come before ``own``, the first one first."""
-    mark = sort_key(own)
-    before = [host for host in hosts if sort_key(host) < mark]
+    own_key = sort_key(own)
+    before = [host for host in hosts if sort_key(host) < own_key]
     return tuple(sorted(before, key=sort_key))
 
 
@@ -46,8 +46,8 @@
 
 def is_first(own: abc.Iterable[str], others: abc.Iterable[str]) -> bool:
     """Return whether the first of the own hosts comes before all others."""
-    mark = min(map(sort_key, own), default=b"")
-    return all(mark <= sort_key(host) for host in others)
+    first_own_key = min(map(sort_key, own), default=b"")
+    return all(first_own_key <= sort_key(host) for host in others)
 
 
 def select_parent(before: abc.Sequence[str]) -> str:
--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -26,13 +26,13 @@
     if not (_is_time(limits.head_seconds) and _is_time(limits.idle_seconds)):
         return "limits"
     for route in policy.routes:
-        wrong = _wrong_with_route(route)
+        wrong = _find_route_fault(route)
         if wrong:
             return f"{route.name[:80]!r}: {wrong}"
-    return _wrong_with_customers(policy.customers or ())
+    return _find_customer_fault(policy.customers or ())
 
 
-def _wrong_with_customers(customers: abc.Sequence[_policies.Customer]) -> str:
+def _find_customer_fault(customers: abc.Sequence[_policies.Customer]) -> str:
     keys: set[bytes] = set()
     names: set[str] = set()
     for customer in customers:
@@ -55,7 +55,7 @@
     return 0.0 <= value < math.inf
 
 
-def _wrong_with_route(route: _policies.Route) -> str:
+def _find_route_fault(route: _policies.Route) -> str:
     if not route.host:
         return "host"
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
--- a/src/sassafrasstair/decisions/views/_queries.py
+++ b/src/sassafrasstair/decisions/views/_queries.py
@@ -111,14 +111,18 @@
     """Return the hosts of the daemons of each failure domain."""
     found: dict[str, set[str]] = {}
     for entry in view.instances.values():
-        if _named(view, entry):
+        if _is_named_by_policy(view, entry):
             found.setdefault(entry.failure_domain, set()).add(entry.host)
     return {domain: frozenset(hosts) for domain, hosts in found.items()}
 
 
 def other_hosts(view: _views.View, own_host: str) -> list[str]:
     """Return the hosts of all other daemons that are known."""
-    known = [entry for entry in view.instances.values() if _named(view, entry)]
+    known = [
+        entry
+        for entry in view.instances.values()
+        if _is_named_by_policy(view, entry)
+    ]
     hosts = {entry.host for entry in known}
     hosts |= {lapsed.instance.host for lapsed in view.lapsed.values()}
     hosts.discard(own_host)
@@ -135,7 +139,9 @@
     """
     newest: dict[tuple[str, int], _types.Instance] = {}
     for known in view.instances.values():
-        if not _is_used(view, known) or not _named(view, known):
+        if not _is_eligible(view, known) or not _is_named_by_policy(
+            view, known
+        ):
             continue
         address = (known.host, known.port)
         other = newest.get(address)
@@ -148,15 +154,15 @@
             instance.failure_domain,
             instance.region,
         )
-        for instance in _with_entry(view, service)
-        if _is_used(view, instance)
-        and not _is_hidden(
+        for instance in _candidates(view, service)
+        if _is_eligible(view, instance)
+        and not _is_superseded(
             instance, newest.get((instance.host, instance.port))
         )
     )
 
 
-def _is_used(view: _views.View, instance: _types.Instance) -> bool:
+def _is_eligible(view: _views.View, instance: _types.Instance) -> bool:
     """Return whether nothing but its entry speaks against an instance."""
     return (
         instance.id not in view.replaced_ids
@@ -164,9 +170,15 @@
     )
 
 
-def _is_hidden(instance: _types.Instance, at: _types.Instance | None) -> bool:
+def _is_superseded(
+    instance: _types.Instance, newest: _types.Instance | None
+) -> bool:
     """Return whether another instance runs at the instance's address."""
-    return at is not None and at.id != instance.id and _is_later(at, instance)
+    return (
+        newest is not None
+        and newest.id != instance.id
+        and _is_later(newest, instance)
+    )
 
 
 def _is_later(one: _types.Instance, other: _types.Instance) -> bool:
@@ -180,12 +192,12 @@
     return one.since > other.since
 
 
-def _named(view: _views.View, instance: _types.Instance) -> bool:
+def _is_named_by_policy(view: _views.View, instance: _types.Instance) -> bool:
     """Return whether the policy names the instance's service."""
     return view.table is None or instance.service in view.table.services
 
 
-def _with_entry(
+def _candidates(
     view: _views.View, service: str
 ) -> abc.Sequence[_types.Instance]:
     """Return the instances with an entry, or with one that just vanished."""
@@ -230,7 +242,7 @@
         {
             instance.service
             for instance in view.instances.values()
-            if _named(view, instance)
+            if _is_named_by_policy(view, instance)
         }
     )
 
--- a/src/sassafrasstair/decisions/views/_views.py
+++ b/src/sassafrasstair/decisions/views/_views.py
@@ -163,12 +163,16 @@
     """
     if revision < view.revision:
         return []
-    found = {item.id for item in known if isinstance(item, _types.Instance)}
+    listed_ids = {
+        item.id for item in known if isinstance(item, _types.Instance)
+    }
     vanished = [
-        _types.Removed(key) for key in view.instances if key not in found
+        _types.Removed(key) for key in view.instances if key not in listed_ids
     ]
     restored = _queries.is_restored(view, revision)
-    back = found & view.history.removals.keys() if restored else set()
+    reappeared = (
+        listed_ids & view.history.removals.keys() if restored else set()
+    )
     if view.content < 0 or restored:
         # What was removed before is not known: it can't be told on. Even a
         # reading that holds nothing tells a follower that all has gone.
@@ -179,14 +183,20 @@
     updates = apply_changes(view, [*vanished, *known], revision, content, now)
     if not restored:
         return updates
-    return [(_types.News.RESTORED, ""), *updates, *_doubt(view, back, now)]
+    return [
+        (_types.News.RESTORED, ""),
+        *updates,
+        *_hold_back_restored(view, reappeared, now),
+    ]
 
 
-def _doubt(view: View, keys: abc.Iterable[str], now: float) -> Updates:
+def _hold_back_restored(
+    view: View, instance_ids: abc.Iterable[str], now: float
+) -> Updates:
     """Give instances no work that were gone before the store was restored."""
-    view.doubted_until |= dict.fromkeys(keys, now + DOUBTED_SECONDS)
+    view.doubted_until |= dict.fromkeys(instance_ids, now + DOUBTED_SECONDS)
     view.target_cache.clear()
-    return [(_types.News.DOUBTED, key) for key in sorted(keys)]
+    return [(_types.News.DOUBTED, key) for key in sorted(instance_ids)]
 
 
 def apply_changes(
@@ -207,7 +217,7 @@
         return []
     view.revision = revision
     updates: Updates = []
-    for change in _without_replaced(changes):
+    for change in _drop_superseded_policies(changes):
         news = _apply_one(view, change, now)
         updates += news
         if any(kind is not _types.News.OUTDATED for kind, _ in news):
@@ -218,7 +228,7 @@
     return updates
 
 
-def _without_replaced(
+def _drop_superseded_policies(
     changes: abc.Sequence[_types.Change],
 ) -> list[_types.Change]:
     """Leave out policies that a later one of the same answer replaces.
@@ -265,7 +275,7 @@
     if isinstance(change, _types.Removed):
         return _remove(view, change.id, now)
     if isinstance(change, _types.Unusable):
-        return _withdraw(view, change.id)
+        return _drop_unusable(view, change.id)
     return _set_instance(view, change)
 
 
@@ -283,21 +293,23 @@
 
 def expire(view: View, now: float) -> Updates:
     """Give up on vanished entries, and trust those that stayed."""
-    stayed = [key for key, until in view.doubted_until.items() if until <= now]
-    for key in stayed:
+    cleared = [
+        key for key, until in view.doubted_until.items() if until <= now
+    ]
+    for key in cleared:
         del view.doubted_until[key]
-    over = [
+    expired = [
         key
         for key, lapsed in view.lapsed.items()
         if now - lapsed.lapsed_at >= LAPSED_SECONDS
     ]
-    for key in over:
+    for key in expired:
         del view.lapsed[key]
-    if over or stayed:
+    if expired or cleared:
         view.target_cache.clear()
     return [
-        *((_types.News.GONE, key) for key in over),
-        *((_types.News.TRUSTED, key) for key in stayed),
+        *((_types.News.GONE, key) for key in expired),
+        *((_types.News.TRUSTED, key) for key in cleared),
     ]
 
 
@@ -330,13 +342,13 @@
     if not instance.born and latest:
         # Told by a daemon of the version before: it may be either run.
         instance = dataclasses.replace(instance, born=latest)
-    before = view.instances.get(instance.id)
-    if _has_left(before, instance):
+    previous = view.instances.get(instance.id)
+    if _is_ready_after_leaving(previous, instance):
         return [(_types.News.OUTDATED, instance.id)]
-    if before != instance:
+    if previous != instance:
         view.doubted_until.pop(instance.id, None)
-    runs = before != instance and instance.id in view.replaced_ids
-    if runs:
+    is_running = previous != instance and instance.id in view.replaced_ids
+    if is_running:
         # Only an instance that runs changes its entry.
         view.replaced_ids.discard(instance.id)
     view.lapsed.pop(instance.id, None)
@@ -344,19 +356,19 @@
     _note_born(view, instance)
     if latest and instance.born > latest:
         news = _types.News.RESTARTED
-    elif before is None:
+    elif previous is None:
         news = _types.News.ADDED
-    elif _is_same(before, instance) and not runs:
+    elif _has_same_routing(previous, instance) and not is_running:
         return []
-    elif instance.state is not before.state:
+    elif instance.state is not previous.state:
         news = _types.News.LEAVING
     else:
         news = _types.News.CHANGED
     return [(news, instance.id)]
 
 
-def _has_left(
-    before: _types.Instance | None, instance: _types.Instance
+def _is_ready_after_leaving(
+    previous: _types.Instance | None, instance: _types.Instance
 ) -> bool:
     """Return whether the run that an entry calls ready is to stop.
 
@@ -364,20 +376,22 @@
     as it was.
     """
     return (
-        before is not None
-        and before.state is _types.InstanceState.LEAVING
+        previous is not None
+        and previous.state is _types.InstanceState.LEAVING
         and instance.state is _types.InstanceState.READY
-        and instance.born == before.born
+        and instance.born == previous.born
     )
 
 
-def _is_same(before: _types.Instance, instance: _types.Instance) -> bool:
+def _has_same_routing(
+    previous: _types.Instance, instance: _types.Instance
+) -> bool:
     """Return whether an entry says the same of where work may go.
 
     For how long an instance stays cold counts down with each heartbeat.
     """
-    return before == dataclasses.replace(
-        instance, cold_seconds=before.cold_seconds
+    return previous == dataclasses.replace(
+        instance, cold_seconds=previous.cold_seconds
     )
 
 
@@ -390,7 +404,7 @@
         del view.latest_starts[next(iter(view.latest_starts))]
 
 
-def _withdraw(view: View, key: str) -> Updates:
+def _drop_unusable(view: View, key: str) -> Updates:
     """Use an instance no longer whose entry has become unreadable."""
     known = view.instances.pop(key, None)
     lapsed = view.lapsed.pop(key, None)
