--- a/src/sassafrasstair/decisions/policies/__init__.py
+++ b/src/sassafrasstair/decisions/policies/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' policy: routes, their services and what clients may send."""
+"""The operators' policy: routes, services, customers and client limits."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
     "Unidentified",
     "choose_service",
     "digest_key",
+    "find_fault",
     "identify_customer",
     "match_route",
     "new_table",
-    "find_fault",
 ]
--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -1,4 +1,4 @@
-"""Whether a policy can be served by, whoever handed it over."""
+"""Validation of a policy, whichever source it comes from."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from sassafrasstair.decisions.policies import _policies
 
 SECONDS_MAX = 86_400.0
-"""No client waits for a day; a greater number is garbage."""
+"""No client waits for a day, so a greater value is invalid."""
 _CUSTOMER = re.compile(r"[!-~]{1,200}")
 
 
 def find_fault(policy: _policies.Policy) -> str:
-    """Return what is wrong with a policy, or an empty string."""
+    """Return which part of a policy is invalid, or an empty string."""
     if policy.version < 0:
         return "version"
     limits = policy.limits
@@ -37,7 +37,7 @@
     names: set[str] = set()
     for customer in customers:
         name = f"customer {customer.name[:80]!r}"
-        # Names travel in a header field.
+        # Customer names are sent in a header field.
         if not _CUSTOMER.fullmatch(customer.name) or customer.name in names:
             return f"{name}: name"
         if not (_is_amount(customer.rate) and _is_amount(customer.burst)):
@@ -64,7 +64,7 @@
         return "times"
     if route.attempts_max < 1:
         return "attempts"
-    # Names travel in a field between daemons, parted by blanks.
+    # Daemons send route names in a field separated by spaces.
     if not route.name.isprintable() or " " in route.name or not route.name:
         return "name"
     weights = [share.weight for share in route.shares]
--- a/src/sassafrasstair/decisions/policies/_customers.py
+++ b/src/sassafrasstair/decisions/policies/_customers.py
@@ -1,4 +1,4 @@
-"""Telling by its API key which customer sent a request."""
+"""Identification of the customer of a request by its API key."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 
 class Unidentified(enum.Enum):
-    """Why a request belongs to no customer."""
+    """Why a request has no customer."""
 
     ANONYMOUS = "anonymous"
-    """It needs no key."""
+    """The request needs no key."""
     NO_KEY = "no_key"
     UNKNOWN_KEY = "unknown_key"
 
 
 def digest_key(key: bytes) -> bytes:
-    """Return the digest by which a key is known; keys are not kept."""
+    """Return the digest that identifies a key; keys are not stored."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
 def by_key(
     policy: _policies.Policy,
 ) -> dict[bytes, _policies.Customer] | None:
-    """Return the customers by the digests of their keys."""
+    """Return the customers by the digests of their keys, None without any."""
     if policy.customers is None:
         return None
     return {
@@ -41,7 +41,10 @@
 def identify_customer(
     table: _tables.Table, route: _policies.Route, key: bytes | None
 ) -> _policies.Customer | Unidentified:
-    """Return whose request it is, by the digest of its key if it has one."""
+    """Return the customer of a request, or why it has none.
+
+    ``key`` is the digest of the request's key, None if it has no key.
+    """
     customers = table.customers
     if customers is None:
         return Unidentified.ANONYMOUS
--- a/src/sassafrasstair/decisions/policies/_policies.py
+++ b/src/sassafrasstair/decisions/policies/_policies.py
@@ -1,4 +1,4 @@
-"""What a policy says, as one version has it. Durations are in seconds."""
+"""The contents of one policy version. Durations are in seconds."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """A service and the part of a route's requests that it gets."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float
@@ -15,13 +15,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests go whose host and path begin like this.
-
-    ``idempotent`` requests may run more than once. ``timeout`` is the
-    longest time until the final answer, ``objective`` the time that an
-    answer should take. ``importance`` is as in ``load.rank``: greater is
-    shed later. ``attempts_max`` bounds the instances that one request may
-    be sent to. ``anonymous`` requests need no key.
+    """The services for requests to ``host`` whose path starts with ``prefix``.
+
+    If ``idempotent``, a request may run more than once. ``timeout`` is the
+    longest time until the final answer, ``objective`` the target latency.
+    ``importance`` is as in ``load.rank``: requests of greater importance are
+    shed later. ``attempts_max`` limits the instances that one request may be
+    sent to. ``shares`` are the services among which the requests are split.
+    If ``anonymous``, a request needs no key.
     """
 
     name: str
@@ -38,11 +39,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Customer:
-    """Who sends requests, and how many.
+    """A customer that sends requests, and its rate limit.
 
-    ``keys`` are digests of its API keys. ``rate`` in requests a second and
-    ``burst`` in requests hold for all daemons together; a rate of 0 is no
-    limit. ``importance`` goes before that of a route, unless it is None.
+    ``keys`` are digests of its API keys. ``rate`` (requests per second) and
+    ``burst`` (requests) apply to all daemons together; a rate of 0 means no
+    limit. ``importance``, unless None, takes precedence over the route's.
     """
 
     name: str
@@ -54,7 +55,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send and how long it may take; bytes, seconds."""
+    """Limits on what a client sends and how long it takes.
+
+    ``head_bytes`` and ``body_bytes`` limit the sizes of a request's head and
+    body, ``head_seconds`` the time until its head is complete, and
+    ``idle_seconds`` the time for which a connection may be idle.
+    """
 
     head_bytes: int
     body_bytes: int
@@ -66,8 +72,8 @@
 class Policy:
     """One version of the policy; the highest version seen is in force.
 
-    ``services`` are those that it names beside the services of its routes.
-    Where ``customers`` is None no request needs a key.
+    ``services`` are named in addition to the services of the routes. If
+    ``customers`` is None, no request needs a key.
     """
 
     version: int
--- a/src/sassafrasstair/decisions/policies/_tables.py
+++ b/src/sassafrasstair/decisions/policies/_tables.py
@@ -1,4 +1,4 @@
-"""Finding a request's route, at a cost that does not grow with the routes."""
+"""Route lookup at a cost that does not grow with the number of routes."""
 
 from __future__ import annotations
 
@@ -15,10 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Table:
-    """The routes of one policy by host and then by prefix, and by name.
+    """Lookup tables of one policy.
 
-    ``services`` are all that the policy names, ``customers`` those who hold
-    a key by its digest, None where no request needs one.
+    ``routes_by_host`` maps a host to its routes by prefix. ``services`` are
+    all services that the policy names. ``customers`` maps the digest of a key
+    to its customer; it is None if no request needs a key.
     """
 
     policy: _policies.Policy
@@ -29,7 +30,7 @@
 
 
 def new_table(policy: _policies.Policy) -> Table:
-    """Return the table of a policy."""
+    """Return the lookup tables of a policy."""
     hosts: dict[str, dict[str, _policies.Route]] = {}
     for route in policy.routes:
         hosts.setdefault(route.host.lower(), {})[route.prefix] = route
@@ -46,9 +47,9 @@
 
 
 def match_route(table: Table, host: str, path: str) -> _policies.Route | None:
-    """Return the route with the longest prefix of ``path``.
+    """Return the host's route with the longest prefix of ``path``, or None.
 
-    ``host`` may have a port. Prefixes begin and end with a slash, so only
+    ``host`` may include a port. Prefixes begin and end with a slash, so only
     the path up to each of its slashes is looked up.
     """
     name = host.lower()
@@ -67,7 +68,7 @@
 
 
 def choose_service(route: _policies.Route, rng: random.Random) -> str:
-    """Return one of the route's services, by the weights of its shares."""
+    """Return one of the route's services, drawn by the shares' weights."""
     shares = route.shares
     if len(shares) == 1:
         return shares[0].service
