--- a/src/sassafrasstair/decisions/views/__init__.py
+++ b/src/sassafrasstair/decisions/views/__init__.py
@@ -1,4 +1,4 @@
-"""What a daemon knows of policy and instances, and how it learns more."""
+"""A daemon's view of the policy and instances, and updates to it."""
 
 from __future__ import annotations
 
@@ -70,8 +70,8 @@
     "active_version",
     "adopt_snapshot",
     "apply_changes",
-    "born_at",
     "apply_confirmation",
+    "born_at",
     "count_services",
     "delta_since",
     "era_of",
@@ -85,25 +85,25 @@
     "knows_policy",
     "least_importance",
     "lost_store_seconds",
-    "other_hosts",
     "new_view",
+    "note_changes_read",
+    "note_full_read",
     "note_peer_age",
     "note_replaced",
     "note_unsteady",
-    "note_changes_read",
-    "note_full_read",
     "number_in_era",
+    "other_hosts",
     "own_confirmation",
+    "pack_revision",
     "receive_confirmation",
     "replace_all",
-    "pack_revision",
     "snapshot",
     "store_answered",
     "store_failed",
     "take_delta",
     "targets",
     "unconfirmed_seconds",
-    "usable_delta",
     "up_to_date_at",
+    "usable_delta",
     "without_unusable",
 ]
--- a/src/sassafrasstair/decisions/views/_confirmations.py
+++ b/src/sassafrasstair/decisions/views/_confirmations.py
@@ -1,9 +1,9 @@
-"""Until when the active policy is known to have been the newest one.
+"""Confirmations that the active policy was the newest at some instant.
 
 A confirmation names a version and an instant: no policy that the store had
-acknowledged by then is newer. It holds at whoever has that version or a newer
-one, so it is passed on between daemons without the policy itself. A key that
-the policy holds was valid at that instant.
+acknowledged by then is newer. It is valid at every daemon that has that
+version or a newer one, so daemons forward it without the policy itself. A key
+in the policy was valid at that instant.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Confirmation:
-    """What a daemon tells of the policy that it confirms.
+    """A daemon's confirmation that a policy version is the newest.
 
-    ``age`` is how many seconds ago it was the newest, and ``held`` for how
-    many the question waited for its answer.
+    ``age_seconds`` is how long ago it was known to be the newest.
+    ``held_seconds`` is for how long the poll was held open before its answer.
     """
 
     version: int
@@ -36,10 +36,12 @@
 def apply_confirmation(
     view: _views.View, version: int, instant: float
 ) -> bool:
-    """Take a confirmation; return whether it holds here.
+    """Apply a confirmation; return whether it is valid for this view.
 
-    ``instant`` is in seconds of the clock, and no later than the truth. A
-    store that has just come back older may lack a newer policy.
+    ``instant`` is in seconds of this daemon's clock, and not later than the
+    time at which the version was the newest. A confirmation from right after
+    the store was restored from an older copy is rejected, as the store may
+    then lack a newer policy.
     """
     if version < 0 or version > active_version(view):
         return False
@@ -52,10 +54,10 @@
 def receive_confirmation(
     view: _views.View, confirmation: Confirmation, asked_at: float
 ) -> bool:
-    """Take the confirmation of a peer that was asked at an instant.
+    """Apply the confirmation of a peer that was polled at ``asked_at``.
 
-    The age counts from the answer, which is later than the question by the
-    time for which it was held at least.
+    The age counts from the peer's answer, which is later than the poll by at
+    least the time for which the poll was held open.
     """
     instant = asked_at + confirmation.held_seconds - confirmation.age_seconds
     return apply_confirmation(view, confirmation.version, instant)
@@ -64,7 +66,7 @@
 def own_confirmation(
     view: _views.View, now: float, held: float
 ) -> Confirmation | None:
-    """Return what to tell a peer, None if nothing was confirmed."""
+    """Return the confirmation for a peer, None if there was none."""
     age = unconfirmed_seconds(view, now)
     if age == float("inf"):
         return None
@@ -72,24 +74,24 @@
 
 
 def unconfirmed_seconds(view: _views.View, now: float) -> float:
-    """Return how long ago the policy was known to be the newest."""
+    """Return how long ago the policy was last known to be the newest."""
     return now - view.confirmed_at
 
 
 def note_full_read(view: _views.View, revision: int) -> None:
-    """Note a reading of the latest state: it has all policies until then."""
+    """Record a full read of the latest state, which has all policies."""
     view.policies_read_until = max(view.policies_read_until, revision)
 
 
 def note_changes_read(view: _views.View, after: int, revision: int) -> None:
-    """Note that a watch brought all changes between two revisions.
+    """Record that a watch returned all changes between two revisions.
 
-    One that brought none says nothing: a watch that stalls looks the same.
+    Not called for a watch without changes: a stalled watch looks the same.
     """
     if after <= view.policies_read_until:
         view.policies_read_until = max(view.policies_read_until, revision)
 
 
 def up_to_date_at(view: _views.View, revision: int) -> bool:
-    """Return whether the view has all policies up to a revision."""
+    """Return whether the view has all policies up to ``revision``."""
     return revision <= view.policies_read_until
--- a/src/sassafrasstair/decisions/views/_histories.py
+++ b/src/sassafrasstair/decisions/views/_histories.py
@@ -1,8 +1,8 @@
-"""At which content each thing last changed, and what is gone.
+"""The content revision at which each entry last changed or was removed.
 
-A daemon tells a peer what changed after the peer's own content. It keeps
-nothing for a peer: changes of one entry coalesce into its last state, and a
-peer that is further behind than what is kept gets the whole view.
+A daemon sends a peer what changed after the peer's own content revision. It
+keeps no state per peer: changes of one entry coalesce into its last state,
+and a peer that is further behind than the history gets the whole view.
 """
 
 from __future__ import annotations
@@ -13,13 +13,16 @@
 from sassafrasstair.decisions.views import _types
 
 REMOVALS_KEPT = 1_000
-"""Ids that are gone and still told: all 1,300 instances would be replaced
-in ten minutes before a peer that is a minute behind reads the whole view."""
+"""Removed ids that are kept. Even if all 1,300 instances are replaced within
+ten minutes, a peer that is a minute behind needs no whole view."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Removal:
-    """An instance that is gone since ``content``, or became unreadable."""
+    """The removal of an instance at the revision ``content``.
+
+    ``unusable`` is whether its entry became unreadable instead.
+    """
 
     content: int
     unusable: bool
@@ -27,9 +30,11 @@
 
 @dataclasses.dataclass(slots=True)
 class History:
-    """``floor`` is the content from which on all changes are kept.
+    """The content revisions of the last changes.
 
-    ``changed`` is by the instance's id; ``policy`` is that of the policy.
+    All changes after ``complete_from`` are kept. ``policy_content`` is when
+    the policy last changed. ``changed_at`` and ``removals`` hold the last
+    change and the removal of instances by id.
     """
 
     complete_from: int = -1
@@ -41,7 +46,7 @@
 def record_change(
     history: History, change: _types.Change, content: int
 ) -> None:
-    """Note that a change made a difference at ``content``."""
+    """Record a change that had an effect, at the revision ``content``."""
     if isinstance(change, _policies.Policy):
         history.policy_content = content
     elif isinstance(change, _types.Instance):
@@ -54,7 +59,10 @@
 def removed_ids(
     history: History, after: int, unusable: bool
 ) -> tuple[str, ...]:
-    """Return the ids that are gone, or unreadable, since ``after``."""
+    """Return the ids that were removed after the revision ``after``.
+
+    With ``unusable``, return those whose entry became unreadable instead.
+    """
     return tuple(
         key
         for key, each in history.removals.items()
--- a/src/sassafrasstair/decisions/views/_queries.py
+++ b/src/sassafrasstair/decisions/views/_queries.py
@@ -1,4 +1,4 @@
-"""What the daemon asks of a view."""
+"""Queries on a view."""
 
 from __future__ import annotations
 
@@ -15,38 +15,38 @@
     from sassafrasstair.decisions.views import _views
 
 STALE_SECONDS = 1.0
-"""Without the store for so long a request whose route is not known may be
-for a route that is new: it is refused for now instead of denied."""
+"""After the store has been unreachable for so long, a request without a known
+route may be for a new route: it is refused temporarily instead of denied."""
 
 
 def knows_policy(view: _views.View) -> bool:
-    """Return whether there is a policy to serve by."""
+    """Return whether the view has a policy."""
     return view.table is not None
 
 
 def is_behind(view: _views.View, content: int) -> bool:
-    """Return whether a peer that told its ``content`` knows more.
+    """Return whether a peer at the revision ``content`` has newer changes.
 
-    A view that goes up to ``revision`` has all changes until then, though
-    its own last change may be older.
+    A view has all changes up to its ``revision``, even if its own last change
+    is older.
     """
     return content > max(view.content, view.revision)
 
 
 def is_restored(view: _views.View, revision: int) -> bool:
-    """Return whether the store has since come back from an older copy.
+    """Return whether the store was restored from an older copy.
 
-    ``revision`` is the store's now. What it was asked for from before that,
-    it does not have any more, or has given out anew.
+    ``revision`` is the store's present one. The store no longer has the
+    revisions that it gave out since the copy was made, or has reused them.
     """
     later = _revisions.era_of(revision) > _revisions.era_of(view.revision)
     return view.revision >= 0 and later
 
 
 def lost_store_seconds(view: _views.View, now: float) -> float | None:
-    """Return for how long there has been no word of the store, by any way.
+    """Return for how long the store has not answered, also through peers.
 
-    None if there is no lack of it.
+    None if the store answers.
     """
     return (
         now - view.store_lost_since if view.store_lost_since <= now else None
@@ -54,12 +54,12 @@
 
 
 def is_stale(view: _views.View, now: float) -> bool:
-    """Return whether the store has been away for a while."""
+    """Return whether the store has been unreachable for a while."""
     return now - view.store_lost_since >= STALE_SECONDS
 
 
 def targets(view: _views.View, service: str) -> tuple[calls.Target, ...]:
-    """Return the instances of a service that new work may go to."""
+    """Return the instances of a service that may get new requests."""
     found = view.target_cache.get(service)
     if found is None:
         found = _targets(view, service)
@@ -68,7 +68,7 @@
 
 
 def snapshot(view: _views.View) -> _types.Snapshot:
-    """Return what is known, for a peer that knows less."""
+    """Return the whole view, for a peer that is behind."""
     policy = None if view.table is None else view.table.policy
     return _types.Snapshot(
         view.revision,
@@ -79,9 +79,9 @@
 
 
 def delta_since(view: _views.View, after: int) -> _types.Delta:
-    """Return what became known after ``after``, a peer's content.
+    """Return the changes after ``after``, a peer's content revision.
 
-    All that is known, where the history does not go back so far.
+    Return the whole view if the history does not go back that far.
     """
     policy = None if view.table is None else view.table.policy
     if after >= view.content:
@@ -117,7 +117,7 @@
 
 
 def other_hosts(view: _views.View, own_host: str) -> list[str]:
-    """Return the hosts of all other daemons that are known."""
+    """Return the hosts of all other known daemons."""
     known = [
         entry
         for entry in view.instances.values()
@@ -130,12 +130,13 @@
 
 
 def _targets(view: _views.View, service: str) -> tuple[calls.Target, ...]:
-    """Return whom to ask, without those that are known to have ended.
+    """Return the targets of a service, without instances that have ended.
 
     An address serves one instance at a time, so the older of two entries is
-    out of date. An entry that a late heartbeat of an ended instance has
-    written anew counts until the one that runs at the address has said that
-    it is another. An entry of a service that no policy names hides none.
+    out of date. If a late heartbeat of an ended instance rewrites its entry,
+    that entry is used until the instance that runs at the address has
+    answered with another id. An entry of a service that the policy does not
+    name supersedes no other.
     """
     newest: dict[tuple[str, int], _types.Instance] = {}
     for known in view.instances.values():
@@ -163,7 +164,7 @@
 
 
 def _is_eligible(view: _views.View, instance: _types.Instance) -> bool:
-    """Return whether nothing but its entry speaks against an instance."""
+    """Return whether an instance is neither replaced nor held back."""
     return (
         instance.id not in view.replaced_ids
         and instance.id not in view.doubted_until
@@ -173,7 +174,7 @@
 def _is_superseded(
     instance: _types.Instance, newest: _types.Instance | None
 ) -> bool:
-    """Return whether another instance runs at the instance's address."""
+    """Return whether a later instance runs at the instance's address."""
     return (
         newest is not None
         and newest.id != instance.id
@@ -182,10 +183,10 @@
 
 
 def _is_later(one: _types.Instance, other: _types.Instance) -> bool:
-    """Return whether ``one`` came to their address after ``other``.
+    """Return whether ``one`` started at their shared address after ``other``.
 
-    By when they started, where both tell it: the revision at which an entry
-    came does not move when a run under the same id writes it again.
+    Start times decide if both are known: the revision at which an entry was
+    created stays the same when a new run under the same id rewrites it.
     """
     if one.born and other.born and one.born != other.born:
         return one.born > other.born
@@ -200,7 +201,11 @@
 def _candidates(
     view: _views.View, service: str
 ) -> abc.Sequence[_types.Instance]:
-    """Return the instances with an entry, or with one that just vanished."""
+    """Return the ready instances of a service.
+
+    Includes those whose trusted entry vanished; others whose entry vanished
+    are returned only if there is no ready instance.
+    """
     ready = [
         instance
         for instance in view.instances.values()
@@ -224,7 +229,7 @@
 
 
 def instance_by_id(view: _views.View, key: str) -> _types.Instance | None:
-    """Return an instance by its id, also one whose entry has vanished."""
+    """Return an instance by its id, even if its entry has just vanished."""
     found = view.instances.get(key)
     if found is None and key in view.lapsed:
         found = view.lapsed[key].instance
@@ -232,7 +237,7 @@
 
 
 def born_at(view: _views.View, key: str) -> int:
-    """Return when the run under an id started, 0 if that was not told."""
+    """Return when the latest run under an id started, 0 if unknown."""
     return view.latest_starts.get(key, 0)
 
 
--- a/src/sassafrasstair/decisions/views/_revisions.py
+++ b/src/sassafrasstair/decisions/views/_revisions.py
@@ -1,9 +1,9 @@
-"""Revisions of the store that can be compared whenever they were given out.
+"""Store revisions that stay comparable when the store is restored.
 
-A store that comes back from an older copy begins another era and gives its
-revisions out again. Here a revision holds its era too: one of a later era is
-greater than all of those before. It stays one number, as daemons tell each
-other, and is the store's own one while the era is 0.
+A store that is restored from an older copy starts a new era and reuses its
+revision numbers. Here a revision includes the era, so that one of a later era
+is greater than all revisions of earlier ones. It is a single number, as sent
+between daemons, and equals the store's own number while the era is 0.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 _NUMBER_BITS = 40
 """A trillion changes within one era: 1,000 a second for 35 years."""
 UNORDERED = -1
-"""Less than any revision: nothing is known, or only a stale reading."""
+"""Less than any revision: the view is empty, or from a stale read."""
 NUMBER_MAX = (1 << _NUMBER_BITS) - 1
 
 
 def pack_revision(era: int, number: int) -> int:
-    """Return the revision that the store counts as ``number`` in an era."""
+    """Return the revision for the store's ``number`` in an era."""
     return era << _NUMBER_BITS | number
 
 
--- a/src/sassafrasstair/decisions/views/_types.py
+++ b/src/sassafrasstair/decisions/views/_types.py
@@ -1,4 +1,4 @@
-"""Instances, what changes, and what daemons hand each other."""
+"""Instances, changes, and the snapshots and deltas that daemons exchange."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class InstanceState(enum.Enum):
-    """What an instance says of itself."""
+    """The state that an instance reports of itself."""
 
     READY = "ready"
     LEAVING = "leaving"
@@ -21,13 +21,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Instance:
-    """One run of an upstream; a restart has another ``id`` or ``born``.
+    """One run of an upstream; a restart changes its ``id`` or ``born``.
 
-    ``host`` is the address of its VM, where its daemon listens too, and
-    ``port`` its own. ``since`` is the store's revision at which its entry
-    came. ``cold_seconds`` is for how long it stays slow after its start.
-    ``born`` is when it started, in Unix milliseconds by the clock of its VM;
-    0 if that was not told.
+    ``host`` is the address of its VM, on which its daemon listens too, and
+    ``port`` is the upstream's. ``since`` is the store revision at which its
+    entry was created. ``cold_seconds`` is for how much longer it is slow
+    after its start. ``born`` is when it started, in Unix milliseconds by the
+    clock of its VM, or 0 if unknown.
     """
 
     id: str
@@ -45,14 +45,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Removed:
-    """The entry of an instance is gone."""
+    """The entry of an instance was removed."""
 
     id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unusable:
-    """The entry of an instance can't be read any more: it names none."""
+    """The entry of an instance became unreadable."""
 
     id: str
 
@@ -62,7 +62,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All that one daemon knows, as of ``revision`` of the store."""
+    """The whole view of a daemon, as of the store's ``revision``.
+
+    ``content`` is the revision of the last change that had an effect.
+    """
 
     revision: int
     content: int
@@ -72,9 +75,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Delta:
-    """What became known after a ``content``, as of ``revision``.
+    """The changes of a view after a content revision, as of ``revision``.
 
-    ``whole`` when it is all that the sender knows: what it lacks is gone.
+    ``content`` is the revision of the last change that had an effect. If
+    ``whole``, the delta is the sender's whole view, and instances that it
+    lacks are gone. ``removed`` and ``unusable`` are ids of instances.
     """
 
     revision: int
@@ -87,19 +92,19 @@
 
     @property
     def empty(self) -> bool:
-        """Whether it changes nothing but how far the view goes."""
+        """Whether the delta changes nothing but the view's revision."""
         listed = self.instances or self.removed or self.unusable
         return not (self.whole or self.policy or listed)
 
 
 def without_unusable(snapshot: Snapshot) -> Snapshot:
-    """Return the snapshot without instances that can't be asked."""
+    """Return the snapshot without instances whose entry is invalid."""
     usable = tuple(each for each in snapshot.instances if _is_usable(each))
     return dataclasses.replace(snapshot, instances=usable)
 
 
 def usable_delta(delta: Delta) -> Delta:
-    """Return the delta with instances that can't be asked told as such."""
+    """Return the delta with invalid instances listed as unusable."""
     usable = tuple(each for each in delta.instances if _is_usable(each))
     wrong = tuple(each.id for each in delta.instances if not _is_usable(each))
     return dataclasses.replace(
@@ -119,7 +124,7 @@
 
 
 class News(enum.Enum):
-    """What a change made different here."""
+    """The effect of a change on the view."""
 
     POLICY = "policy"
     ADDED = "instance_added"
--- a/src/sassafrasstair/decisions/views/_views.py
+++ b/src/sassafrasstair/decisions/views/_views.py
@@ -1,8 +1,8 @@
-"""The view of policy and instances, kept from the store or from peers.
+"""The view of the policy and instances, updated from the store or peers.
 
-The store's revision orders all that is known: whoever has the greater
-revision knows more, whether it read the store itself or asked a peer. Each
-revision holds the era of the store in which it was given out.
+The store's revision orders all views: the one with the greater revision is
+newer, whether the daemon read the store itself or asked a peer. Each revision
+includes the era of the store in which it was given out.
 """
 
 from __future__ import annotations
@@ -21,34 +21,34 @@
     from collections import abc
 
 LAPSED_SECONDS = 1.5
-"""For how long an instance whose entry vanished is still used: entries that
-lapse while the store is away are back within two seconds, and an instance
-that leaves without a word serves on for at least as long."""
+"""For how long an instance whose entry vanished is still used. Entries that
+expire while the store is unreachable are rewritten within two seconds, and an
+instance that leaves without announcing it keeps serving at least as long."""
 UNSTEADY_SECONDS = 2.0
-"""For how long after the store was away, or came back older, a vanished
-entry may have lapsed or been lost rather than removed."""
+"""For how long after an outage or restore of the store a vanished entry may
+have expired or been lost rather than removed."""
 
 RESTORE_SETTLE_SECONDS = 2.0
-"""For how long after the store came back older a change that it had
-acknowledged may still be missing there."""
+"""For how long after the store was restored from an older copy a change that
+it had acknowledged may still be missing."""
 DOUBTED_SECONDS = 10.0
-"""For how long an instance that was gone gets no work when an older copy of
-the store lists it again. By then an entry that nobody renews has run out."""
+"""For how long a removed instance gets no requests when an older copy of the
+store lists it again. By then an entry that is not renewed has expired."""
 BORN_KEPT = 4_000
-"""Ids whose latest start is remembered, those that ended included: an entry
-that comes back must not be that of an earlier run. 1,300 instances that are
-replaced three times."""
+"""Ids whose latest start is remembered, even after they ended, to reject
+reappearing entries of earlier runs: 1,300 instances, replaced three times."""
 
 Updates = list[tuple[_types.News, str]]
-"""What became different: the news, and an instance's id or ''."""
+"""The effects of changes, each with an instance's id or ''."""
 
 
 @dataclasses.dataclass(slots=True)
 class Lapsed:
-    """An instance whose entry vanished at ``since``.
+    """An instance whose entry vanished at ``lapsed_at``.
 
-    ``trusted`` when the store had been away, so that the entry may just
-    have run out; else it is used only if its service has no other.
+    ``trusted`` is True if the entry may merely have expired during an outage
+    of the store. Otherwise the instance is used only if its service has no
+    other.
     """
 
     instance: _types.Instance
@@ -58,31 +58,38 @@
 
 @dataclasses.dataclass(slots=True)
 class View:
-    """What is known. ``revision`` is the store's, see ``_revisions``.
+    """A daemon's view, as of the store's ``revision``; see ``_revisions``.
 
-    ``content`` is the revision of the last change that made a difference:
-    the store's own counter also moves with changes that do not concern us,
-    and is no measure of which of two daemons knows more.
+    ``content`` is the revision of the last change that had an effect. The
+    store's own counter also rises with unrelated changes, so it does not tell
+    which of two daemons has the newer view.
 
-    ``answered`` is when the store last answered this daemon, ``failing``
-    since when it has not; both are seconds of the clock.
+    ``lapsed`` are instances whose entries vanished, by id.
 
-    ``replaced`` are the ids of instances at whose address another one
+    ``store_answered_at`` is when the store last answered, also through peers,
+    and ``store_lost_since`` since when it has not; both are in seconds of the
+    daemon's clock. Until ``unsteady_until`` a vanished entry may merely have
+    expired.
+
+    ``replaced_ids`` are the ids of instances at whose address another one
     answered: their entries are out of date until they change.
 
-    ``doubted`` are instances that were gone and are listed by an older copy
-    of the store, with the instant until which they get no work unless their
+    ``doubted_until`` holds removed instances that an older copy of the store
+    lists again, with the time until which they get no requests unless their
     entry changes.
 
-    ``latest`` are the latest starts by id, the last seen at the end.
+    ``latest_starts`` are the latest start times by id, the last seen at the
+    end.
 
-    ``confirmed`` is the latest instant at which the active policy is known
-    to have been the newest. All policies up to the revision ``vouched`` have
-    been read, at the latest state of the store. Nothing is confirmed for
-    instants before ``settled_from``: the store had come back older.
+    ``confirmed_at`` is the latest instant at which the active policy is known
+    to have been the newest. All policies up to the revision
+    ``policies_read_until`` have been read, at the latest state of the store.
+    No confirmation is accepted for instants before ``confirmable_from``, as
+    the store had been restored from an older copy.
 
-    ``history`` says at which content each thing last changed, so that a
-    peer is told only what it lacks.
+    ``history`` holds the content revision at which each entry last changed,
+    so that a peer is sent only what it lacks. ``target_cache`` holds the
+    targets by service.
     """
 
     revision: int = -1
@@ -110,15 +117,15 @@
 
 
 def new_view() -> View:
-    """Return a view that knows nothing."""
+    """Return an empty view."""
     return View()
 
 
 def store_answered(view: View, now: float, age: float = 0.0) -> bool:
-    """Note an answer of the store; True when it had been away.
+    """Record an answer of the store; return whether it ends an outage.
 
-    ``age`` is how long ago it was given, to another daemon. One that was
-    given before the loss says nothing of a return.
+    ``age`` is how long ago the answer was given, possibly to another daemon.
+    An answer from before the outage does not end it.
     """
     view.store_answered_at = max(view.store_answered_at, now - age)
     if view.store_lost_since == math.inf or now - age <= view.store_lost_since:
@@ -129,23 +136,22 @@
 
 
 def note_peer_age(view: View, age: float, now: float) -> None:
-    """Take from a peer that knows no more how old its view is at most.
+    """Record the greatest age of the view of a peer that is not ahead.
 
-    What the store says by another way changes nothing of whether it answers
-    this daemon.
+    An answer of the store to another daemon does not end an outage here.
     """
     view.store_answered_at = max(view.store_answered_at, now - age)
 
 
 def store_failed(view: View, now: float) -> bool:
-    """Note a failed call to the store; True when it is the first."""
+    """Record a failed call to the store; return whether it is the first."""
     first = view.store_lost_since == math.inf
     view.store_lost_since = min(view.store_lost_since, now)
     return first
 
 
 def note_unsteady(view: View, seconds: float, now: float) -> None:
-    """Take from a peer for how long a vanished entry may have lapsed."""
+    """Extend the time for which vanished entries may merely have expired."""
     view.unsteady_until = max(view.unsteady_until, now + seconds)
 
 
@@ -156,10 +162,10 @@
     content: int,
     now: float,
 ) -> Updates:
-    """Take a whole reading of the store as of ``revision``.
+    """Replace the view with a full read of the store as of ``revision``.
 
-    Entries that the reading lacks have vanished. A reading that is older
-    than what is known is dropped: it would bring back what has left.
+    Entries missing from the read have vanished. A read that is older than the
+    view is dropped: it would restore instances that have left.
     """
     if revision < view.revision:
         return []
@@ -174,8 +180,8 @@
         listed_ids & view.history.removals.keys() if restored else set()
     )
     if view.content < 0 or restored:
-        # What was removed before is not known: it can't be told on. Even a
-        # reading that holds nothing tells a follower that all has gone.
+        # Earlier removals are unknown, so followers need the whole view. Even
+        # an empty read must tell a follower that all instances are gone.
         view.history.complete_from = view.content = content
     if restored:
         note_unsteady(view, UNSTEADY_SECONDS, now)
@@ -193,7 +199,7 @@
 def _hold_back_restored(
     view: View, instance_ids: abc.Iterable[str], now: float
 ) -> Updates:
-    """Give instances no work that were gone before the store was restored."""
+    """Hold back requests from instances removed before the restore."""
     view.doubted_until |= dict.fromkeys(instance_ids, now + DOUBTED_SECONDS)
     view.target_cache.clear()
     return [(_types.News.DOUBTED, key) for key in sorted(instance_ids)]
@@ -206,12 +212,12 @@
     content: int,
     now: float,
 ) -> Updates:
-    """Take changes of the store up to ``revision``, in their order.
+    """Apply changes of the store up to ``revision``, in their order.
 
-    ``content`` is the revision of the last of the changes. Changes that
-    make no difference don't move the view's: at the start of 195 VMs each
-    entry is written anew with each heartbeat, 130 a second, and each would
-    wake all daemons that wait for news.
+    ``content`` is the revision of the last of the changes. Changes without an
+    effect don't advance the view's content revision: at the start of 195 VMs
+    each heartbeat rewrites an entry, 130 a second, and each would wake all
+    daemons that wait for changes.
     """
     if revision < view.revision:
         return []
@@ -231,9 +237,9 @@
 def _drop_superseded_policies(
     changes: abc.Sequence[_types.Change],
 ) -> list[_types.Change]:
-    """Leave out policies that a later one of the same answer replaces.
+    """Drop policies that a later one of the same answer replaces.
 
-    None of them is ever active here.
+    None of them would ever become active.
     """
     versions = [
         change.version
@@ -249,14 +255,14 @@
 
 
 def take_delta(view: View, delta: _types.Delta, now: float) -> Updates:
-    """Take what a peer told after this view's content.
+    """Apply the changes that a peer sent since this view's content revision.
 
-    One that is older than what is known is dropped, whoever tells it.
+    A delta that is older than the view is dropped, whoever sent it.
     """
     if delta.revision < view.revision:
         return []
     if not delta.whole and _queries.is_restored(view, delta.revision):
-        # It leaves out what the copy that the store came back from lacks.
+        # It does not report what the copy of the restored store lacks.
         return []
     changes: list[_types.Change] = list(delta.instances)
     if delta.policy is not None:
@@ -282,7 +288,7 @@
 def adopt_snapshot(
     view: View, snapshot: _types.Snapshot, now: float
 ) -> Updates:
-    """Take what a peer knows, if its revision is greater."""
+    """Replace the view with a peer's, if its revision is greater."""
     if snapshot.revision <= view.revision:
         return []
     known: list[_types.Change] = list(snapshot.instances)
@@ -292,7 +298,7 @@
 
 
 def expire(view: View, now: float) -> Updates:
-    """Give up on vanished entries, and trust those that stayed."""
+    """Drop vanished entries in time, and use held-back ones that stayed."""
     cleared = [
         key for key, until in view.doubted_until.items() if until <= now
     ]
@@ -314,7 +320,7 @@
 
 
 def note_replaced(view: View, key: str) -> Updates:
-    """Note that another instance answered at the address of this one."""
+    """Record that another instance answered at an instance's address."""
     if key in view.replaced_ids or key not in view.instances:
         return []
     view.replaced_ids.add(key)
@@ -323,7 +329,7 @@
 
 
 def _set_policy(view: View, policy: policies.Policy) -> Updates:
-    """Put the policy in force unless a later one is: none reverts."""
+    """Activate the policy unless its version is not above the active one."""
     if view.table is not None and policy.version <= view.table.policy.version:
         return []
     view.table = policies.new_table(policy)
@@ -331,16 +337,16 @@
 
 
 def _set_instance(view: View, instance: _types.Instance) -> Updates:
-    """Take an entry, unless a later run under the same id is known.
+    """Apply an entry, unless a later run under the same id is known.
 
-    A late heartbeat, or a peer that is behind, would bring back the state,
-    slots and address of a run that has ended.
+    A late heartbeat, or a peer that is behind, would otherwise restore the
+    state, slots and address of a run that has ended.
     """
     latest = view.latest_starts.get(instance.id, 0)
     if instance.born and instance.born < latest:
         return [(_types.News.OUTDATED, instance.id)]
     if not instance.born and latest:
-        # Told by a daemon of the version before: it may be either run.
+        # A daemon of the previous version sends no start: may be either run.
         instance = dataclasses.replace(instance, born=latest)
     previous = view.instances.get(instance.id)
     if _is_ready_after_leaving(previous, instance):
@@ -349,7 +355,7 @@
         view.doubted_until.pop(instance.id, None)
     is_running = previous != instance and instance.id in view.replaced_ids
     if is_running:
-        # Only an instance that runs changes its entry.
+        # Only a running instance changes its entry.
         view.replaced_ids.discard(instance.id)
     view.lapsed.pop(instance.id, None)
     view.instances[instance.id] = instance
@@ -370,10 +376,10 @@
 def _is_ready_after_leaving(
     previous: _types.Instance | None, instance: _types.Instance
 ) -> bool:
-    """Return whether the run that an entry calls ready is to stop.
+    """Return whether an entry lists a run as ready that is leaving.
 
-    A run that leaves does not come back; an older copy of the store lists it
-    as it was.
+    A leaving run never becomes ready again, but an older copy of the store
+    still lists it as ready.
     """
     return (
         previous is not None
@@ -386,9 +392,9 @@
 def _has_same_routing(
     previous: _types.Instance, instance: _types.Instance
 ) -> bool:
-    """Return whether an entry says the same of where work may go.
+    """Return whether two entries differ at most in the cold time left.
 
-    For how long an instance stays cold counts down with each heartbeat.
+    That time counts down with each heartbeat and does not affect routing.
     """
     return previous == dataclasses.replace(
         instance, cold_seconds=previous.cold_seconds
@@ -405,7 +411,7 @@
 
 
 def _drop_unusable(view: View, key: str) -> Updates:
-    """Use an instance no longer whose entry has become unreadable."""
+    """Remove an instance whose entry has become unreadable."""
     known = view.instances.pop(key, None)
     lapsed = view.lapsed.pop(key, None)
     if known is None and lapsed is None:
