--- a/src/sassafrasstair/decisions/crashes/_ledger.py
+++ b/src/sassafrasstair/decisions/crashes/_ledger.py
@@ -98,7 +98,7 @@
         for place, run in enumerate(kept)
         if run.fingerprint in familiar
     )
-    return _add(ledger, _records.Crash(key, now, kept, familiar=bits))
+    return _add(ledger, _records.Crash(key, now, kept, familiar_bits=bits))
 
 
 def clear_completed(ledger: Ledger, fingerprint: int) -> bool:
@@ -108,8 +108,10 @@
     """
     cleared = False
     for crash, place in ledger.runs_by_request.get(fingerprint, ()):
-        bits = crash.cleared | 1 << place
-        cleared = _set_bits(ledger, crash, bits, crash.familiar) or cleared
+        bits = crash.cleared_bits | 1 << place
+        cleared = (
+            _set_bits(ledger, crash, bits, crash.familiar_bits) or cleared
+        )
     return cleared
 
 
@@ -127,13 +129,13 @@
                 report.key,
                 now - report.age,
                 report.runs,
-                report.cleared,
-                report.familiar,
+                report.cleared_bits,
+                report.familiar_bits,
             )
             changed = _add(ledger, crash)
         elif len(crash.runs) == len(report.runs):
-            cleared = crash.cleared | report.cleared
-            familiar = crash.familiar | report.familiar
+            cleared = crash.cleared_bits | report.cleared_bits
+            familiar = crash.familiar_bits | report.familiar_bits
             changed = _set_bits(ledger, crash, cleared, familiar)
         else:
             changed = False
@@ -145,8 +147,8 @@
 def mark_familiar(ledger: Ledger, fingerprint: int) -> None:
     """Note that an instance had completed a request before its crashes."""
     for crash, place in ledger.runs_by_request.get(fingerprint, ()):
-        bits = crash.familiar | 1 << place
-        _set_bits(ledger, crash, crash.cleared, bits)
+        bits = crash.familiar_bits | 1 << place
+        _set_bits(ledger, crash, crash.cleared_bits, bits)
 
 
 def reports_since(
@@ -158,8 +160,8 @@
             crash.key,
             max(0.0, now - crash.crashed_at),
             crash.runs,
-            crash.cleared,
-            crash.familiar,
+            crash.cleared_bits,
+            crash.familiar_bits,
         )
         for crash in ledger.crashes.values()
         if crash.changed_version > since
@@ -215,9 +217,9 @@
     """
     counted = sorted(
         (
-            (crash, crash.runs[place], crash.familiar >> place & 1)
+            (crash, crash.runs[place], crash.familiar_bits >> place & 1)
             for crash, place in entries
-            if not crash.cleared >> place & 1
+            if not crash.cleared_bits >> place & 1
         ),
         key=lambda each: each[0].crashed_at,
     )
@@ -283,10 +285,10 @@
 def _set_bits(
     ledger: Ledger, crash: _records.Crash, cleared: int, familiar: int
 ) -> bool:
-    if (cleared, familiar) == (crash.cleared, crash.familiar):
+    if (cleared, familiar) == (crash.cleared_bits, crash.familiar_bits):
         return False
     ledger.digest ^= _mark(crash)
-    crash.cleared, crash.familiar = cleared, familiar
+    crash.cleared_bits, crash.familiar_bits = cleared, familiar
     ledger.digest ^= _mark(crash)
     _changed(ledger, crash)
     return True
@@ -324,7 +326,7 @@
     def worth(crash: _records.Crash) -> tuple[bool, float]:
         recurs = any(
             len(ledger.runs_by_request[run.fingerprint]) > 1
-            and not crash.cleared >> place & 1
+            and not crash.cleared_bits >> place & 1
             for place, run in enumerate(crash.runs)
         )
         return recurs, crash.crashed_at
@@ -334,6 +336,6 @@
 
 def _mark(crash: _records.Crash) -> int:
     instance, born = crash.key
-    text = f"{instance} {born} {crash.cleared:x} {crash.familiar:x}"
+    text = f"{instance} {born} {crash.cleared_bits:x} {crash.familiar_bits:x}"
     digest = hashlib.blake2b(text.encode(), digest_size=8)
     return int.from_bytes(digest.digest(), "big")
--- a/src/sassafrasstair/decisions/crashes/_records.py
+++ b/src/sassafrasstair/decisions/crashes/_records.py
@@ -37,8 +37,8 @@
     key: CrashKey
     crashed_at: float
     runs: tuple[Run, ...]
-    cleared: int = 0
-    familiar: int = 0
+    cleared_bits: int = 0
+    familiar_bits: int = 0
     changed_version: int = 0
 
 
@@ -49,5 +49,5 @@
     key: CrashKey
     age: float
     runs: tuple[Run, ...]
-    cleared: int
-    familiar: int
+    cleared_bits: int
+    familiar_bits: int
--- a/src/sassafrasstair/decisions/once/__init__.py
+++ b/src/sassafrasstair/decisions/once/__init__.py
@@ -30,7 +30,7 @@
 from sassafrasstair.decisions.once._owners import stop_issuing
 from sassafrasstair.decisions.once._refusals import entrance_refusal
 from sassafrasstair.decisions.once._tickets import parse_ticket
-from sassafrasstair.decisions.once._tickets import TicketName
+from sassafrasstair.decisions.once._tickets import TicketTarget
 
 __all__ = [
     "Arrival",
@@ -45,7 +45,7 @@
     "Result",
     "Run",
     "Summary",
-    "TicketName",
+    "TicketTarget",
     "Unknown",
     "adopt_child",
     "accept_arrival",
--- a/src/sassafrasstair/decisions/once/_owners.py
+++ b/src/sassafrasstair/decisions/once/_owners.py
@@ -108,7 +108,7 @@
     owner.counts.issued += 1
     expiry = int((owner.latest_instant + lifetime) * _MILLISECONDS)
     _records.count_issued(owner.records, expiry)
-    name = _tickets.TicketName(
+    name = _tickets.TicketTarget(
         owner.vm, owner.incarnation, service, request_class
     )
     ticket = _tickets.Ticket(name, owner.last_serial, expiry)
@@ -133,7 +133,10 @@
     if read is None:
         owner.counts.invalid += 1
         return _not_run(outcomes.Reason.TICKET_INVALID)
-    if (read.name.vm, read.name.incarnation) != (owner.vm, owner.incarnation):
+    if (read.target.vm, read.target.incarnation) != (
+        owner.vm,
+        owner.incarnation,
+    ):
         # The incarnation that could know is gone, with its memory.
         owner.counts.owner_gone += 1
         return _unknown(outcomes.Reason.OWNER_GONE)
@@ -142,7 +145,7 @@
         owner.counts.invalid += 1
         return _not_run(outcomes.Reason.TICKET_INVALID)
     record = owner.records.by_serial.get(read.serial)
-    if read.name.request_class != request_class:
+    if read.target.request_class != request_class:
         return _misused(owner, read, record)
     if record is None:
         return _first(owner, read)
@@ -220,7 +223,7 @@
 def find(owner: Owner, ticket: str) -> _records.Record | None:
     """Return the record of a ticket of this owner, or None."""
     read = _tickets.decode(ticket)
-    if read is None or read.name.incarnation != owner.incarnation:
+    if read is None or read.target.incarnation != owner.incarnation:
         return None
     if not _tickets.is_genuine(ticket, owner.secret):
         return None
--- a/src/sassafrasstair/decisions/once/_records.py
+++ b/src/sassafrasstair/decisions/once/_records.py
@@ -32,10 +32,10 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Bucket:
+class ExpiryBucket:
     """Tickets that expire within the same second."""
 
-    issued: int = 0
+    issued_count: int = 0
     serials: list[int] = dataclasses.field(default_factory=list)
 
 
@@ -50,22 +50,27 @@
     max_records: int
     max_stored_bytes: int
     by_serial: dict[int, Record] = dataclasses.field(default_factory=dict)
-    overdue: set[int] = dataclasses.field(default_factory=set)
-    unexpired: int = 0
+    running_expired: set[int] = dataclasses.field(default_factory=set)
+    unexpired_count: int = 0
     stored_bytes: int = 0
-    buckets: dict[int, Bucket] = dataclasses.field(default_factory=dict)
+    buckets_by_second: dict[int, ExpiryBucket] = dataclasses.field(
+        default_factory=dict
+    )
     expiry_heap: list[int] = dataclasses.field(default_factory=list)
 
 
 def has_room(records: Records) -> bool:
     """Return whether one more ticket may become a record."""
-    return records.unexpired + len(records.overdue) < records.max_records
+    return (
+        records.unexpired_count + len(records.running_expired)
+        < records.max_records
+    )
 
 
 def count_issued(records: Records, expiry: int) -> None:
     """Count a ticket that was issued, until its expiry."""
-    _bucket(records, expiry).issued += 1
-    records.unexpired += 1
+    _bucket(records, expiry).issued_count += 1
+    records.unexpired_count += 1
 
 
 def add(records: Records, serial: int, expiry: int) -> Record:
@@ -80,8 +85,8 @@
     records: Records, serial: int, record: Record, result: _messages.Result
 ) -> None:
     """Keep how the execution ended, the answer within the bounds."""
-    if serial in records.overdue:
-        records.overdue.discard(serial)
+    if serial in records.running_expired:
+        records.running_expired.discard(serial)
         record.result = result
         del records.by_serial[serial]
         return
@@ -92,8 +97,10 @@
 def drop_expired(records: Records, now: float) -> None:
     """Drop what expired by ``now``: each record is touched once."""
     while records.expiry_heap and records.expiry_heap[0] <= now:
-        bucket = records.buckets.pop(heapq.heappop(records.expiry_heap))
-        records.unexpired -= bucket.issued
+        bucket = records.buckets_by_second.pop(
+            heapq.heappop(records.expiry_heap)
+        )
+        records.unexpired_count -= bucket.issued_count
         for serial in bucket.serials:
             _drop(records, serial)
 
@@ -103,19 +110,19 @@
     if record.result is None:
         # Dropping the record of a running execution would lose its end:
         # joined callers would wait for ever. It stays until that end.
-        records.overdue.add(serial)
+        records.running_expired.add(serial)
         return
     records.stored_bytes -= _size(record)
     del records.by_serial[serial]
 
 
-def _bucket(records: Records, expiry: int) -> Bucket:
+def _bucket(records: Records, expiry: int) -> ExpiryBucket:
     # Rounded up: no record goes before its ticket expired.
     second = -(-expiry // _MILLISECONDS)
-    bucket = records.buckets.get(second)
+    bucket = records.buckets_by_second.get(second)
     if bucket is None:
-        bucket = Bucket()
-        records.buckets[second] = bucket
+        bucket = ExpiryBucket()
+        records.buckets_by_second[second] = bucket
         heapq.heappush(records.expiry_heap, second)
     return bucket
 
--- a/src/sassafrasstair/decisions/once/_tickets.py
+++ b/src/sassafrasstair/decisions/once/_tickets.py
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TicketName:
+class TicketTarget:
     """What an entrance reads from a ticket: who owns it and what it is for.
 
     None of it is verified: only the owner can check the tag.
@@ -35,14 +35,14 @@
 class Ticket:
     """A ticket as its owner reads it; ``expiry`` is in milliseconds."""
 
-    name: TicketName
+    target: TicketTarget
     serial: int
     expiry: int
 
 
 def encode(ticket: Ticket, secret: bytes) -> str:
     """Return the text of ``ticket``, tagged with the owner's secret."""
-    name = ticket.name
+    name = ticket.target
     fields = (
         name.vm,
         name.incarnation,
@@ -65,14 +65,14 @@
     vm, incarnation, serial, expiry, service, request_class, _ = fields
     if not (_is_number(serial) and _is_number(expiry)):
         return None
-    name = TicketName(vm, incarnation, service, request_class)
+    name = TicketTarget(vm, incarnation, service, request_class)
     return Ticket(name, int(serial), int(expiry))
 
 
-def parse_ticket(text: str) -> TicketName | None:
+def parse_ticket(text: str) -> TicketTarget | None:
     """Return the owner that a ticket names, or None if malformed."""
     ticket = decode(text)
-    return None if ticket is None else ticket.name
+    return None if ticket is None else ticket.target
 
 
 def is_genuine(text: str, secret: bytes) -> bool:
--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -85,7 +85,7 @@
     mark: str
     equal_share: float
     adopting_since: float
-    peers: dict[str, PeerDomain]
+    peer_domains: dict[str, PeerDomain]
     claims: _messages.Amounts = dataclasses.field(default_factory=dict)
     demands: _messages.Amounts = dataclasses.field(default_factory=dict)
     adopting: bool = True
@@ -115,7 +115,7 @@
     most = shares.claims.get(customer, right)
     room = 1.0
     known = True
-    for peer in shares.peers.values():
+    for peer in shares.peer_domains.values():
         most = min(most, peer.acked_claims.get(customer, right))
         room -= peer.claims.get(customer, right)
         known = known and peer.claims_known
@@ -141,7 +141,7 @@
 
 def _claim(shares: Shares, customer: str, rate: float) -> None:
     right = shares.equal_share
-    peers = shares.peers.values()
+    peers = shares.peer_domains.values()
     if not all(peer.claims_known for peer in peers):
         return
     own = shares.demands[customer]
@@ -162,7 +162,7 @@
 
 def update_for(shares: Shares, domain: str) -> _messages.Update:
     """Return what to tell the allocator of another domain."""
-    peer = shares.peers[domain]
+    peer = shares.peer_domains[domain]
     right = shares.equal_share
     whole = not peer.all_acked
     acked = {} if whole else peer.acked_claims
@@ -196,7 +196,7 @@
 
 def has_changes(shares: Shares, domain: str) -> bool:
     """Return whether the allocator of a domain should be told at once."""
-    peer = shares.peers[domain]
+    peer = shares.peer_domains[domain]
     right = shares.equal_share
     return any(
         claim != peer.acked_claims.get(customer, right)
@@ -211,7 +211,7 @@
     shares: Shares, update: _messages.Update, now: float
 ) -> _messages.Acknowledgement:
     """Take an update of another domain's allocator, and acknowledge it."""
-    peer = shares.peers.get(update.domain)
+    peer = shares.peer_domains.get(update.domain)
     if peer is None:
         return _messages.Acknowledgement(
             shares.mark, "", "", shares.adopting, {}
@@ -249,7 +249,7 @@
     now: float,
 ) -> None:
     """Take the answer to an update."""
-    peer = shares.peers[domain]
+    peer = shares.peer_domains[domain]
     peer.last_ack_at = now
     if answer.occupied:
         shares.other_allocator = answer.occupied
@@ -273,7 +273,7 @@
     """Take over the share of the own domain if enough is known of it."""
     if not shares.adopting:
         return False
-    peers = list(shares.peers.values())
+    peers = list(shares.peer_domains.values())
     told = [peer for peer in peers if peer.reserved_claims is not None]
     waited = now - shares.adopting_since
     knowing = any(not peer.adopting for peer in told)
@@ -309,7 +309,7 @@
     ``present`` are the domains of which daemons are known.
     """
     right = shares.equal_share
-    peers = shares.peers
+    peers = shares.peer_domains
     contact = max(
         (
             max(peer.last_ack_at, peer.last_update_at)
@@ -337,7 +337,7 @@
     shares.adopting = True
     shares.adopting_since = now
     shares.claims = {}
-    for peer in shares.peers.values():
+    for peer in shares.peer_domains.values():
         _forget_acked(peer)
         peer.reserved_claims = None
 
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -177,7 +177,7 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, now: float
 ) -> None:
     shares = allocation.allocator.shares
-    for domain in shares.peers:
+    for domain in shares.peer_domains:
         since = now - allocation.updated_at.get(domain, -math.inf)
         due = since >= UPDATE_SECONDS or quotas.has_changes(shares, domain)
         if due and domain not in allocation.updates_in_flight:
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -262,7 +262,7 @@
 
 
 def _owner_target(
-    entry: _entries.Entry, owner: once.TicketName
+    entry: _entries.Entry, owner: once.TicketTarget
 ) -> tuple[calls.Target, ...]:
     known = fleet.incarnation_of(entry.node, owner.vm)
     if known and known != owner.incarnation and known > owner.incarnation:
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -64,7 +64,7 @@
     call: calls.Call
     bundle: bundles.Bundle
     parent: _attempts.Attempt | None
-    owner: once.TicketName | None
+    owner: once.TicketTarget | None
 
 
 def prepare(entry: Entry, request: callers.Request) -> Ready | callers.Refusal:
--- a/tests/decisions/once/test_owners.py
+++ b/tests/decisions/once/test_owners.py
@@ -95,7 +95,7 @@
 
 def test_parse_names_the_owner() -> None:
     name = once.parse_ticket(take(make_owner()))
-    assert name == once.TicketName("vm-1", "i1", "poster", "write-down")
+    assert name == once.TicketTarget("vm-1", "i1", "poster", "write-down")
     assert once.parse_ticket("vm-1~i1") is None
 
 
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -93,7 +93,7 @@
     (_RUMOUR,),
 )
 _TICKET = _tickets.Ticket(
-    _tickets.TicketName("vm-1", "i1", "s", "write-down"), 3, 90_000
+    _tickets.TicketTarget("vm-1", "i1", "s", "write-down"), 3, 90_000
 )
 
 
