--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -21,13 +21,13 @@
 from sassafrasstair import httpio
 from sassafrasstair import outcomes
 
-WAIT_SHARE = 0.5
+QUEUE_WAIT_RATIO = 0.5
 """The part of a route's objective, or of the time left if that is shorter,
 that a request may wait for a slot. At its timeout an entrance can't know that
 a request has not run, and could not tell its client to retry it."""
 
 
-def send(
+def send_attempt(
     daemon: _state.Daemon,
     call: _records.Call,
     before: outcomes.Reason = outcomes.Reason.NO_INSTANCE,
@@ -39,7 +39,9 @@
     now = daemon.clock.monotonic()
     verdict = _crashes.verdict_of_call(daemon, call)
     if _crashes.is_blocked(verdict):
-        _endings.give_up(daemon, call, outcomes.Reason.CRASHES_INSTANCES)
+        _endings.answer_failed_call(
+            daemon, call, outcomes.Reason.CRASHES_INSTANCES
+        )
         return
     progress = call.progress
     targets = views.targets(daemon.view, progress.service)
@@ -47,7 +49,7 @@
         daemon.routes, targets, progress.tried, now, daemon.rng
     )
     if target is None:
-        _endings.give_up(daemon, call, before)
+        _endings.answer_failed_call(daemon, call, before)
         return
     instance = views.instance_by_id(daemon.view, target.vm)
     host = "" if instance is None else instance.host
@@ -63,7 +65,7 @@
         progress.route.name,
         progress.rank,
         left,
-        WAIT_SHARE * min(progress.route.objective, left),
+        QUEUE_WAIT_RATIO * min(progress.route.objective, left),
     )
     attempt = _records.Attempt(
         target.vm,
@@ -72,7 +74,7 @@
         views.born_at(daemon.view, target.vm),
         ask,
         [*call.fields, (daemon.header_names.target, target.vm.encode())],
-        _crashes.trial(verdict),
+        _crashes.trial_strikes(verdict),
         left_for,
     )
     call.attempt = attempt
@@ -105,7 +107,7 @@
         _ended(daemon, call, ending, reason)
 
 
-def drop(daemon: _state.Daemon, call: _records.Call) -> None:
+def abort_attempt(daemon: _state.Daemon, call: _records.Call) -> None:
     """Stop the attempt under way, through the callee's daemon too."""
     attempt, call.attempt = call.attempt, None
     if attempt is None:
@@ -155,7 +157,7 @@
         if call.attempt is attempt:
             _took(daemon, call, result.state, result.response)
 
-    attempt.execution_key = _callee.offer(daemon, order, done)
+    attempt.execution_key = _callee.submit(daemon, order, done)
 
 
 def _send_there(
@@ -277,8 +279,8 @@
     if state.leaving:
         calls.eject(daemon.routes, attempt.instance)
     call.attempt = None
-    _crashes.completed(daemon, call)
-    _endings.deliver(daemon, call, response)
+    _crashes.record_completed(daemon, call)
+    _endings.forward_answer(daemon, call, response)
 
 
 def _ended(
@@ -329,9 +331,9 @@
     )
     blocked = reason is outcomes.Reason.CRASHES_INSTANCES
     if step is requests.Step.RETRY and not blocked:
-        send(daemon, call, reason)
+        send_attempt(daemon, call, reason)
     else:
-        _endings.give_up(daemon, call, reason)
+        _endings.answer_failed_call(daemon, call, reason)
 
 
 def _learn_from(
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -28,17 +28,17 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-FULL_SHARE = 0.7
+FULL_SLOTS_RATIO = 0.7
 """An instance that refuses with less of its slots in use is not full, and
 cutting its limit would only turn more work away."""
 MISDIRECTED_STATUS = 421
 """Said by an instance that is not the one that the request names."""
-TRY_SECONDS = 0.3
+RECONNECT_SECONDS = 0.3
 """Between two connections tried to an upstream that takes none."""
 _BROKEN = (httpio.Failure.LOST, httpio.Failure.CUT_SHORT)
 
 
-def offer(
+def submit(
     daemon: _state.Daemon,
     order: _records.InboundRequest,
     done: abc.Callable[[_records.Result], None],
@@ -52,11 +52,11 @@
     admission.note_caller(daemon.callers, ask.route, order.caller)
     daemon.execution_serial += 1
     key = f"{daemon.execution_serial}"
-    guard = _guards.of_instance(daemon, ask.instance, now)
+    guard = _guards.get_guard(daemon, ask.instance, now)
     deadline = now + ask.remaining
     reason = _unable(daemon, ask.instance)
     run = _records.Execution(key, order, deadline, done, guard)
-    verdict = _crashes.verdict_of_order(daemon, order)
+    verdict = _crashes.verdict_of_inbound(daemon, order)
     if _crashes.is_blocked(verdict, order.trial_strikes):
         reason = outcomes.Reason.CRASHES_INSTANCES
         _end(daemon, run, requests.Ending.TURNED_AWAY, reason, None)
@@ -100,11 +100,14 @@
 
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Look again at the deadlines, and at an upstream that was away."""
-    if daemon.upstream_down and now - daemon.upstream_tried > TRY_SECONDS:
+    if (
+        daemon.upstream_down
+        and now - daemon.upstream_tried > RECONNECT_SECONDS
+    ):
         daemon.upstream_tried = now
         daemon.upstream.try_connect(functools.partial(_upstream_tried, daemon))
     for key, guard in list(daemon.guards.items()):
-        if _guards.is_over(daemon, key):
+        if _guards.has_ended(daemon, key):
             _end_run_of_instance(daemon, key, guard, now)
         else:
             _guards.resize(daemon, key[0], guard)
@@ -112,7 +115,7 @@
 
 
 def _end_run_of_instance(
-    daemon: _state.Daemon, key: _guards.Key, guard: load.Guard, now: float
+    daemon: _state.Daemon, key: _guards.GuardKey, guard: load.Guard, now: float
 ) -> None:
     """Answer truly for what came for a run of the instance that is over.
 
@@ -123,7 +126,7 @@
         daemon.upstream.drop_idle()
         reason = outcomes.Reason.INSTANCE_RESTARTED
         _perform(daemon, load.retire(guard, reason))
-    began = _guards.began(daemon, key[0], now)
+    began = _guards.started_at(daemon, key[0], now)
     for attempt_id, started in list(guard.running.items()):
         run = daemon.executions.get(attempt_id)
         if run is not None and started < began:
@@ -260,11 +263,11 @@
     elif result is httpio.Failure.NOT_SENT:
         _upstream_tried(daemon, False)
     if ending is None:
-        _crashes.completed_here(daemon, run.request)
+        _crashes.record_completed_here(daemon, run.request)
     end = load.End.DONE
     if ending is requests.Ending.REFUSED:
         guard = run.guard
-        full = len(guard.running) >= FULL_SHARE * guard.limit_state.slots
+        full = len(guard.running) >= FULL_SLOTS_RATIO * guard.limit_state.slots
         end = load.End.REFUSED if full else load.End.FAILED
     elif ending is not None:
         end = load.End.FAILED
@@ -277,7 +280,7 @@
     daemon: _state.Daemon, run: _records.Execution
 ) -> outcomes.Reason:
     """Return the reason, which stops retries by an entrance that is behind."""
-    if _crashes.is_blocked(_crashes.verdict_of_order(daemon, run.request)):
+    if _crashes.is_blocked(_crashes.verdict_of_inbound(daemon, run.request)):
         return outcomes.Reason.CRASHES_INSTANCES
     return outcomes.Reason.UPSTREAM_CRASHED
 
@@ -354,7 +357,7 @@
     reason: outcomes.Reason,
 ) -> _wire.CalleeState:
     now = daemon.clock.monotonic()
-    guard = _guards.of_instance(daemon, order.metadata.instance, now)
+    guard = _guards.get_guard(daemon, order.metadata.instance, now)
     level = math.floor(order.metadata.rank)
     told = calls.LoadReport(
         load.busy(guard),
--- a/src/sassafrasstair/forwarding/_counters.py
+++ b/src/sassafrasstair/forwarding/_counters.py
@@ -20,7 +20,7 @@
 class Counters:
     """Plain counts; they become the library's collectors when read."""
 
-    ends: dict[tuple[str, str, str], int] = dataclasses.field(
+    answers: dict[tuple[str, str, str], int] = dataclasses.field(
         default_factory=dict
     )
     """Requests ended here, by importance, status and reason."""
@@ -28,22 +28,22 @@
         default_factory=dict
     )
     """Attempts ended, by service and how."""
-    beliefs: dict[str, int] = dataclasses.field(default_factory=dict)
+    state_changes: dict[str, int] = dataclasses.field(default_factory=dict)
     """Changes of what is believed, by their names in the log."""
-    reads: dict[str, int] = dataclasses.field(default_factory=dict)
+    store_calls: dict[str, int] = dataclasses.field(default_factory=dict)
     """Calls to the store, by verb."""
-    refusals: dict[str, int] = dataclasses.field(default_factory=dict)
+    refused_items: dict[str, int] = dataclasses.field(default_factory=dict)
     """Items of the store that could not be used, by reason."""
-    crossings: dict[tuple[str, str], int] = dataclasses.field(
+    cross_domain_bytes: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
     """Bytes of bodies and heads sent to and got from other failure domains,
     by route and why the call left."""
-    customers: dict[tuple[str, str], int] = dataclasses.field(
+    customer_answers: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
     """Requests ended here, by customer and status."""
-    seconds: dict[str, histograms.Series] = dataclasses.field(
+    answer_seconds: dict[str, histograms.Series] = dataclasses.field(
         default_factory=dict
     )
     """Time of answers to clients, by route."""
@@ -64,12 +64,12 @@
 ) -> None:
     """Count a request's final answer."""
     key = (str(importance), str(status), reason)
-    counters.ends[key] = counters.ends.get(key, 0) + 1
-    series = counters.seconds.get(route)
+    counters.answers[key] = counters.answers.get(key, 0) + 1
+    series = counters.answer_seconds.get(route)
     if series is None:
-        if len(counters.seconds) >= ROUTES_MAX:
+        if len(counters.answer_seconds) >= ROUTES_MAX:
             route = "other"
-        series = counters.seconds.setdefault(route, histograms.Series())
+        series = counters.answer_seconds.setdefault(route, histograms.Series())
     series.observe(seconds)
 
 
@@ -78,11 +78,11 @@
 ) -> None:
     """Count a request's final answer for its customer."""
     key = (customer, str(status))
-    if key not in counters.customers and (
-        len(counters.customers) >= CUSTOMERS_MAX
+    if key not in counters.customer_answers and (
+        len(counters.customer_answers) >= CUSTOMERS_MAX
     ):
         key = ("other", str(status))
-    counters.customers[key] = counters.customers.get(key, 0) + 1
+    counters.customer_answers[key] = counters.customer_answers.get(key, 0) + 1
 
 
 def count_attempt(counters: Counters, service: str, how: str) -> None:
@@ -93,12 +93,12 @@
 
 def count_state_change(counters: Counters, what: str) -> None:
     """Count a change of what the daemon believes."""
-    counters.beliefs[what] = counters.beliefs.get(what, 0) + 1
+    counters.state_changes[what] = counters.state_changes.get(what, 0) + 1
 
 
 def count_store_call(counters: Counters, verb: str) -> None:
     """Count a call to the store."""
-    counters.reads[verb] = counters.reads.get(verb, 0) + 1
+    counters.store_calls[verb] = counters.store_calls.get(verb, 0) + 1
 
 
 def count_cross_domain_bytes(
@@ -106,14 +106,19 @@
 ) -> None:
     """Count bytes that went between failure domains."""
     key = (route, why)
-    if key not in counters.crossings and len(counters.crossings) >= ROUTES_MAX:
+    if (
+        key not in counters.cross_domain_bytes
+        and len(counters.cross_domain_bytes) >= ROUTES_MAX
+    ):
         key = ("other", why)
-    counters.crossings[key] = counters.crossings.get(key, 0) + size
+    counters.cross_domain_bytes[key] = (
+        counters.cross_domain_bytes.get(key, 0) + size
+    )
 
 
 def count_refused_item(counters: Counters, reason: str) -> None:
     """Count an item of the store that could not be used."""
-    counters.refusals[reason] = counters.refusals.get(reason, 0) + 1
+    counters.refused_items[reason] = counters.refused_items.get(reason, 0) + 1
 
 
 def render(counters: Counters, gauges: abc.Mapping[str, float]) -> bytes:
@@ -123,7 +128,7 @@
             "requests_total",
             "Final answers to clients",
             ("importance", "status", "reason"),
-            counters.ends,
+            counters.answers,
         ),
         histograms.render_counter(
             "attempts_total",
@@ -135,31 +140,31 @@
             "beliefs_total",
             "Changes of what the daemon believes",
             ("what",),
-            {(name,): value for name, value in counters.beliefs.items()},
+            {(name,): value for name, value in counters.state_changes.items()},
         ),
         histograms.render_counter(
             "store_calls_total",
             "Calls to the store",
             ("verb",),
-            {(name,): value for name, value in counters.reads.items()},
+            {(name,): value for name, value in counters.store_calls.items()},
         ),
         histograms.render_counter(
             "items_refused_total",
             "Items of the store that could not be used",
             ("reason",),
-            {(name,): value for name, value in counters.refusals.items()},
+            {(name,): value for name, value in counters.refused_items.items()},
         ),
         histograms.render_counter(
             "domain_crossing_bytes_total",
             "Bytes of calls between failure domains, by why they left",
             ("route", "why"),
-            counters.crossings,
+            counters.cross_domain_bytes,
         ),
         histograms.render_counter(
             "customer_requests_total",
             "Final answers to clients, by customer",
             ("customer", "status"),
-            counters.customers,
+            counters.customer_answers,
         ),
         histograms.render_gauges(gauges),
         histograms.render_histogram(
@@ -167,7 +172,7 @@
             "Time until the final answer",
             {
                 (("route", name),): series
-                for name, series in counters.seconds.items()
+                for name, series in counters.answer_seconds.items()
             },
         ),
     ]
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -17,15 +17,15 @@
     from sassafrasstair.forwarding import _state
 
 HOST_KEY = b"host"
-SHOWN_MAX = 24
+LOGGED_REQUESTS_MAX = 24
 """Requests named in one log line, those with most strikes first."""
-CRASHES_SHOWN = 4
-FAMILIAR_KEPT = 4_096
+LOGGED_CRASHES_MAX = 4
+COMPLETED_REQUESTS_MAX = 4_096
 """Requests that were completed here, or for a client here, the latest."""
-FAMILIAR_BODY_MAX = 512
+COMPLETED_BODY_MAX = 512
 """Bytes; requests with greater bodies are not remembered, since a fingerprint
 of each would cost more than it tells: few come twice."""
-URGENT_FROM = 2
+URGENT_STRIKES_MIN = 2
 """Strikes from which on a change is sent at once."""
 
 _T = typing.TypeVar("_T")
@@ -45,7 +45,7 @@
     return _judge(daemon, _of_call(call))
 
 
-def verdict_of_order(
+def verdict_of_inbound(
     daemon: _state.Daemon, order: _records.InboundRequest
 ) -> crashes.Verdict | None:
     """Return the same of a request that came for the own upstream."""
@@ -64,7 +64,7 @@
     return trial < verdict.evidence.strikes
 
 
-def trial(verdict: crashes.Verdict | None) -> int:
+def trial_strikes(verdict: crashes.Verdict | None) -> int:
     """Return after how many strikes a request is tried again, 0 if not."""
     if verdict is None or verdict.blocked_until == -math.inf:
         return 0
@@ -104,21 +104,21 @@
     ]
 
 
-def completed_here(
+def record_completed_here(
     daemon: _state.Daemon, order: _records.InboundRequest
 ) -> None:
     """Note that the own upstream has answered a request itself."""
-    if len(order.body) <= FAMILIAR_BODY_MAX:
+    if len(order.body) <= COMPLETED_BODY_MAX:
         known = order.method, order.host, order.target, order.body
         _keep(daemon.completed_requests, known)
     if daemon.crash_ledger.crashes:
         _clear(daemon, _of_order(order))
 
 
-def completed(daemon: _state.Daemon, call: _records.Call) -> None:
+def record_completed(daemon: _state.Daemon, call: _records.Call) -> None:
     """Note that an upstream has answered a client's request itself."""
     request = call.exchange.request
-    if len(request.body) <= FAMILIAR_BODY_MAX:
+    if len(request.body) <= COMPLETED_BODY_MAX:
         host = request.found.get(HOST_KEY, b"")
         known = request.method, host, request.target, request.body
         _keep(daemon.completed_requests, known)
@@ -129,7 +129,7 @@
 def _keep(kept: collections.OrderedDict[_T, None], latest: _T) -> None:
     kept[latest] = None
     kept.move_to_end(latest)
-    if len(kept) > FAMILIAR_KEPT:
+    if len(kept) > COMPLETED_REQUESTS_MAX:
         kept.popitem(last=False)
 
 
@@ -154,7 +154,7 @@
         daemon.crash_ledger, fingerprint
     ).strikes
     if crashes.clear_completed(daemon.crash_ledger, fingerprint):
-        urgent = strikes >= URGENT_FROM
+        urgent = strikes >= URGENT_STRIKES_MIN
         _changed(daemon, {fingerprint}, urgent, "upstream")
 
 
@@ -201,7 +201,7 @@
     if touched:
         urgent = len(daemon.crash_ledger.crashes) != known or any(
             crashes.evidence_against(daemon.crash_ledger, each).strikes
-            >= URGENT_FROM
+            >= URGENT_STRIKES_MIN
             for each in touched
         )
         _changed(daemon, touched, urgent, f"peer {host}")
@@ -289,7 +289,7 @@
             familiar=found.familiar,
             crashes=",".join(
                 f"{crash.key[0]}:{now - crash.crashed_at:.2f}"
-                for crash in found.crashes[-CRASHES_SHOWN:]
+                for crash in found.crashes[-LOGGED_CRASHES_MAX:]
             ),
             blocked_for=max(0.0, verdict.blocked_until - now),
         )
@@ -314,6 +314,6 @@
         requests=",".join(
             f"{crashes.format_fingerprint(run.fingerprint)}"
             f":{strikes[run.fingerprint]}:{run.elapsed_seconds:.3f}"
-            for run in ordered[:SHOWN_MAX]
+            for run in ordered[:LOGGED_REQUESTS_MAX]
         ),
     )
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -19,9 +19,9 @@
     from sassafrasstair.forwarding import _state
     from sassafrasstair import httpio
 
-UNKNOWN_STATUS = 401
-SCHEME = b"ApiKey"
-NOBODY = policies.Customer("", ())
+UNAUTHORIZED_STATUS = 401
+AUTH_SCHEME = b"ApiKey"
+ANONYMOUS = policies.Customer("", ())
 """Whoever sends a request that needs no key."""
 _REASONS = {
     policies.Unidentified.NO_KEY: outcomes.Reason.KEY_MISSING,
@@ -29,7 +29,7 @@
 }
 
 
-def digest(daemon: _state.Daemon, request: httpio.Request) -> bytes | None:
+def key_digest(daemon: _state.Daemon, request: httpio.Request) -> bytes | None:
     """Return the digest of a request's key, None if none is asked for."""
     table = daemon.view.table
     if table is None or table.customers is None:
@@ -47,10 +47,10 @@
     """Return whose request it is; else answer it, and return None."""
     table = daemon.view.table
     if table is None or table.customers is None:
-        return NOBODY
+        return ANONYMOUS
     found = policies.identify_customer(table, route, key)
     if found is policies.Unidentified.ANONYMOUS:
-        return NOBODY
+        return ANONYMOUS
     now = daemon.clock.monotonic()
     if isinstance(found, policies.Unidentified):
         _reject(daemon, exchange, _REASONS[found], now)
@@ -62,7 +62,7 @@
     return found
 
 
-def of_order(
+def identify_forwarded(
     daemon: _state.Daemon, route_name: str, key: bytes | None
 ) -> policies.Customer | None:
     """Return whose request another daemon sends, None if that is unknown.
@@ -71,10 +71,10 @@
     """
     table = daemon.view.table
     if table is None or table.customers is None:
-        return NOBODY if key is None else None
+        return ANONYMOUS if key is None else None
     if key is None:
         route = table.routes_by_name.get(route_name)
-        return NOBODY if route is not None and route.anonymous else None
+        return ANONYMOUS if route is not None and route.anonymous else None
     try:
         return table.customers.get(bytes.fromhex(key.decode("ascii")))
     except ValueError:
@@ -92,8 +92,10 @@
         reason = outcomes.Reason.POLICY_UNCONFIRMED
         _endings.refuse_early(daemon, exchange, reason)
         return
-    fields = [(b"WWW-Authenticate", SCHEME)]
-    _endings.answer_early(daemon, exchange, UNKNOWN_STATUS, reason, fields)
+    fields = [(b"WWW-Authenticate", AUTH_SCHEME)]
+    _endings.answer_early(
+        daemon, exchange, UNAUTHORIZED_STATUS, reason, fields
+    )
 
 
 def _may_be_behind(daemon: _state.Daemon, now: float) -> bool:
--- a/src/sassafrasstair/forwarding/_daemon.py
+++ b/src/sassafrasstair/forwarding/_daemon.py
@@ -34,21 +34,21 @@
     from sassafrasstair import clocks
 
 TICK_SECONDS = 0.05
-SHARE_TICKS = 20
+SHEDDING_LOG_TICKS = 20
 """Ticks between two lines on the routes that are shed in part."""
 SWEEP_TICKS = 5
 """Ticks between two looks at idle connections and at the settings."""
 ACCEPT_SECONDS = 2.3
 """For how long a stopping daemon takes new connections at least: readiness
 is asked once a second, and clients are sent elsewhere after two misses."""
-ACCEPT_SHARE = 0.55
+ACCEPT_GRACE_RATIO = 0.55
 """The part of the grace after which it takes none, though clients still
 come: all others of its failure domain may be away."""
-SERVE_SHARE = 0.2
+UPSTREAM_GRACE_RATIO = 0.2
 """The part of the grace in which a stopping daemon's upstream still gets
 work. What runs then ends before the daemon does, and the upstream is idle
 for 2 s in place of 4 s."""
-ANSWER_SHARE = 0.85
+ANSWER_GRACE_RATIO = 0.85
 """The part of the grace after which what still runs gets an answer."""
 QUIET_SECONDS = 0.3
 """Without a request for so long after that, a stopping daemon is done."""
@@ -56,7 +56,7 @@
     body_bytes=256 * 1024 * 1024, head_bytes=65_536, idle_seconds=120.0
 )
 OPERATOR_LIMITS = httpio.Limits(body_bytes=0, idle_seconds=60.0)
-LATE_SECONDS = 0.25
+LATE_TICK_SECONDS = 0.25
 """A tick that is later than this was held up by the machine."""
 
 
@@ -78,9 +78,9 @@
             daemon, functools.partial(_status.serve, daemon), refuse
         )
         self.operators.limits = OPERATOR_LIMITS
-        self.mark = daemon.dialect.settings_mark()
+        self.settings_version = daemon.dialect.settings_mark()
         self.policy_version = -1
-        self.ticked = daemon.clock.monotonic()
+        self.ticked_at = daemon.clock.monotonic()
 
 
 async def run(
@@ -181,13 +181,13 @@
 def _tick(running: RunningDaemon, count: int) -> None:
     daemon = running.daemon
     now = daemon.clock.monotonic()
-    late = now - running.ticked - TICK_SECONDS
-    running.ticked = now
-    if late > LATE_SECONDS:
+    late = now - running.ticked_at - TICK_SECONDS
+    running.ticked_at = now
+    if late > LATE_TICK_SECONDS:
         daemon.journal.note("held_up", seconds=late)
         for call in list(daemon.calls):
             if call.progress.deadline <= now:
-                _entrance.expire(daemon, call)
+                _entrance.expire_call(daemon, call)
     _callee.tick(daemon, now)
     _probes.tick(daemon, now)
     _polls.tick(daemon, now)
@@ -204,9 +204,9 @@
     for pool in [*daemon.pools.values(), daemon.upstream]:
         pool.sweep(now)
     mark = daemon.dialect.settings_mark()
-    if mark != running.mark:
+    if mark != running.settings_version:
         _reload(running)
-    if count % SHARE_TICKS == 0:
+    if count % SHEDDING_LOG_TICKS == 0:
         _log_shares(daemon)
         _crashes.tick(daemon, now)
 
@@ -240,7 +240,7 @@
 def _reload(running: RunningDaemon) -> None:
     """Read the settings again; bad ones change nothing."""
     daemon = running.daemon
-    running.mark = daemon.dialect.settings_mark()
+    running.settings_version = daemon.dialect.settings_mark()
     try:
         settings = daemon.dialect.settings()
     except _dialect.SettingsError as error:
@@ -263,20 +263,22 @@
     daemon.journal.note("stopping", calls=len(daemon.calls))
     running.callers.closing = True
     quiet_from = begun
-    while loop.time() < begun + ANSWER_SHARE * grace:
+    while loop.time() < begun + ANSWER_GRACE_RATIO * grace:
         await asyncio.sleep(TICK_SECONDS)
         now = loop.time()
-        daemon.upstream_leaving = now >= begun + SERVE_SHARE * grace
+        daemon.upstream_leaving = now >= begun + UPSTREAM_GRACE_RATIO * grace
         if daemon.calls or daemon.executions:
             quiet_from = now
         quiet = now - quiet_from >= QUIET_SECONDS
-        if quiet and now >= begun + min(ACCEPT_SECONDS, ACCEPT_SHARE * grace):
+        if quiet and now >= begun + min(
+            ACCEPT_SECONDS, ACCEPT_GRACE_RATIO * grace
+        ):
             break
-        if now >= begun + ACCEPT_SHARE * grace:
+        if now >= begun + ACCEPT_GRACE_RATIO * grace:
             running.callers.stop_accepting()
     running.callers.stop_accepting()
     for call in list(daemon.calls):
-        _entrance.expire(daemon, call)
+        _entrance.expire_call(daemon, call)
     running.callers.close_idle()
     await asyncio.sleep(TICK_SECONDS)
     for task in list(daemon.tasks):
--- a/src/sassafrasstair/forwarding/_endings.py
+++ b/src/sassafrasstair/forwarding/_endings.py
@@ -26,7 +26,7 @@
 """After which a client is told to come back to a daemon that starts."""
 
 
-def deliver(
+def forward_answer(
     daemon: _state.Daemon, call: _records.Call, response: httpio.Response
 ) -> None:
     """Pass an instance's answer on as it came."""
@@ -35,11 +35,11 @@
     )
     reason = "own_failure" if response.status >= 500 else "ok"
     log_end(daemon, call, "answered", response.status, reason)
-    close(daemon, call, response.status, "answered")
+    finish_call(daemon, call, response.status, "answered")
     call.exchange.respond(response.status, fields, response.body)
 
 
-def give_up(
+def answer_failed_call(
     daemon: _state.Daemon, call: _records.Call, reason: outcomes.Reason
 ) -> None:
     """Answer in the instances' place, by what is known of the request."""
@@ -51,7 +51,7 @@
     if reason is outcomes.Reason.DEADLINE_PASSED:
         status = TIMEOUT_STATUS
     log_end(daemon, call, "gave_up", status, reason.value)
-    close(daemon, call, status, reason.value)
+    finish_call(daemon, call, status, reason.value)
     call.exchange.respond(status, _own_fields(daemon, call), b"")
 
 
@@ -65,18 +65,18 @@
     status = REFUSED_STATUS
     if reason is outcomes.Reason.QUOTA_EXCEEDED:
         status = QUOTA_STATUS
-        after = max(after, _quotas.token_seconds(daemon, call.customer))
+        after = max(after, _quotas.seconds_until_token(daemon, call.customer))
     if call.holds_token:
         call.holds_token = False
-        _quotas.give_back(daemon, call.customer)
+        _quotas.return_token(daemon, call.customer)
     fields = _own_fields(daemon, call)
     fields.append((b"Retry-After", b"%.3f" % after))
     log_end(daemon, call, "refused", status, reason.value)
-    close(daemon, call, status, reason.value)
+    finish_call(daemon, call, status, reason.value)
     call.exchange.respond(status, fields, b"")
 
 
-def close(
+def finish_call(
     daemon: _state.Daemon, call: _records.Call, status: int, reason: str
 ) -> None:
     """Forget the request; its final answer is about to be sent."""
@@ -105,7 +105,7 @@
     reason: str,
 ) -> None:
     """Log how the request ended and what it was decided by."""
-    if not daemon.journal.wants(name, reason):
+    if not daemon.journal.should_log(name, reason):
         return
     progress = call.progress
     gate = admission.gate_of(daemon.gates, progress.route.name)
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -30,7 +30,7 @@
     route = _find_route(daemon, exchange)
     if route is None:
         return
-    key = _customers.digest(daemon, exchange.request)
+    key = _customers.key_digest(daemon, exchange.request)
     customer = _customers.identify(daemon, exchange, route, key)
     if customer is None:
         return
@@ -43,9 +43,9 @@
         return
     if customer.rate > 0.0:
         answer = functools.partial(_charged, daemon, call)
-        _quotas.admit(daemon, customer, answer)
+        _quotas.take_token(daemon, customer, answer)
         return
-    _attempts.send(daemon, call)
+    _attempts.send_attempt(daemon, call)
 
 
 def _charged(
@@ -54,10 +54,10 @@
     """Go on with a request once it is known whether its quota allows it."""
     if reason is outcomes.Reason.NONE:
         if call not in daemon.calls:
-            _quotas.give_back(daemon, call.customer)
+            _quotas.return_token(daemon, call.customer)
             return
         call.holds_token = True
-        _attempts.send(daemon, call)
+        _attempts.send_attempt(daemon, call)
     elif call in daemon.calls:
         _endings.refuse(daemon, call, reason)
 
@@ -117,13 +117,13 @@
     daemon.calls.add(call)
     exchange.gone = functools.partial(_gone, daemon, call)
     call.timer = asyncio.get_running_loop().call_later(
-        max(0.0, deadline - now), expire, daemon, call
+        max(0.0, deadline - now), expire_call, daemon, call
     )
     requests.note_request(_attempts.retry_window(daemon, service), now)
     return call
 
 
-def expire(daemon: _state.Daemon, call: _records.Call) -> None:
+def expire_call(daemon: _state.Daemon, call: _records.Call) -> None:
     """Give the final answer at the request's deadline, whatever runs."""
     if call not in daemon.calls:
         return
@@ -131,17 +131,17 @@
         daemon, call.attempt
     ):
         call.progress.may_have_run = True
-    _attempts.drop(daemon, call)
-    _endings.give_up(daemon, call, outcomes.Reason.DEADLINE_PASSED)
+    _attempts.abort_attempt(daemon, call)
+    _endings.answer_failed_call(daemon, call, outcomes.Reason.DEADLINE_PASSED)
 
 
 def _gone(daemon: _state.Daemon, call: _records.Call) -> None:
     """End the work for a client that has left."""
     if call not in daemon.calls:
         return
-    _attempts.drop(daemon, call)
+    _attempts.abort_attempt(daemon, call)
     _endings.log_end(daemon, call, "client_left", 0, "client_left")
-    _endings.close(daemon, call, 0, "client_left")
+    _endings.finish_call(daemon, call, 0, "client_left")
 
 
 def _passed_on(
--- a/src/sassafrasstair/forwarding/_events.py
+++ b/src/sassafrasstair/forwarding/_events.py
@@ -20,7 +20,7 @@
 
 LINES_PER_SECOND = 5
 """Lines a second of one event and reason; a surge refuses hundreds."""
-KEPT_LINES = 500
+BUFFERED_LINES_MAX = 500
 """Lines kept for a reader that is slow: about 150 KB."""
 _PIPE_ATOMIC = 4096
 """A pipe that polls as writable takes as many bytes without waiting
@@ -67,7 +67,7 @@
     def emit(self, record: logging.LogRecord) -> None:
         """Keep the line of a record until ``flush_lines``."""
         line = self.format(record).encode()[: _PIPE_ATOMIC - 1] + b"\n"
-        if len(self._lines) >= KEPT_LINES:
+        if len(self._lines) >= BUFFERED_LINES_MAX:
             self._lines.popleft()
             self.lost += 1
         self._lines.append(line)
@@ -76,7 +76,7 @@
         """Log what a process believes or does; not bounded, so rare."""
         logs.event(self._logger, logging.INFO, name, **fields)
 
-    def wants(self, name: str, reason: str) -> bool:
+    def should_log(self, name: str, reason: str) -> bool:
         """Return whether a line would be written; counts it if not.
 
         For what happens all the time: the fields are then not put
@@ -90,7 +90,7 @@
 
     def request(self, name: str, reason: str, **fields: Field) -> None:
         """Log a decision that touches a request, within the bound."""
-        if not self.wants(name, reason):
+        if not self.should_log(name, reason):
             return
         kind = self._kinds.setdefault((name, reason), _Kind())
         kind.written += 1
@@ -131,8 +131,8 @@
                 )
         self._kinds.clear()
         if self.lost:
-            lost, self.lost = self.lost, 0
-            self.note("log_lines_lost", lines=lost)
+            lost_lines, self.lost = self.lost, 0
+            self.note("log_lines_lost", lines=lost_lines)
 
 
 def descriptor_sink(descriptor: int) -> Sink:
--- a/src/sassafrasstair/forwarding/_guards.py
+++ b/src/sassafrasstair/forwarding/_guards.py
@@ -13,25 +13,23 @@
 
 UNKNOWN_SLOTS = 16
 """Slots of an instance whose entry this daemon has not read yet."""
-SPARE_SHARE = 0.06
+SPARE_SLOTS_RATIO = 0.06
 """The part of an instance's slots that is left free: some slow down when
 they are nearly full, by more than the last slots are worth."""
-SPARE_FROM = 16
+SPARE_SLOTS_MIN = 16
 """With fewer slots than this one left free would be too many."""
-GUARDS_KEPT = 4
+GUARDS_MAX = 4
 """Guards of instances that ran on this VM one after the other."""
 START_MARGIN_SECONDS = 0.1
 """By so much earlier than the instance's start a request must have been
 handed over to be counted as lost with the run before: the time of day is
 read at another moment than it was written."""
 
-Key = tuple[str, int]
+GuardKey = tuple[str, int]
 """An instance's id and when its run started, 0 where that is not known."""
 
 
-def of_instance(
-    daemon: _state.Daemon, instance: str, now: float
-) -> load.Guard:
+def get_guard(daemon: _state.Daemon, instance: str, now: float) -> load.Guard:
     """Return the guard of the instance's latest run."""
     key = instance, views.born_at(daemon.view, instance)
     guard = daemon.guards.get(key)
@@ -54,13 +52,13 @@
         load.resize(guard, slots)
 
 
-def is_over(daemon: _state.Daemon, key: Key) -> bool:
+def has_ended(daemon: _state.Daemon, key: GuardKey) -> bool:
     """Return whether the run is over: the instance has started again."""
     instance, born = key
     return 0 < born < views.born_at(daemon.view, instance)
 
 
-def began(daemon: _state.Daemon, instance: str, now: float) -> float:
+def started_at(daemon: _state.Daemon, instance: str, now: float) -> float:
     """Return when the latest run started, on the clock of ``now``.
 
     Minus infinity where the time of day can't tell: it has been set back
@@ -74,7 +72,7 @@
 
 
 def _drop_oldest(daemon: _state.Daemon) -> None:
-    if len(daemon.guards) <= GUARDS_KEPT:
+    if len(daemon.guards) <= GUARDS_MAX:
         return
     oldest = next(iter(daemon.guards))
     if not daemon.guards[oldest].running_work:
@@ -83,6 +81,6 @@
 
 def _usable_slots(instance: views.Instance | None) -> int:
     slots = UNKNOWN_SLOTS if instance is None else instance.slots
-    if slots < SPARE_FROM:
+    if slots < SPARE_SLOTS_MIN:
         return slots
-    return slots - math.ceil(SPARE_SHARE * slots)
+    return slots - math.ceil(SPARE_SLOTS_RATIO * slots)
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -63,7 +63,7 @@
         exchange.respond(400, [], b"")
         return
     _peers.heard(daemon, exchange.peer, ask.content)
-    customer = _customers.of_order(
+    customer = _customers.identify_forwarded(
         daemon, ask.route, request.found.get(_wire.KEY_DIGEST_HEADER_LOWER)
     )
     if customer is None:
@@ -100,7 +100,7 @@
             response.status, fields, response.body, daemon.upstream_leaving
         )
 
-    key = _callee.offer(daemon, order, done)
+    key = _callee.submit(daemon, order, done)
     exchange.gone = lambda: _callee.cancel(daemon, key)
 
 
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -22,23 +22,25 @@
 if typing.TYPE_CHECKING:
     from sassafrasstair.decisions import policies
 
-WAIT_SECONDS = 0.3
+TOKEN_WAIT_SECONDS = 0.3
 """For so long a request waits for a token at most."""
-ANSWER_SECONDS = 0.25
-GAP_SECONDS = 0.05
+ALLOCATOR_TIMEOUT_SECONDS = 0.25
+ASK_GAP_SECONDS = 0.05
 """Between two questions when no request waits."""
-PERIOD_SECONDS = 0.5
-PERIOD_SECONDS_MAX = 2.0
-ASKERS_A_SECOND = 110
+ASK_PERIOD_SECONDS = 0.5
+ASK_PERIOD_SECONDS_MAX = 2.0
+ASKS_PER_SECOND_MAX = 110
 """Between two questions without need: they tell the demand. Longer where so
 many daemons of a domain ask that one allocator would have much to do."""
-AHEAD_PERIODS = 1.4
+PREFETCH_PERIODS = 1.4
 AVOID_SECONDS = 2.0
 """For how long an allocator that gave no answer is passed over."""
 
 
-def admit(
-    daemon: _state.Daemon, customer: policies.Customer, answer: _tokens.Answer
+def take_token(
+    daemon: _state.Daemon,
+    customer: policies.Customer,
+    answer: _tokens.TokenCallback,
 ) -> None:
     """Tell, now or soon, whether a request of a customer may run.
 
@@ -57,13 +59,13 @@
         _wait(daemon, customer.name, answer)
 
 
-def give_back(daemon: _state.Daemon, customer: str) -> None:
+def return_token(daemon: _state.Daemon, customer: str) -> None:
     """Return the token of a request that has not run and never will."""
     now = daemon.clock.monotonic()
     quotas.give_back_token(daemon.tokens.stocks, customer, now)
 
 
-def token_seconds(daemon: _state.Daemon, customer: str) -> float:
+def seconds_until_token(daemon: _state.Daemon, customer: str) -> float:
     """Return after how many seconds a token is expected."""
     now = daemon.clock.monotonic()
     return quotas.token_wait_seconds(daemon.tokens.stocks, customer, now)
@@ -76,24 +78,26 @@
     if tokens.asking or not tokens.stocks.by_customer:
         return
     period = _period(daemon)
-    tokens.stocks.prefetch_seconds = AHEAD_PERIODS * period
+    tokens.stocks.prefetch_seconds = PREFETCH_PERIODS * period
     since = now - tokens.asked_at
-    if since >= period or (tokens.ask_soon and since >= GAP_SECONDS):
+    if since >= period or (tokens.ask_soon and since >= ASK_GAP_SECONDS):
         _ask(daemon, now)
 
 
 def _period(daemon: _state.Daemon) -> float:
-    least = len(daemon.feed.hosts) / ASKERS_A_SECOND
-    return min(PERIOD_SECONDS_MAX, max(PERIOD_SECONDS, least))
+    least = len(daemon.feed.hosts) / ASKS_PER_SECOND_MAX
+    return min(ASK_PERIOD_SECONDS_MAX, max(ASK_PERIOD_SECONDS, least))
 
 
 def _wait(
-    daemon: _state.Daemon, customer: str, answer: _tokens.Answer
+    daemon: _state.Daemon, customer: str, answer: _tokens.TokenCallback
 ) -> None:
     loop = asyncio.get_running_loop()
     waits = daemon.tokens.waiting.setdefault(customer, [])
-    timer = loop.call_later(WAIT_SECONDS, _waited, daemon, customer, answer)
-    waits.append(_tokens.Waiting(answer, timer))
+    timer = loop.call_later(
+        TOKEN_WAIT_SECONDS, _waited, daemon, customer, answer
+    )
+    waits.append(_tokens.WaitingRequest(answer, timer))
     _note_waiting(daemon, customer)
     if not daemon.tokens.asking:
         # What else comes in this turn of the loop goes with the same question.
@@ -106,7 +110,7 @@
 
 
 def _waited(
-    daemon: _state.Daemon, customer: str, answer: _tokens.Answer
+    daemon: _state.Daemon, customer: str, answer: _tokens.TokenCallback
 ) -> None:
     """End a wait that is too long."""
     waits = daemon.tokens.waiting.get(customer, [])
@@ -146,7 +150,7 @@
     done = functools.partial(_answered, daemon, host, now)
     job = httpio.Job(head + body, done)
     asyncio.get_running_loop().call_later(
-        ANSWER_SECONDS, _give_up, daemon, host, job
+        ALLOCATOR_TIMEOUT_SECONDS, _give_up, daemon, host, job
     )
     _state.pool(daemon, host).send(job)
 
@@ -154,12 +158,16 @@
 def _allocator(daemon: _state.Daemon, now: float) -> str:
     """Return whom to ask: the one that answered, or the first to pass."""
     tokens, feed = daemon.tokens, daemon.feed
-    for host in [each for each, end in tokens.avoided.items() if end <= now]:
-        del tokens.avoided[host]
+    for host in [
+        each for each, end in tokens.avoided_until.items() if end <= now
+    ]:
+        del tokens.avoided_until[host]
     current = tokens.allocator
-    if current in feed.hosts and current not in tokens.avoided:
+    if current in feed.hosts and current not in tokens.avoided_until:
         return current
-    fit = (host for host in feed.earlier_hosts if host not in tokens.avoided)
+    fit = (
+        host for host in feed.earlier_hosts if host not in tokens.avoided_until
+    )
     tokens.allocator = next(fit, feed.own_host)
     return tokens.allocator
 
@@ -196,7 +204,9 @@
 def _failed(daemon: _state.Daemon, host: str, reason: str) -> None:
     tokens, now = daemon.tokens, daemon.clock.monotonic()
     tokens.asking = False
-    tokens.avoided[host] = now + AVOID_SECONDS * (0.5 + daemon.rng.random())
+    tokens.avoided_until[host] = now + AVOID_SECONDS * (
+        0.5 + daemon.rng.random()
+    )
     tokens.ask_soon = True
     daemon.journal.request("allocator_lost", reason, peer=host)
     if tokens.waiting:
@@ -212,7 +222,7 @@
     """Take what was granted, and serve who waits."""
     tokens, now = daemon.tokens, daemon.clock.monotonic()
     if granted.redirect and granted.redirect != host:
-        if granted.redirect not in tokens.avoided:
+        if granted.redirect not in tokens.avoided_until:
             tokens.allocator = granted.redirect
         tokens.ask_soon = True
         return
@@ -226,8 +236,8 @@
 def _serve_waiting(daemon: _state.Daemon, customer: str, now: float) -> None:
     stocks = daemon.tokens.stocks
     waits = daemon.tokens.waiting.pop(customer)
-    kept: list[_tokens.Waiting] = []
-    ends: list[tuple[_tokens.Waiting, outcomes.Reason]] = []
+    kept: list[_tokens.WaitingRequest] = []
+    ends: list[tuple[_tokens.WaitingRequest, outcomes.Reason]] = []
     for each in waits:
         if quotas.take_token(stocks, customer, now):
             ends.append((each, outcomes.Reason.NONE))
--- a/src/sassafrasstair/forwarding/_tokens.py
+++ b/src/sassafrasstair/forwarding/_tokens.py
@@ -12,15 +12,15 @@
 if typing.TYPE_CHECKING:
     import asyncio
 
-Answer = typing.Callable[[outcomes.Reason], None]
+TokenCallback = typing.Callable[[outcomes.Reason], None]
 """Told ``NONE`` with a token, else why there is none."""
 
 
 @dataclasses.dataclass(slots=True)
-class Waiting:
+class WaitingRequest:
     """A request that waits for a token until its timer ends."""
 
-    answer: Answer
+    answer: TokenCallback
     timer: asyncio.TimerHandle
 
 
@@ -35,9 +35,11 @@
     stocks: quotas.PrefetchStore = dataclasses.field(
         default_factory=quotas.PrefetchStore
     )
-    waiting: dict[str, list[Waiting]] = dataclasses.field(default_factory=dict)
+    waiting: dict[str, list[WaitingRequest]] = dataclasses.field(
+        default_factory=dict
+    )
     allocator: str = ""
-    avoided: dict[str, float] = dataclasses.field(default_factory=dict)
+    avoided_until: dict[str, float] = dataclasses.field(default_factory=dict)
     asking: bool = False
     asked_at: float = -math.inf
     ask_soon: bool = False
--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -79,7 +79,7 @@
         elif known.rate <= 0.0:
             self._ended(outcomes.Reason.NONE)
         else:
-            _quotas.admit(daemon, known, functools.partial(self._ended))
+            _quotas.take_token(daemon, known, functools.partial(self._ended))
 
     def served(self, since: float) -> float:
         """Return how many requests a second were admitted since then."""
--- a/tests/fleets/test_crashes.py
+++ b/tests/fleets/test_crashes.py
@@ -94,7 +94,7 @@
     return sum(
         count
         for daemon in fleet.daemons.values()
-        for (_, _, reason), count in daemon.counters.ends.items()
+        for (_, _, reason), count in daemon.counters.answers.items()
         if reason in SUSPICIONS
     )
 
--- a/tests/forwarding/measure_hop.py
+++ b/tests/forwarding/measure_hop.py
@@ -82,10 +82,10 @@
     world.policy(3, place.route("/s/", "s"), place.route("/t/", "s"))
     loop = asyncio.get_running_loop()
     await loop.create_server(_Upstream, callee, world.ports[3])
-    world.entry(callee, "s", slots=100)
+    world.put_entry(callee, "s", slots=100)
     await world.daemon(entrance, "front")
     await world.daemon(callee, "s")
-    await world.knows(entrance, callee)
+    await world.wait_until_known(entrance, callee)
     return world
 
 
--- a/tests/forwarding/place.py
+++ b/tests/forwarding/place.py
@@ -324,10 +324,10 @@
         made = Upstream(script)
         await made.open(host, self.ports[3])
         self.upstreams[host] = made
-        self.entry(host, service, slots=slots)
+        self.put_entry(host, service, slots=slots)
         return made
 
-    def entry(
+    def put_entry(
         self,
         host: str,
         service: str,
@@ -373,7 +373,9 @@
             policies.Policy(version, routes, LIMITS, customers=self.customers),
         )
 
-    async def order(self, host: str, path: str, headers: bytes) -> Answer:
+    async def send_to_peer_port(
+        self, host: str, path: str, headers: bytes
+    ) -> Answer:
         """Send one request to the port for other daemons."""
         self._serial += 1
         reader, writer = await asyncio.open_connection(host, self.ports[1])
@@ -406,7 +408,7 @@
         self.daemons[host] = running
         return running
 
-    async def knows(self, *hosts: str) -> None:
+    async def wait_until_known(self, *hosts: str) -> None:
         """Wait until the daemons know all that the store holds."""
         for host in hosts:
             view = self.daemons[host].daemon.view
--- a/tests/forwarding/test_counters.py
+++ b/tests/forwarding/test_counters.py
@@ -33,5 +33,5 @@
     counters = _counters.new_counters()
     for serial in range(500):
         _counters.count_answer(counters, f"r{serial}", 9, 200, "answered", 0.1)
-    assert len(counters.seconds) <= _counters.ROUTES_MAX + 1
-    assert sum(counters.seconds["other"].counts) > 400
+    assert len(counters.answer_seconds) <= _counters.ROUTES_MAX + 1
+    assert sum(counters.answer_seconds["other"].counts) > 400
--- a/tests/forwarding/test_crashes.py
+++ b/tests/forwarding/test_crashes.py
@@ -34,7 +34,7 @@
     await world.daemon(A, "front")
     await world.daemon(B, "s")
     await world.daemon(C, "s")
-    await world.knows(A, B, C)
+    await world.wait_until_known(A, B, C)
     return world
 
 
--- a/tests/forwarding/test_customers.py
+++ b/tests/forwarding/test_customers.py
@@ -45,7 +45,7 @@
     upstream = await place.upstream(there, "s")
     for host, service in ((ONE, service_here), (OTHER, "s")):
         await place.daemon(host, service)
-    await place.knows(ONE, OTHER)
+    await place.wait_until_known(ONE, OTHER)
     return place, upstream
 
 
@@ -115,7 +115,7 @@
         headers = _field(b"Sassafras-Ask", ASK) + FORGED
         if key is not None:
             headers += _field(b"Sassafras-Key", key)
-        await place.order(ONE, "/open/a", headers)
+        await place.send_to_peer_port(ONE, "/open/a", headers)
         for got in upstream.got:
             assert got.fields.get(b"x-customer") == customer
         assert len(upstream.got) == (key is None or customer is not None)
@@ -129,7 +129,9 @@
     async def test() -> None:
         place, upstream = await _started()
         ask = ASK.replace(b" open ", b" s ")
-        await place.order(ONE, "/s/a", _field(b"Sassafras-Ask", ask))
+        await place.send_to_peer_port(
+            ONE, "/s/a", _field(b"Sassafras-Ask", ask)
+        )
         assert not upstream.got
 
     asyncio.run(test())
@@ -142,11 +144,11 @@
         place, _ = await _started()
         place.customers = CUSTOMERS[1:]
         place.policy(2, CLOSED, OPEN)
-        await place.knows(ONE, OTHER)
+        await place.wait_until_known(ONE, OTHER)
         assert (await place.call(ONE, "/s/a", headers=_key(KEY))).status == 401
         place.customers = CUSTOMERS
         place.policy(3, CLOSED, OPEN)
-        await place.knows(ONE, OTHER)
+        await place.wait_until_known(ONE, OTHER)
         assert (await place.call(ONE, "/s/a", headers=_key(KEY))).status == 200
 
     asyncio.run(test())
--- a/tests/forwarding/test_lifecycle.py
+++ b/tests/forwarding/test_lifecycle.py
@@ -124,7 +124,7 @@
         world = await test_path._world(idempotent=False)
         await world.upstream(C, "s")
         await world.daemon(C, "s")
-        await world.knows(A, B, C)
+        await world.wait_until_known(A, B, C)
         stopping = asyncio.ensure_future(_daemon.stop(world.daemons[B]))
         await asyncio.sleep(0.1)
         for _ in range(20):
--- a/tests/forwarding/test_path.py
+++ b/tests/forwarding/test_path.py
@@ -33,7 +33,7 @@
     await world.upstream(B, "s", script, slots)
     await world.daemon(A, "front")
     await world.daemon(B, "s")
-    await world.knows(A, B)
+    await world.wait_until_known(A, B)
     return world
 
 
@@ -181,7 +181,7 @@
         world = await _world(script, idempotent)
         await world.upstream(C, "s")
         await world.daemon(C, "s")
-        await world.knows(A, B, C)
+        await world.wait_until_known(A, B, C)
         # Until the first choice was the instance that fails.
         while not world.upstreams[B].got:
             got = await world.call(A, "/s/", "POST")
@@ -226,10 +226,10 @@
         world.policy(3, place.route("/s/", "s", True, 4.0))
         await asyncio.start_server(silent, C, world.ports[1])
         await world.upstream(B, "s")
-        world.entry(C, "s")
+        world.put_entry(C, "s")
         await world.daemon(A, "front")
         await world.daemon(B, "s")
-        await world.knows(A, B)
+        await world.wait_until_known(A, B)
         calls = [world.call(A, "/s/") for _ in range(8)]
         answers = await asyncio.gather(*calls)
         assert [got.status for got in answers] == [200] * 8
@@ -254,10 +254,10 @@
     async def test() -> None:
         world = place.Cluster()
         world.policy(3, place.route("/s/", "s", False, 0.8))
-        world.entry(C, "s")
+        world.put_entry(C, "s")
         await asyncio.start_server(silent, C, world.ports[1])
         await world.daemon(A, "front")
-        await world.knows(A)
+        await world.wait_until_known(A)
         got = await world.call(A, "/s/", "POST")
         assert got.status == 504
         assert 0.75 < got.seconds < 1.2
@@ -275,9 +275,9 @@
     async def test() -> None:
         world = place.Cluster()
         world.policy(3, place.route("/s/", "s", False))
-        world.entry(C, "s")
+        world.put_entry(C, "s")
         await world.daemon(A, "front")
-        await world.knows(A)
+        await world.wait_until_known(A)
         assert (await world.call(A, "/s/", "POST")).status == 503
         peers = world.daemons[A].daemon.routes.peers
         while not peers[f"i-{C}"].unreachable:
@@ -327,7 +327,7 @@
         await world.upstream(B, "s", hang, slots=1)
         await world.daemon(A, "front")
         await world.daemon(B, "s")
-        await world.knows(A, B)
+        await world.wait_until_known(A, B)
         first = asyncio.ensure_future(world.call(A, "/s/", "POST"))
         while not world.upstreams[B].got:
             await asyncio.sleep(0.01)
@@ -408,10 +408,10 @@
     async def test() -> None:
         world = place.Cluster()
         world.policy(3, place.route("/s/", "s"))
-        world.entry(B, "s")
+        world.put_entry(B, "s")
         await world.daemon(A, "front")
         await world.daemon(B, "s")
-        await world.knows(A, B)
+        await world.wait_until_known(A, B)
         assert (await world.call(A, "/s/")).status == 503
         assert world.daemons[B].daemon.upstream_down
         await world.upstream(B, "s")
--- a/tests/forwarding/test_restarts.py
+++ b/tests/forwarding/test_restarts.py
@@ -39,17 +39,17 @@
     await world.daemon(A, "front")
     await world.daemon(B, "s")
     await world.daemon(C, "s")
-    await world.knows(A, B, C)
+    await world.wait_until_known(A, B, C)
     return world
 
 
 async def _restart(world: place.Cluster) -> None:
     """Start B's instance again, and one on C that answers."""
     await world.upstream(C, "s")
-    await world.knows(A, B, C)
+    await world.wait_until_known(A, B, C)
     world.upstreams[B].script = place.answer
     world.put_instance(f"i-{B}", B, "s", slots=1, born=_now_ms())
-    await world.knows(A, B, C)
+    await world.wait_until_known(A, B, C)
 
 
 @pytest.mark.parametrize(
@@ -128,13 +128,13 @@
         if told_late:
             key = "untold"
             world.put_instance(key, B, "s", slots=1)
-            await world.knows(A, B, C)
+            await world.wait_until_known(A, B, C)
         call = asyncio.ensure_future(world.call(A, "/s/"))
         while not world.daemons[B].daemon.executions:
             await asyncio.sleep(0.01)
         guards = dict(world.daemons[B].daemon.guards)
         world.put_instance(key, B, "s", slots=2, born=born)
-        await world.knows(A, B, C)
+        await world.wait_until_known(A, B, C)
         await asyncio.sleep(0.2)
         assert len(world.daemons[B].daemon.executions) == 1
         assert not any(guard.leaving for guard in guards.values())
--- a/tests/forwarding/test_sync.py
+++ b/tests/forwarding/test_sync.py
@@ -44,11 +44,11 @@
         world = await test_path._world()
         await world.upstream(C, "s")
         await world.daemon(C, "s")
-        await world.knows(A, B, C)
+        await world.wait_until_known(A, B, C)
         world.source.away.add(A)
-        world.entry(B, "s", views.InstanceState.LEAVING)
+        world.put_entry(B, "s", views.InstanceState.LEAVING)
         world.policy(4, place.route("/t/", "s"))
-        await asyncio.wait_for(world.knows(A), 2.0)
+        await asyncio.wait_for(world.wait_until_known(A), 2.0)
         assert (await world.call(A, "/t/")).status == 200
         assert len(world.upstreams[B].got) == 0
 
@@ -68,7 +68,7 @@
         for version in range(4, 44):
             world.policy(version, place.route("/s/", "s"))
             await asyncio.sleep(0.02)
-        await world.knows(A, B)
+        await world.wait_until_known(A, B)
         assert world.source.watches - before <= 10
         assert (await world.call(A, "/s/")).status == 200
 
@@ -82,7 +82,7 @@
         port = world.ports[1]
         world.seeds = (forwarding.Address(B, port),)
         await world.daemon(C, "front")
-        await asyncio.wait_for(world.knows(C), 2.0)
+        await asyncio.wait_for(world.wait_until_known(C), 2.0)
         assert (await world.call(C, "/s/")).status == 200
 
     test_path.run(test())
@@ -98,13 +98,13 @@
     async def test() -> None:
         world = await test_path._world(test_path.other_instance)
         await world.daemon(C, "front")
-        await world.knows(C)
+        await world.wait_until_known(C)
         for host in (A, A, C, C):
             assert (await world.call(host, "/s/")).status == 503
         assert len(world.upstreams[B].got) == 1
         world.upstreams[B].script = place.answer
         world.put_instance("i-new", B, "s")
-        await world.knows(A, B, C)
+        await world.wait_until_known(A, B, C)
         assert (await world.call(A, "/s/")).status == 200
 
     test_path.run(test())
@@ -126,7 +126,10 @@
             _learning.note_refused(daemon, [refusal])
         unread = forwarding.RefusedItem("", 0, "not_an_object")
         _learning.note_refused(daemon, [unread, unread])
-        assert daemon.counters.refusals == {"state": 2, "not_an_object": 2}
+        assert daemon.counters.refused_items == {
+            "state": 2,
+            "not_an_object": 2,
+        }
         daemon.journal.flush_lines()
         lines = b"".join(world.lines)
         assert lines.count(b'"item_refused"') == 4
@@ -147,7 +150,7 @@
         world.policy(4, place.route("/s/", "s"))
         await asyncio.sleep(1.5)
         world.source.away.clear()
-        await asyncio.wait_for(world.knows(A, B), 5.0)
+        await asyncio.wait_for(world.wait_until_known(A, B), 5.0)
         for daemon in world.daemons.values():
             daemon.daemon.journal.flush_lines()
         lines = [
@@ -172,7 +175,7 @@
         world = await test_path._world()
         await world.upstream(C, "s")
         await world.daemon(C, "s")
-        await world.knows(A, B, C)
+        await world.wait_until_known(A, B, C)
         await asyncio.sleep(1.0)
         told = [await _feed_of(world, host) for host in (A, B, C)]
         parents = [each["parent"] for each in told]
--- a/tests/forwarding/test_walks.py
+++ b/tests/forwarding/test_walks.py
@@ -139,7 +139,7 @@
     async def test() -> None:
         world = await test_path._world()
         world.put_instance("i-new", test_path.B, "s")
-        await world.knows(test_path.A)
+        await world.wait_until_known(test_path.A)
         for running in world.daemons.values():
             running.daemon.journal.flush_lines()
         address = f"{test_path.B}:{world.ports[3]}"
