--- a/src/sassafrasstair/decisions/feeds/_feeds.py
+++ b/src/sassafrasstair/decisions/feeds/_feeds.py
@@ -82,7 +82,7 @@
     """State of one daemon's feed.
 
     ``hosts`` are the known daemons of this failure domain, and
-    ``earlier_hosts`` those that precede ``own_host``. Of them,
+    ``earlier_hosts`` those that precede ``own_host``. Of ``hosts``,
     ``listed_hosts`` have an entry in the view; ``vanished_since`` has the
     time at which the entries of the others vanished. ``avoided_until`` holds
     daemons that did not answer, are stopping or stayed behind, and
@@ -135,9 +135,9 @@
     has_stale_view: bool = False
 
 
-def new_feed(own: str, timing: _types.Timing, now: float) -> Feed:
+def new_feed(own_host: str, timing: _types.Timing, now: float) -> Feed:
     """Return the feed of a starting daemon."""
-    return Feed(own, timing, now)
+    return Feed(own_host, timing, now)
 
 
 def learn_hosts(feed: Feed, hosts: frozenset[str], now: float) -> None:
@@ -164,16 +164,16 @@
             del until_by_host[unknown]
 
 
-def adopt_address(feed: Feed, own: str) -> None:
+def adopt_address(feed: Feed, own_host: str) -> None:
     """Use another address as this daemon's own.
 
     Called when a poll to that address reached this daemon itself. Otherwise
     the daemon would follow itself, and order the hosts of its failure domain
     differently from its peers.
     """
-    feed.own_host = own
-    feed.own_listed = feed.own_listed or own in feed.hosts
-    feed.earlier_hosts = _orders.earlier_hosts(feed.hosts, own)
+    feed.own_host = own_host
+    feed.own_listed = feed.own_listed or own_host in feed.hosts
+    feed.earlier_hosts = _orders.earlier_hosts(feed.hosts, own_host)
 
 
 def next_step(feed: Feed, now: float) -> _types.Step:
@@ -220,11 +220,11 @@
 
 def read_done(feed: Feed, now: float, stale: bool, news: bool = True) -> None:
     """Record an answer of the store, with changes if ``news`` is True."""
-    starts = stale or feed.has_stale_view
-    pace = (
-        START_READ_INTERVAL_SECONDS if starts else feed.timing.watch_interval
+    is_stale = stale or feed.has_stale_view
+    interval = (
+        START_READ_INTERVAL_SECONDS if is_stale else feed.timing.watch_interval
     )
-    feed.next_read_at = now + pace
+    feed.next_read_at = now + interval
     if stale and not _is_starting(feed, now):
         feed.next_read_at = now
     feed.retry_delay = RETRY_SECONDS
@@ -329,10 +329,10 @@
 
     A watch from before an outage never returns, so a new one is started.
     """
-    was_away = _checks.record_answer(feed.checks, sent_at)
-    if was_away and reads_store(feed):
+    had_outage = _checks.record_answer(feed.checks, sent_at)
+    if had_outage and reads_store(feed):
         feed.next_read_at = min(feed.next_read_at, now)
-    return was_away
+    return had_outage
 
 
 def lost_since(feed: Feed, now: float) -> float | None:
@@ -348,8 +348,8 @@
     Not during a full read: that of a large and slow store takes longer than
     a check, and would never end if each check restarted it.
     """
-    watches = reads_store(feed) and not feed.needs_full_read
-    return watches and _checks.can_recheck(feed.checks, now)
+    is_watching = reads_store(feed) and not feed.needs_full_read
+    return is_watching and _checks.can_recheck(feed.checks, now)
 
 
 def mark_change_missed(feed: Feed, now: float) -> None:
@@ -391,8 +391,8 @@
         return feed.timing.lag_limit
     if is_stalled(feed, last_answer_at, now):
         return 0.0
-    pace = min(feed.timing.watch_interval, max(0.0, feed.next_read_at - now))
-    return pace + feed.timing.lag_grace
+    delay = min(feed.timing.watch_interval, max(0.0, feed.next_read_at - now))
+    return delay + feed.timing.lag_grace
 
 
 def reader_hosts(hosts: abc.Iterable[str]) -> tuple[str, ...]:
@@ -436,8 +436,8 @@
 
 
 def _is_starting(feed: Feed, now: float) -> bool:
-    alone = not feed.own_listed and not feed.earlier_hosts
-    return alone and now - feed.started_at < START_SECONDS
+    knows_no_host = not feed.own_listed and not feed.earlier_hosts
+    return knows_no_host and now - feed.started_at < START_SECONDS
 
 
 def _sleep_until(not_before: float, now: float) -> _types.Sleep | None:
@@ -452,5 +452,5 @@
 
 
 def _jitter(seconds: float, rng: random.Random) -> float:
-    """Return ``seconds`` with jitter, so that daemons don't act in step."""
+    """Return ``seconds`` with jitter, so that calls don't coincide."""
     return seconds * (0.5 + rng.random())
--- a/src/sassafrasstair/decisions/feeds/_types.py
+++ b/src/sassafrasstair/decisions/feeds/_types.py
@@ -22,8 +22,8 @@
 the next comparison (0.15), the wait until the reader's own watch should have
 reported the change (0.35) and a call: 0.8 of the bound.
 
-After an outage of the store, however long: in each failure domain, the first
-reader that noticed the outage sends a check at least every 0.4 of the bound,
+After an outage of the store, however long: the first reader of each failure
+domain that noticed the outage sends a check at least every 0.4 of the bound,
 and an answered check makes it start a new watch at once. If the outage was too
 short to be noticed, the first reader's next check comes after 0.4 and reports
 a greater revision, which is acted on 0.1 later; the other readers' next
--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -26,9 +26,9 @@
     if not (_is_time(limits.head_seconds) and _is_time(limits.idle_seconds)):
         return "limits"
     for route in policy.routes:
-        wrong = _find_route_fault(route)
-        if wrong:
-            return f"{route.name[:80]!r}: {wrong}"
+        fault = _find_route_fault(route)
+        if fault:
+            return f"{route.name[:80]!r}: {fault}"
     return _find_customer_fault(policy.customers or ())
 
 
--- a/src/sassafrasstair/decisions/views/_types.py
+++ b/src/sassafrasstair/decisions/views/_types.py
@@ -25,7 +25,8 @@
 
     ``host`` is the address of its VM, on which its daemon listens too, and
     ``port`` is the upstream's. ``since`` is the store revision at which its
-    entry was created. ``cold_seconds`` is for how much longer it is slow
+    entry was created. ``slots`` is its declared concurrency, from which its
+    limit starts. ``cold_seconds`` is for how much longer it is slow
     after its start. ``born`` is when it started, in Unix milliseconds by the
     clock of its VM, or 0 if unknown.
     """
@@ -106,9 +107,11 @@
 def usable_delta(delta: Delta) -> Delta:
     """Return the delta with invalid instances listed as unusable."""
     usable = tuple(each for each in delta.instances if _is_usable(each))
-    wrong = tuple(each.id for each in delta.instances if not _is_usable(each))
+    invalid_ids = tuple(
+        each.id for each in delta.instances if not _is_usable(each)
+    )
     return dataclasses.replace(
-        delta, instances=usable, unusable=delta.unusable + wrong
+        delta, instances=usable, unusable=delta.unusable + invalid_ids
     )
 
 
--- a/src/sassafrasstair/decisions/views/_views.py
+++ b/src/sassafrasstair/decisions/views/_views.py
@@ -66,10 +66,10 @@
 
     ``lapsed`` are instances whose entries vanished, by id.
 
-    ``store_answered_at`` is when the store last answered, also through peers,
-    and ``store_lost_since`` since when it has not; both are in seconds of the
-    daemon's clock. Until ``unsteady_until`` a vanished entry may merely have
-    expired.
+    ``store_answered_at`` is when the store last answered, also through peers.
+    ``store_lost_since`` is since when calls to the store have failed, infinite
+    if they succeed. Both are in seconds of the daemon's clock. Until
+    ``unsteady_until`` a vanished entry may merely have expired.
 
     ``replaced_ids`` are the ids of instances at whose address another one
     answered: their entries are out of date until they change.
@@ -157,7 +157,7 @@
 
 def replace_all(
     view: View,
-    known: abc.Sequence[_types.Change],
+    items: abc.Sequence[_types.Change],
     revision: int,
     content: int,
     now: float,
@@ -170,7 +170,7 @@
     if revision < view.revision:
         return []
     listed_ids = {
-        item.id for item in known if isinstance(item, _types.Instance)
+        item.id for item in items if isinstance(item, _types.Instance)
     }
     vanished = [
         _types.Removed(key) for key in view.instances if key not in listed_ids
@@ -186,7 +186,7 @@
     if restored:
         note_unsteady(view, UNSTEADY_SECONDS, now)
         view.confirmable_from = now + RESTORE_SETTLE_SECONDS
-    updates = apply_changes(view, [*vanished, *known], revision, content, now)
+    updates = apply_changes(view, [*vanished, *items], revision, content, now)
     if not restored:
         return updates
     return [
@@ -224,9 +224,9 @@
     view.revision = revision
     updates: Updates = []
     for change in _drop_superseded_policies(changes):
-        news = _apply_one(view, change, now)
-        updates += news
-        if any(kind is not _types.News.OUTDATED for kind, _ in news):
+        effects = _apply_one(view, change, now)
+        updates += effects
+        if any(kind is not _types.News.OUTDATED for kind, _ in effects):
             _histories.record_change(view.history, change, content)
     if updates:
         view.content = max(view.content, content)
@@ -346,7 +346,8 @@
     if instance.born and instance.born < latest:
         return [(_types.News.OUTDATED, instance.id)]
     if not instance.born and latest:
-        # A daemon of the previous version sends no start: may be either run.
+        # A daemon of the previous version sends no start time, so the entry
+        # may belong to either run.
         instance = dataclasses.replace(instance, born=latest)
     previous = view.instances.get(instance.id)
     if _is_ready_after_leaving(previous, instance):
@@ -359,7 +360,7 @@
         view.replaced_ids.discard(instance.id)
     view.lapsed.pop(instance.id, None)
     view.instances[instance.id] = instance
-    _note_born(view, instance)
+    _record_start(view, instance)
     if latest and instance.born > latest:
         news = _types.News.RESTARTED
     elif previous is None:
@@ -401,7 +402,7 @@
     )
 
 
-def _note_born(view: View, instance: _types.Instance) -> None:
+def _record_start(view: View, instance: _types.Instance) -> None:
     if not instance.born:
         return
     view.latest_starts.pop(instance.id, None)
