--- a/tests/decisions/views/test_views.py
+++ b/tests/decisions/views/test_views.py
@@ -50,11 +50,11 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "ends_outage"),
+    ("age", "back"),
     [(0.0, True), (1.9, True), (2.1, False), (9.0, False)],
 )
 def test_answer_from_before_an_outage_does_not_end_it(
-    age: float, ends_outage: bool
+    age: float, back: bool
 ) -> None:
     """A follower polls a daemon that has not yet detected the outage.
 
@@ -64,9 +64,9 @@
     """
     view = _view_of(_policy(7))
     views.store_failed(view, 100.0)
-    assert views.store_answered(view, 102.0, age) is ends_outage
-    assert (view.store_lost_since > 102.0) is ends_outage
-    assert (view.unsteady_until > 102.0) is ends_outage
+    assert views.store_answered(view, 102.0, age) is back
+    assert (view.store_lost_since > 102.0) is back
+    assert (view.unsteady_until > 102.0) is back
 
 
 def test_policies_of_one_answer_are_one_update() -> None:
