--- a/src/sassafrasstair/decisions/fleet/_members.py
+++ b/src/sassafrasstair/decisions/fleet/_members.py
@@ -21,19 +21,19 @@
     from collections import abc
 
 MAX_RUMOURS = 12
-MOST_HOT = 64
-FIRST = 1_000
+MAX_QUEUED_ANNOUNCEMENTS = 64
+PRIORITY_OFFSET = 1_000
 """Added to the count of transmissions left of what must go first."""
 
-RETRANSMISSIONS = 1.5
-HOLD_FIRST = 1.0
-HOLD_LONGEST = 16.0
-FLAPS_FORGOTTEN = 60.0
+RETRANSMIT_FACTOR = 1.5
+MIN_HOLD_DOWN = 1.0
+MAX_HOLD_DOWN = 16.0
+FLAP_WINDOW = 60.0
 
 _BUCKET_VALUES = struct.Struct(f"<{_states.BUCKETS}I")
 
 
-def usable(node: _states.Node, member: _states.Member, now: float) -> bool:
+def is_usable(node: _states.Node, member: _states.Member, now: float) -> bool:
     """Return whether ``member`` may be given new work."""
     if member.liveness != _messages.SERVING or member.leaving:
         return False
@@ -48,7 +48,7 @@
     return member.liveness == _messages.SERVING
 
 
-def rumour_of(member: _states.Member, whole: bool) -> _messages.Rumour:
+def rumour_of(member: _states.Member, with_record: bool) -> _messages.Rumour:
     """Return what is believed of ``member``, with its record if whole."""
     return _messages.Rumour(
         member.record.vm,
@@ -57,14 +57,14 @@
         member.liveness,
         member.leaving,
         member.platform_unreachable,
-        member.record if whole else None,
+        member.record if with_record else None,
     )
 
 
-def changed(node: _states.Node, roster: bool = False) -> None:
+def invalidate_caches(node: _states.Node, membership: bool = False) -> None:
     """Void what was worked out of who is usable, or of all members."""
     node.usability_version += 1
-    if roster:
+    if membership:
         node.membership_version += 1
 
 
@@ -75,33 +75,36 @@
         return _add(node, rumour, now)
     if _is_known(member, rumour):
         return False
-    before = _place(member)
-    _toggle(node, member)
-    _join(member, rumour)
-    _toggle(node, member)
-    if _place(member) == before:
+    before = _state_key(member)
+    _toggle_checksum(node, member)
+    _merge_into(member, rumour)
+    _toggle_checksum(node, member)
+    if _state_key(member) == before:
         return False
-    _follow(node, member, before, now)
+    _apply_change(node, member, before, now)
     return True
 
 
-def contacted(
+def record_incarnation(
     node: _states.Node, vm: str, incarnation: str, now: float
 ) -> None:
     """Take in from ``vm`` itself that ``incarnation`` runs there."""
     rumour = _messages.Rumour(vm, incarnation, 0, _messages.SERVING)
     if merge(node, rumour, now):
-        mark_hot(node, vm)
+        queue_rumour(node, vm)
 
 
-def mark_hot(node: _states.Node, vm: str) -> None:
+def queue_rumour(node: _states.Node, vm: str) -> None:
     """Have the belief on ``vm`` passed on a bounded number of times."""
     member = node.members[vm]
-    spread = math.log(len(node.members) + 2)
-    times = math.ceil(RETRANSMISSIONS * spread)
+    log_members = math.log(len(node.members) + 2)
+    times = math.ceil(RETRANSMIT_FACTOR * log_members)
     if member.liveness != _messages.SERVING or member.leaving:
-        node.transmissions_left[vm] = FIRST + times
-    elif vm == node.local_record.vm or len(node.transmissions_left) < MOST_HOT:
+        node.transmissions_left[vm] = PRIORITY_OFFSET + times
+    elif (
+        vm == node.local_record.vm
+        or len(node.transmissions_left) < MAX_QUEUED_ANNOUNCEMENTS
+    ):
         # When a whole fleet starts, everyone announces itself: beyond this
         # the announcements are left to the comparison of tables.
         node.transmissions_left[vm] = times
@@ -116,17 +119,17 @@
 
     ``known`` is what the receiver has just told itself.
     """
-    told = {rumour.vm for rumour in known if _is_current(node, rumour)}
-    fresh = [vm for vm in node.transmissions_left if vm not in told]
+    known_vms = {rumour.vm for rumour in known if _is_current(node, rumour)}
+    fresh = [vm for vm in node.transmissions_left if vm not in known_vms]
     chosen = sorted(
         fresh, key=node.transmissions_left.__getitem__, reverse=True
     )
-    rumours = [_told(node, vm) for vm in chosen[:MAX_RUMOURS]]
+    rumours = [_take_rumour(node, vm) for vm in chosen[:MAX_RUMOURS]]
     member = node.members.get(receiver)
     if member is not None and member.liveness != _messages.SERVING:
         # A paused process wakes and is rumoured dead: unless it hears so
         # it cannot refute, and gets no work though it serves.
-        rumours.append(rumour_of(member, whole=False))
+        rumours.append(rumour_of(member, with_record=False))
     return tuple(rumours)
 
 
@@ -141,7 +144,7 @@
     return zlib.crc32(_BUCKET_VALUES.pack(*node.bucket_checksums))
 
 
-def differing(
+def differing_rumours(
     node: _states.Node, checksums: abc.Sequence[int]
 ) -> tuple[_messages.Rumour, ...]:
     """Return all rumours of the buckets that differ from ``checksums``."""
@@ -151,44 +154,46 @@
         if bucket >= len(checksums) or checksums[bucket] != value
     }
     return tuple(
-        rumour_of(member, whole=True)
+        rumour_of(member, with_record=True)
         for vm, member in node.members.items()
         if bucket_of(vm) in wanted
     )
 
 
-def hold(node: _states.Node, member: _states.Member, now: float) -> None:
+def start_hold_down(
+    node: _states.Node, member: _states.Member, now: float
+) -> None:
     """Bar a member that is back for a while, longer the more it flaps."""
     # Hysteresis: a VM at the edge of failure would take work and lose it
     # again each second; each return within a minute doubles the wait.
-    if now - member.hold_down_until > FLAPS_FORGOTTEN:
+    if now - member.hold_down_until > FLAP_WINDOW:
         member.flaps = 0
-    wait = min(HOLD_FIRST * 2**member.flaps, HOLD_LONGEST)
+    wait = min(MIN_HOLD_DOWN * 2**member.flaps, MAX_HOLD_DOWN)
     member.flaps += 1
     member.hold_down_until = now + wait
     node.held_down.add(member.record.vm)
-    changed(node)
+    invalidate_caches(node)
 
 
-def release(node: _states.Node, now: float) -> None:
+def end_hold_downs(node: _states.Node, now: float) -> None:
     """End the holds whose time is over."""
     over = {
         vm for vm in node.held_down if node.members[vm].hold_down_until <= now
     }
     if over:
         node.held_down -= over
-        changed(node)
+        invalidate_caches(node)
 
 
-def common(node: _states.Node, vm: str) -> None:
+def mark_record_shared(node: _states.Node, vm: str) -> None:
     """Note that peers have the record of ``vm`` already."""
     node.unshared_records.discard(vm)
 
 
-def forget(node: _states.Node, vm: str) -> None:
+def remove(node: _states.Node, vm: str) -> None:
     """Drop ``vm`` from the table."""
     member = node.members.pop(vm)
-    _toggle(node, member)
+    _toggle_checksum(node, member)
     if node.by_address.get(member.record.address) == vm:
         del node.by_address[member.record.address]
     node.transmissions_left.pop(vm, None)
@@ -196,7 +201,7 @@
     node.held_down.discard(vm)
     node.not_serving.discard(vm)
     node.unshared_records.discard(vm)
-    changed(node, roster=True)
+    invalidate_caches(node, membership=True)
 
 
 def _is_current(node: _states.Node, rumour: _messages.Rumour) -> bool:
@@ -220,19 +225,19 @@
     if rumour.record is None or rumour.record.vm != rumour.vm:
         return False
     member = _states.Member(rumour.record, changed_at=now)
-    _join(member, rumour)
+    _merge_into(member, rumour)
     node.members[rumour.vm] = member
     node.by_address[rumour.record.address] = rumour.vm
-    _toggle(node, member)
-    _note_life(node, member)
+    _toggle_checksum(node, member)
+    _track_not_serving(node, member)
     node.unshared_records.add(rumour.vm)
-    changed(node, roster=True)
+    invalidate_caches(node, membership=True)
     return True
 
 
-def _join(member: _states.Member, rumour: _messages.Rumour) -> None:
+def _merge_into(member: _states.Member, rumour: _messages.Rumour) -> None:
     if rumour.incarnation > member.incarnation:
-        _replace(member, rumour)
+        _replace_incarnation(member, rumour)
         return
     if rumour.incarnation and rumour.incarnation < member.incarnation:
         return
@@ -250,10 +255,12 @@
         member.platform_unreachable = rumour.platform_unreachable
         member.revision = rumour.revision
         member.liveness = rumour.liveness
-    _take_record(member, rumour.record)
+    _apply_record(member, rumour.record)
 
 
-def _replace(member: _states.Member, rumour: _messages.Rumour) -> None:
+def _replace_incarnation(
+    member: _states.Member, rumour: _messages.Rumour
+) -> None:
     known = bool(member.incarnation)
     member.leaving = rumour.leaving or (member.leaving and not known)
     member.incarnation = rumour.incarnation
@@ -264,7 +271,7 @@
         member.record = rumour.record
 
 
-def _take_record(
+def _apply_record(
     member: _states.Member, record: _messages.Record | None
 ) -> None:
     if record is None or record.vm != member.record.vm:
@@ -273,7 +280,7 @@
         member.leaving = True
 
 
-def _follow(
+def _apply_change(
     node: _states.Node,
     member: _states.Member,
     before: tuple[str, int, int, bool, bool],
@@ -281,15 +288,15 @@
 ) -> None:
     node.by_address[member.record.address] = member.record.vm
     member.changed_at = now
-    _note_life(node, member)
-    back = before[2] != _messages.SERVING
-    if back and member.liveness == _messages.SERVING:
+    _track_not_serving(node, member)
+    was_not_serving = before[2] != _messages.SERVING
+    if was_not_serving and member.liveness == _messages.SERVING:
         member.ejected = False
         member.failures = 0
         node.ejected.discard(member.record.vm)
-        hold(node, member, now)
-    if before[2:] != _place(member)[2:]:
-        changed(node, roster=True)
+        start_hold_down(node, member, now)
+    if before[2:] != _state_key(member)[2:]:
+        invalidate_caches(node, membership=True)
     # That a suspected VM is now held for gone changes nothing for calls
     # and can wait for the next rounds; a rack's loss would send it twice.
     if _takes_work(before[2], before[3]) != _takes_work(
@@ -298,18 +305,18 @@
         node.push_pending = True
 
 
-def _note_life(node: _states.Node, member: _states.Member) -> None:
+def _track_not_serving(node: _states.Node, member: _states.Member) -> None:
     if member.liveness == _messages.SERVING:
         node.not_serving.discard(member.record.vm)
     else:
         node.not_serving.add(member.record.vm)
 
 
-def _takes_work(life: int, leaving: bool) -> bool:
-    return life == _messages.SERVING and not leaving
+def _takes_work(liveness: int, leaving: bool) -> bool:
+    return liveness == _messages.SERVING and not leaving
 
 
-def _place(member: _states.Member) -> tuple[str, int, int, bool, bool]:
+def _state_key(member: _states.Member) -> tuple[str, int, int, bool, bool]:
     return (
         member.incarnation,
         member.revision,
@@ -319,20 +326,20 @@
     )
 
 
-def _told(node: _states.Node, vm: str) -> _messages.Rumour:
+def _take_rumour(node: _states.Node, vm: str) -> _messages.Rumour:
     node.transmissions_left[vm] -= 1
-    if node.transmissions_left[vm] in (0, FIRST):
+    if node.transmissions_left[vm] in (0, PRIORITY_OFFSET):
         del node.transmissions_left[vm]
     member = node.members[vm]
-    return rumour_of(member, whole=vm in node.unshared_records)
+    return rumour_of(member, with_record=vm in node.unshared_records)
 
 
-def _toggle(node: _states.Node, member: _states.Member) -> None:
+def _toggle_checksum(node: _states.Node, member: _states.Member) -> None:
     # Members that are gone count for nothing: nodes forget them at
     # different times, which must not look like a difference.
     if member.liveness == _messages.GONE:
         return
-    value = _digest(f"{member.record.vm} {_place(member)}")
+    value = _digest(f"{member.record.vm} {_state_key(member)}")
     node.bucket_checksums[bucket_of(member.record.vm)] ^= value
 
 
--- a/src/sassafrasstair/decisions/fleet/_messages.py
+++ b/src/sassafrasstair/decisions/fleet/_messages.py
@@ -148,7 +148,7 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
-_rumours = msgspec.msgpack.Decoder(tuple[Rumour, ...])
+_rumours_decoder = msgspec.msgpack.Decoder(tuple[Rumour, ...])
 
 
 class BadMessage(Exception):
@@ -176,6 +176,6 @@
 def decode_rumours(data: bytes) -> tuple[Rumour, ...]:
     """Return the rumours in ``data``; raise ``BadMessage``."""
     try:
-        return _rumours.decode(data)
+        return _rumours_decoder.decode(data)
     except msgspec.MsgspecError as error:
         raise BadMessage(str(error)) from error
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -21,9 +21,9 @@
 
     from sassafrasstair import bundles
 
-PAUSE = 1.5
-DEAF_AFTER_PAUSE = 1.0
-REVIEW_EVERY = 1.0
+PAUSE_THRESHOLD = 1.5
+FAILURE_GRACE_PERIOD = 1.0
+EXPIRY_INTERVAL = 1.0
 
 
 def new_node(
@@ -45,12 +45,12 @@
         record=me,
     )
     _members.merge(node, rumour, now)
-    _members.mark_hot(node, me.vm)
+    _members.queue_rumour(node, me.vm)
     node.next_read_at = _platform.first_read_at(now, rng)
     node.next_gossip_at = now
     node.last_tick_at = now
-    node.flushed = now
-    node.push_tokens = _spreads.MOST_TOKENS
+    node.tokens_refilled_at = now
+    node.push_tokens = _spreads.MAX_TOKENS
     return node
 
 
@@ -58,20 +58,20 @@
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Do what time has brought due; to be called each 250 ms."""
-    effects = _woken(node, now)
+    effects = _detect_pause(node, now)
     node.last_tick_at = now
     waiting, node.pending_effects = node.pending_effects, []
     effects += waiting
-    effects += _missed_calls(node, now, rng)
-    effects += _suspicions.review(node, now, rng)
-    if now >= node.next_review:
-        node.next_review = now + REVIEW_EVERY
-        effects += _suspicions.review_members(node, now)
-    _members.release(node, now)
-    effects += _fetches.overdue(node, now)
+    effects += _process_failed_calls(node, now, rng)
+    effects += _suspicions.run_due_probes(node, now, rng)
+    if now >= node.next_expiry_at:
+        node.next_expiry_at = now + EXPIRY_INTERVAL
+        effects += _suspicions.expire_members(node, now)
+    _members.end_hold_downs(node, now)
+    effects += _fetches.retry_overdue(node, now)
     effects += _spreads.settle(node, now, rng)
-    effects += _platform.review(node, now, rng)
-    effects += _spreads.round_due(node, now, rng)
+    effects += _platform.update_watch(node, now, rng)
+    effects += _spreads.gossip_if_due(node, now, rng)
     return effects + _spreads.flush(node, now, rng)
 
 
@@ -82,23 +82,23 @@
     rng: random.Random,
 ) -> tuple[_messages.Message | None, list[_effects.Effect]]:
     """Answer one request of a peer; no reply to what is no request."""
-    effects = _woken(node, now)
+    effects = _detect_pause(node, now)
     reply: _messages.Message | None = _messages.Receipt()
     if isinstance(message, _messages.Gossip):
-        effects += _heard(node, message, now, rng)
-        reply = _summaries.summary(
+        effects += _process_summary(node, message, now, rng)
+        reply = _summaries.build_summary(
             node, _messages.GossipReply, message.vm, message.rumours
         )
     elif isinstance(message, _messages.BundleFetch):
-        reply = _fetches.give(node, message)
+        reply = _fetches.reply_with_bundle(node, message)
     elif isinstance(message, _messages.MembersFetch):
-        reply = _fetches.give_members(node, message)
+        reply = _fetches.reply_with_members(node, message)
     elif isinstance(message, _messages.ProbeRequest):
-        effects += _suspicions.check(
+        effects += _suspicions.start_check(
             node, message.vm, message.reply_to, message.with_helpers, now, rng
         )
     elif isinstance(message, _messages.ProbeResult):
-        effects += _suspicions.result(node, message, now)
+        effects += _suspicions.record_helper_result(node, message, now)
     else:
         reply = None
     return reply, effects + _spreads.flush(node, now, rng)
@@ -112,19 +112,21 @@
     rng: random.Random,
 ) -> list[_effects.Effect]:
     """Take in the reply to an ``Exchange`` with ``peer_address``."""
-    effects = _woken(node, now)
-    effects += _suspicions.alive(
+    effects = _detect_pause(node, now)
+    effects += _suspicions.record_success(
         node, node.by_address.get(peer_address, ""), now
     )
     if isinstance(message, _messages.GossipReply):
         node.settled_by_address[peer_address] = message.settled
-        effects += _heard(node, message, now, rng)
+        effects += _process_summary(node, message, now, rng)
         effects += _spreads.settle(node, now, rng)
     elif isinstance(message, _messages.BundleReply):
-        effects += _fetches.took(node, message, peer_address, now)
+        effects += _fetches.process_bundle_reply(
+            node, message, peer_address, now
+        )
         effects += _spreads.settle(node, now, rng)
     elif isinstance(message, _messages.MembersReply):
-        effects += _took_members(node, message, now)
+        effects += _process_members_reply(node, message, now)
     return effects + _spreads.flush(node, now, rng)
 
 
@@ -136,10 +138,10 @@
 ) -> list[_effects.Effect]:
     """Take in that an ``Exchange`` with ``peer_address`` failed."""
     node.syncing = False
-    effects = _woken(node, now)
-    effects += _fetches.lost_peer(node, peer_address, now)
+    effects = _detect_pause(node, now)
+    effects += _fetches.process_lost_peer(node, peer_address, now)
     vm = node.by_address.get(peer_address, "")
-    effects += _suspicions.failed(node, vm, now, rng)
+    effects += _suspicions.record_failure(node, vm, now, rng)
     return effects + _spreads.flush(node, now, rng)
 
 
@@ -151,7 +153,7 @@
     rng: random.Random,
 ) -> list[_effects.Effect]:
     """Take in what the platform's bundle keys hold at ``index``."""
-    effects = _platform.took_bundles(node, envelopes)
+    effects = _platform.process_bundles(node, envelopes)
     return effects + _spreads.flush(node, now, rng)
 
 
@@ -163,7 +165,7 @@
     rng: random.Random,
 ) -> list[_effects.Effect]:
     """Take in the platform's VM list at ``index``."""
-    effects = _platform.took_vms(node, records, index, now)
+    effects = _platform.process_vms(node, records, index, now)
     return effects + _spreads.flush(node, now, rng)
 
 
@@ -171,7 +173,7 @@
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Take in a lost or overflown watch, or a read that failed."""
-    effects = _platform.lost(node, rng)
+    effects = _platform.process_failure(node, rng)
     return effects + _spreads.flush(node, now, rng)
 
 
@@ -189,8 +191,8 @@
         me.platform_unreachable,
     )
     if _members.merge(node, rumour, now):
-        _members.mark_hot(node, node.local_record.vm)
-    node.next_flush = now
+        _members.queue_rumour(node, node.local_record.vm)
+    node.next_flush_at = now
     return _spreads.flush(node, now, rng)
 
 
@@ -212,24 +214,24 @@
         node.failed_calls.add(vm)
         return
     if incarnation > member.incarnation:
-        _members.contacted(node, vm, incarnation, now)
+        _members.record_incarnation(node, vm, incarnation, now)
     domain = member.record.failure_domain
     if member.failures or vm in node.checks:
-        node.pending_effects += _suspicions.alive(node, vm, now)
-    elif _reaches.is_cut(node, domain):
-        node.pending_effects += _suspicions.alive(node, vm, now)
+        node.pending_effects += _suspicions.record_success(node, vm, now)
+    elif _reaches.is_unreachable(node, domain):
+        node.pending_effects += _suspicions.record_success(node, vm, now)
     node.failed_calls.discard(vm)
 
 
-def _woken(node: _states.Node, now: float) -> list[_effects.Effect]:
+def _detect_pause(node: _states.Node, now: float) -> list[_effects.Effect]:
     """Forget, after a pause of this process, what it seemed to show."""
     # A paused process wakes to find every exchange overdue: it would take
     # all its peers for dead, and tell others so.
     gap = now - node.last_tick_at
-    if gap <= PAUSE:
+    if gap <= PAUSE_THRESHOLD:
         return []
     node.last_tick_at = now
-    node.ignore_failures_until = now + DEAF_AFTER_PAUSE
+    node.ignore_failures_until = now + FAILURE_GRACE_PERIOD
     node.checks.clear()
     node.failed_calls.clear()
     node.next_gossip_at = now
@@ -237,18 +239,18 @@
     return [_effects.ReportEvent("woke_late", fields)]
 
 
-def _missed_calls(
+def _process_failed_calls(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
     missed = sorted(node.failed_calls)
     node.failed_calls.clear()
     for vm in missed:
-        effects += _suspicions.failed(node, vm, now, rng)
+        effects += _suspicions.record_failure(node, vm, now, rng)
     return effects
 
 
-def _heard(
+def _process_summary(
     node: _states.Node,
     peer: _messages.Summary,
     now: float,
@@ -258,29 +260,29 @@
     effects: list[_effects.Effect] = []
     member = node.members.get(peer.vm)
     if member is not None and peer.incarnation > member.incarnation:
-        _members.contacted(node, peer.vm, peer.incarnation, now)
+        _members.record_incarnation(node, peer.vm, peer.incarnation, now)
     if member is None or peer.incarnation >= member.incarnation:
-        effects += _suspicions.alive(node, peer.vm, now)
+        effects += _suspicions.record_success(node, peer.vm, now)
     for rumour in peer.rumours:
-        effects += _take(node, rumour, now)
-    effects += _reaches.told_cut(
+        effects += _process_rumour(node, rumour, now)
+    effects += _reaches.check_peer_report(
         node, peer.vm, peer.unreachable_domains, now, rng
     )
-    effects += _fetches.want(node, peer.bundle_ids, peer.address, now)
-    return effects + _fetches.compare(node, peer, now)
+    effects += _fetches.fetch_missing(node, peer.bundle_ids, peer.address, now)
+    return effects + _fetches.sync_members(node, peer, now)
 
 
-def _take(
+def _process_rumour(
     node: _states.Node, rumour: _messages.Rumour, now: float
 ) -> list[_effects.Effect]:
     if rumour.vm == node.local_record.vm:
-        return _about_me(node, rumour, now)
+        return _process_own_rumour(node, rumour, now)
     if _members.merge(node, rumour, now):
-        _members.mark_hot(node, rumour.vm)
+        _members.queue_rumour(node, rumour.vm)
     return []
 
 
-def _about_me(
+def _process_own_rumour(
     node: _states.Node, rumour: _messages.Rumour, now: float
 ) -> list[_effects.Effect]:
     """Refute what is wrongly said of this VM; accept that it leaves."""
@@ -290,8 +292,8 @@
     if rumour.incarnation and rumour.incarnation < node.incarnation:
         return []
     me = node.members[node.local_record.vm]
-    slandered = rumour.liveness != _messages.SERVING
-    if slandered and rumour.revision >= node.revision:
+    suspected = rumour.liveness != _messages.SERVING
+    if suspected and rumour.revision >= node.revision:
         node.revision = rumour.revision + 1
     leaving = me.leaving or rumour.leaving
     mine = _messages.Rumour(
@@ -304,27 +306,27 @@
     )
     if not _members.merge(node, mine, now):
         return []
-    _members.mark_hot(node, node.local_record.vm)
+    _members.queue_rumour(node, node.local_record.vm)
     node.push_pending = True
-    if not slandered:
+    if not suspected:
         return [_effects.ReportEvent("listed_as_leaving", {})]
     fields = {"revision": str(node.revision)}
     return [_effects.ReportEvent("refuted", fields)]
 
 
-def _took_members(
+def _process_members_reply(
     node: _states.Node, reply: _messages.MembersReply, now: float
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
     try:
-        rumours = _fetches.took_members(node, reply, now)
+        rumours = _fetches.decode_members_reply(node, reply, now)
     except _messages.BadMessage as error:
         fields = {"reason": str(error)}
         return [_effects.ReportEvent("bad_members", fields)]
     for rumour in rumours:
         if rumour.vm == node.local_record.vm:
-            effects += _about_me(node, rumour, now)
+            effects += _process_own_rumour(node, rumour, now)
         else:
             _members.merge(node, rumour, now)
-        _members.common(node, rumour.vm)
+        _members.mark_record_shared(node, rumour.vm)
     return effects
--- a/src/sassafrasstair/decisions/fleet/_platform.py
+++ b/src/sassafrasstair/decisions/fleet/_platform.py
@@ -20,41 +20,41 @@
     from collections import abc
     import random
 
-ASK_PEERS_FIRST = 1.0
+PEERS_FIRST_DELAY = 1.0
 FIRST_READ_SPREAD = 6.0
 LOST_WATCH_SPREAD = 2.0
-LONGEST_BACKOFF = 30.0
-KNOWN_AFTER = 15.0
-FAILURES_TO_BLIND = 3
+MAX_BACKOFF = 30.0
+PEERS_KNOWN_DELAY = 15.0
+FAILURES_TO_REPORT = 3
 
 
-def took_bundles(
+def process_bundles(
     node: _states.Node, envelopes: abc.Sequence[bytes]
 ) -> list[_effects.Effect]:
     """Take in the bundles of a read or of an answered watch."""
-    _sees(node)
+    _record_platform_success(node)
     effects: list[_effects.Effect] = []
     for envelope in envelopes:
-        effects += _versions.offered(node, envelope, "platform")
+        effects += _versions.add_envelope(node, envelope, "platform")
     return effects
 
 
-def took_vms(
+def process_vms(
     node: _states.Node,
     records: abc.Sequence[_messages.Record],
     index: int,
     now: float,
 ) -> list[_effects.Effect]:
     """Take in the VM list; what it changes becomes rumours."""
-    _sees(node)
+    _record_platform_success(node)
     effects: list[_effects.Effect] = []
     for record in records:
-        if _listed(node, record, now):
-            _members.mark_hot(node, record.vm)
+        if _merge_listed(node, record, now):
+            _members.queue_rumour(node, record.vm)
             if record.vm == node.local_record.vm:
                 effects.append(_effects.ReportEvent("listed_as_leaving", {}))
         elif index > node.vm_list_index > 0:
-            _members.common(node, record.vm)
+            _members.mark_record_shared(node, record.vm)
     names: dict[str, str] = {each.vm: each.state for each in records}
     if index < node.vm_list_index:
         # A platform that came back older does not know some VMs yet, and
@@ -78,11 +78,13 @@
     now: float,
 ) -> None:
     for vm in listed:
-        if vm not in names and _unlisted(node, vm, now):
-            _members.mark_hot(node, vm)
+        if vm not in names and _merge_unlisted(node, vm, now):
+            _members.queue_rumour(node, vm)
 
 
-def lost(node: _states.Node, rng: random.Random) -> list[_effects.Effect]:
+def process_failure(
+    node: _states.Node, rng: random.Random
+) -> list[_effects.Effect]:
     """Take in a lost or overflown watch, or a failed read."""
     node.platform_failures += 1
     if node.bundles_by_id and not node.watching:
@@ -90,13 +92,13 @@
         return []
     longest = LOST_WATCH_SPREAD * 2 ** min(node.platform_failures - 1, 6)
     node.read_pending = True
-    delay = rng.uniform(0.0, min(longest, LONGEST_BACKOFF))
-    if node.platform_failures == FAILURES_TO_BLIND:
-        _set_blind(node, blind=True)
+    delay = rng.uniform(0.0, min(longest, MAX_BACKOFF))
+    if node.platform_failures == FAILURES_TO_REPORT:
+        _announce_reachability(node, unreachable=True)
     return [_effects.ReadPlatform(delay)]
 
 
-def review(
+def update_watch(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Return the change of watch, or the first read, that is due."""
@@ -104,8 +106,8 @@
     # Watchers are looked for again only when the members change, so a look
     # before the peers are known must not count as one.
     knows = node.settled and _knows_peers(node, now)
-    if knows and node.watchers_roster != node.membership_version:
-        node.watchers_roster = node.membership_version
+    if knows and node.watchers_version != node.membership_version:
+        node.watchers_version = node.membership_version
         chosen = node.local_record.vm in _subsets.watchers(node)
         if chosen != node.watching:
             node.watching = chosen
@@ -113,30 +115,30 @@
     uninformed = not node.bundles_by_id and not node.watching
     if uninformed and not node.read_pending and now >= node.next_read_at:
         node.read_pending = True
-        node.next_read_at = now + LONGEST_BACKOFF
+        node.next_read_at = now + MAX_BACKOFF
         effects.append(_effects.ReadPlatform(0.0))
     return effects
 
 
 def first_read_at(now: float, rng: random.Random) -> float:
     """Return when a daemon reads for itself that no peer could tell."""
-    return now + ASK_PEERS_FIRST + rng.uniform(0.0, FIRST_READ_SPREAD)
+    return now + PEERS_FIRST_DELAY + rng.uniform(0.0, FIRST_READ_SPREAD)
 
 
 def _knows_peers(node: _states.Node, now: float) -> bool:
     # All start at once: a daemon that knows only its seeds is among the
     # first two of those few, and so would each of the whole fleet be.
-    return node.vm_list_index > 0 or now - node.started_at > KNOWN_AFTER
+    return node.vm_list_index > 0 or now - node.started_at > PEERS_KNOWN_DELAY
 
 
-def _sees(node: _states.Node) -> None:
+def _record_platform_success(node: _states.Node) -> None:
     node.read_pending = False
-    if node.platform_failures >= FAILURES_TO_BLIND:
-        _set_blind(node, blind=False)
+    if node.platform_failures >= FAILURES_TO_REPORT:
+        _announce_reachability(node, unreachable=False)
     node.platform_failures = 0
 
 
-def _set_blind(node: _states.Node, blind: bool) -> None:
+def _announce_reachability(node: _states.Node, unreachable: bool) -> None:
     me = node.members[node.local_record.vm]
     node.revision += 1
     rumour = _messages.Rumour(
@@ -145,13 +147,15 @@
         node.revision,
         _messages.SERVING,
         me.leaving,
-        blind,
+        unreachable,
     )
     _members.merge(node, rumour, node.last_tick_at)
-    _members.mark_hot(node, node.local_record.vm)
+    _members.queue_rumour(node, node.local_record.vm)
 
 
-def _listed(node: _states.Node, record: _messages.Record, now: float) -> bool:
+def _merge_listed(
+    node: _states.Node, record: _messages.Record, now: float
+) -> bool:
     member = node.members.get(record.vm)
     leaving = record.state == "leaving"
     if member is not None and member.leaving >= leaving:
@@ -162,7 +166,7 @@
     return _members.merge(node, rumour, now)
 
 
-def _unlisted(node: _states.Node, vm: str, now: float) -> bool:
+def _merge_unlisted(node: _states.Node, vm: str, now: float) -> bool:
     member = node.members.get(vm)
     if member is None or vm == node.local_record.vm:
         return False
--- a/src/sassafrasstair/decisions/fleet/_queries.py
+++ b/src/sassafrasstair/decisions/fleet/_queries.py
@@ -51,9 +51,9 @@
         "vm": node.local_record.vm,
         "incarnation": node.incarnation,
         "settled": node.settled,
-        "in_force": _shown(node.in_force),
+        "in_force": _bundle_status(node.in_force),
         "held": [
-            _shown(node.bundles_by_id[one])
+            _bundle_status(node.bundles_by_id[one])
             for one in sorted(node.bundles_by_id)
         ],
         "refused": dict(node.refusal_reasons),
@@ -75,7 +75,9 @@
     }
 
 
-def _shown(held: _states.StoredBundle | None) -> dict[str, typing.Any] | None:
+def _bundle_status(
+    held: _states.StoredBundle | None,
+) -> dict[str, typing.Any] | None:
     if held is None:
         return None
     return {
--- a/src/sassafrasstair/decisions/fleet/_reaches.py
+++ b/src/sassafrasstair/decisions/fleet/_reaches.py
@@ -19,19 +19,19 @@
 if typing.TYPE_CHECKING:
     import random
 
-CUT_WINDOW = 3.0
-FAILURES_TO_CUT = 3
-REACH_RETRY = 2.0
-REACH_PROBES = 3
+FAILURE_WINDOW = 3.0
+UNREACHABLE_FAILURES = 3
+PROBE_INTERVAL = 2.0
+PROBES_PER_CHECK = 3
 
 
-def is_cut(node: _states.Node, domain: str) -> bool:
+def is_unreachable(node: _states.Node, domain: str) -> bool:
     """Return whether ``domain`` cannot be reached from here."""
     reach = node.reachability.get(domain)
     return reach is not None and reach.unreachable
 
 
-def told_cut(
+def check_peer_report(
     node: _states.Node,
     sender: str,
     domains: tuple[str, ...],
@@ -45,15 +45,15 @@
         return []
     effects: list[_effects.Effect] = []
     for domain in domains:
-        if domain != own and not is_cut(node, domain):
-            effects += _look(node, domain, REACH_PROBES, now, rng)
+        if domain != own and not is_unreachable(node, domain):
+            effects += _probe_if_due(node, domain, PROBES_PER_CHECK, now, rng)
     for domain, reach in node.reachability.items():
         if reach.unreachable and domain not in domains:
-            effects += _look(node, domain, 1, now, rng)
+            effects += _probe_if_due(node, domain, 1, now, rng)
     return effects
 
 
-def reached(
+def record_success(
     node: _states.Node, domain: str, now: float
 ) -> list[_effects.Effect]:
     """Take in that a VM of ``domain`` was reached."""
@@ -67,24 +67,24 @@
     reach.unreachable = False
     reach.changed_at = now
     node.push_pending = True
-    _free_domain(node, domain)
-    _members.changed(node)
+    _readmit_domain(node, domain)
+    _members.invalidate_caches(node)
     return [_effects.ReportEvent("domain_reached", {"failure_domain": domain})]
 
 
-def review(
+def probe_unreachable(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Return probes of the failure domains that are cut off."""
     effects: list[_effects.Effect] = []
     for domain, reach in node.reachability.items():
         if reach.unreachable and now >= reach.next_probe_at:
-            reach.next_probe_at = now + REACH_RETRY * rng.uniform(0.8, 1.2)
+            reach.next_probe_at = now + PROBE_INTERVAL * rng.uniform(0.8, 1.2)
             effects += _probe_domain(node, domain, 1, rng)
     return effects
 
 
-def _free_domain(node: _states.Node, domain: str) -> None:
+def _readmit_domain(node: _states.Node, domain: str) -> None:
     for vm in list(node.ejected):
         member = node.members[vm]
         if member.record.failure_domain == domain:
@@ -93,7 +93,7 @@
             node.ejected.discard(vm)
 
 
-def missed(
+def record_failure(
     node: _states.Node,
     member: _states.Member,
     now: float,
@@ -103,31 +103,31 @@
     domain = member.record.failure_domain
     reach = node.reachability.setdefault(domain, _states.DomainReachability())
     for vm in [
-        vm for vm, at in reach.failed_at.items() if now - at > CUT_WINDOW
+        vm for vm, at in reach.failed_at.items() if now - at > FAILURE_WINDOW
     ]:
         del reach.failed_at[vm]
     reach.failed_at[member.record.vm] = now
     if reach.unreachable:
         return []
-    if len(reach.failed_at) < _enough(node, domain):
-        return _look(node, domain, REACH_PROBES, now, rng)
+    if len(reach.failed_at) < _failure_threshold(node, domain):
+        return _probe_if_due(node, domain, PROBES_PER_CHECK, now, rng)
     reach.unreachable = True
     reach.changed_at = now
-    reach.next_probe_at = now + REACH_RETRY
+    reach.next_probe_at = now + PROBE_INTERVAL
     node.push_pending = True
-    _members.changed(node)
+    _members.invalidate_caches(node)
     return [_effects.ReportEvent("domain_cut", {"failure_domain": domain})]
 
 
-def _enough(node: _states.Node, domain: str) -> int:
+def _failure_threshold(node: _states.Node, domain: str) -> int:
     serving = sum(
         member.record.failure_domain == domain and _members.is_member(member)
         for member in node.members.values()
     )
-    return max(1, min(FAILURES_TO_CUT, serving))
+    return max(1, min(UNREACHABLE_FAILURES, serving))
 
 
-def _look(
+def _probe_if_due(
     node: _states.Node,
     domain: str,
     probes: int,
@@ -135,7 +135,7 @@
     rng: random.Random,
 ) -> list[_effects.Effect]:
     reach = node.reachability.setdefault(domain, _states.DomainReachability())
-    if now - reach.last_probed_at < REACH_RETRY:
+    if now - reach.last_probed_at < PROBE_INTERVAL:
         return []
     reach.last_probed_at = now
     return _probe_domain(node, domain, probes, rng)
--- a/src/sassafrasstair/decisions/fleet/_spreads.py
+++ b/src/sassafrasstair/decisions/fleet/_spreads.py
@@ -16,43 +16,43 @@
 if typing.TYPE_CHECKING:
     import random
 
-GOSSIP_EVERY = 1.0
-OTHER_DOMAIN_EACH = 4
-STRANGER_EACH = 16
+GOSSIP_INTERVAL = 1.0
+OTHER_DOMAIN_ROUNDS = 4
+RANDOM_PEER_ROUNDS = 16
 FANOUT_OWN = 2
 FANOUT_OTHER = 1
-OFFERS_OWN = 3
-OFFERS_OTHER = 2
-FLUSH_EVERY = 0.25
+BUNDLE_FANOUT_OWN = 3
+BUNDLE_FANOUT_OTHER = 2
+FLUSH_INTERVAL = 0.25
 TOKENS_PER_SECOND = 2.0
-MOST_TOKENS = 24.0
-ASK_MANY = 2
+MAX_TOKENS = 24.0
+WIDE_BOOTSTRAP_ROUNDS = 2
 SETTLE_WAIT = 3.0
-SETTLE_LONGEST = 6.0
-SETTLE_ANSWERS = 2
+MAX_SETTLE_WAIT = 6.0
+MIN_SETTLED_PEERS = 2
 
 
-def round_due(
+def gossip_if_due(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Return the periodic exchange if it is due."""
     if not node.settled:
-        return _ask(node, rng)
+        return _ask_peers(node, rng)
     if now < node.next_gossip_at:
         return []
-    node.next_gossip_at = now + GOSSIP_EVERY * rng.uniform(0.9, 1.1)
+    node.next_gossip_at = now + GOSSIP_INTERVAL * rng.uniform(0.9, 1.1)
     node.gossip_round += 1
-    if node.gossip_round % STRANGER_EACH == 0:
-        return _to_stranger(node, rng)
+    if node.gossip_round % RANDOM_PEER_ROUNDS == 0:
+        return _gossip_with_random_peer(node, rng)
     own, other = _subsets.partners(node)
     chosen = own
-    if not own or (other and node.gossip_round % OTHER_DOMAIN_EACH == 0):
+    if not own or (other and node.gossip_round % OTHER_DOMAIN_ROUNDS == 0):
         chosen = other
     if not chosen:
-        return _to_stranger(node, rng)
-    vm = chosen[_turn(node, chosen is other) % len(chosen)]
-    if vm in node.ejected or _cut_off(node, vm):
-        return _to_stranger(node, rng)
+        return _gossip_with_random_peer(node, rng)
+    vm = chosen[_rounds_of_kind(node, chosen is other) % len(chosen)]
+    if vm in node.ejected or _is_unreachable(node, vm):
+        return _gossip_with_random_peer(node, rng)
     return [_gossip(node, node.members[vm].record.address, vm)]
 
 
@@ -64,19 +64,19 @@
     if node.bundle_push_pending and node.settled:
         # Bundles pay no token: only operators can make them.
         node.bundle_push_pending = False
-        others = OFFERS_OTHER if node.watching else 0
-        effects += _push(node, OFFERS_OWN, others, rng)
-    if not node.push_pending or now < node.next_flush:
+        others = BUNDLE_FANOUT_OTHER if node.watching else 0
+        effects += _push_to_random(node, BUNDLE_FANOUT_OWN, others, rng)
+    if not node.push_pending or now < node.next_flush_at:
         return effects
-    elapsed = max(0.0, now - node.flushed)
+    elapsed = max(0.0, now - node.tokens_refilled_at)
     node.push_tokens = min(
-        MOST_TOKENS, node.push_tokens + elapsed * TOKENS_PER_SECOND
+        MAX_TOKENS, node.push_tokens + elapsed * TOKENS_PER_SECOND
     )
-    node.flushed = now
+    node.tokens_refilled_at = now
     if node.push_tokens < FANOUT_OWN + FANOUT_OTHER:
         return effects
     node.push_pending = False
-    node.next_flush = now + FLUSH_EVERY
+    node.next_flush_at = now + FLUSH_INTERVAL
     node.push_tokens -= FANOUT_OWN + FANOUT_OTHER
     return effects + _push_to_partners(node, rng)
 
@@ -90,33 +90,37 @@
     if not _knows_enough(node, now):
         return []
     node.settled = True
-    node.gossip_round = rng.randrange(STRANGER_EACH)
+    node.gossip_round = rng.randrange(RANDOM_PEER_ROUNDS)
     node.bundle_push_pending = bool(node.bundles_by_id)
-    node.next_gossip_at = now + GOSSIP_EVERY * rng.random()
-    return _versions.settle(node)
+    node.next_gossip_at = now + GOSSIP_INTERVAL * rng.random()
+    return _versions.update_in_force(node)
 
 
 def _knows_enough(node: _states.Node, now: float) -> bool:
     waited = now - node.started_at
     if node.fetches:
-        return waited >= SETTLE_LONGEST
+        return waited >= MAX_SETTLE_WAIT
     if waited >= SETTLE_WAIT:
         return True
     # A restarted daemon beside a stale platform would bring an old bundle
     # back into force: peers that were settled before it know better. An
     # answer of a peer that has just started itself shows nothing.
-    knowing = [name for name, ok in node.settled_by_address.items() if ok]
-    own = [name for name in knowing if _is_own(node, name)]
-    if len(own) >= SETTLE_ANSWERS:
+    settled_peers = [
+        name for name, ok in node.settled_by_address.items() if ok
+    ]
+    own = [name for name in settled_peers if _is_own(node, name)]
+    if len(own) >= MIN_SETTLED_PEERS:
         return True
-    if len(knowing) + 1 < len(node.members):
+    if len(settled_peers) + 1 < len(node.members):
         return False
     known = {
         member.record.address
         for vm, member in node.members.items()
         if vm != node.local_record.vm and _members.is_member(member)
     }
-    return bool(knowing) and known.union(node.seeds) <= set(knowing)
+    return bool(settled_peers) and known.union(node.seeds) <= set(
+        settled_peers
+    )
 
 
 def _is_own(node: _states.Node, address: str) -> bool:
@@ -126,35 +130,41 @@
     return member.record.failure_domain == node.local_record.failure_domain
 
 
-def _turn(node: _states.Node, other: bool) -> int:
+def _rounds_of_kind(node: _states.Node, other: bool) -> int:
     """Return the count of rounds of the kind, to go through all partners."""
-    others = node.gossip_round // OTHER_DOMAIN_EACH
+    others = node.gossip_round // OTHER_DOMAIN_ROUNDS
     return others if other else node.gossip_round - others
 
 
-def _ask(node: _states.Node, rng: random.Random) -> list[_effects.Effect]:
+def _ask_peers(
+    node: _states.Node, rng: random.Random
+) -> list[_effects.Effect]:
     """Ask a few peers that have not answered yet."""
     addresses: set[str] = set()
 
-    def fresh(member: _states.Member) -> bool:
+    def unanswered(member: _states.Member) -> bool:
         address = member.record.address
         return (
             not node.settled_by_address.get(address)
             and address not in addresses
         )
 
-    def own(member: _states.Member) -> bool:
+    def unanswered_own(member: _states.Member) -> bool:
         same = member.record.failure_domain == node.local_record.failure_domain
-        return same and fresh(member)
+        return same and unanswered(member)
 
     node.gossip_round += 1
-    wanted = (own, own, fresh) if node.gossip_round <= ASK_MANY else (own,)
+    wanted = (
+        (unanswered_own, unanswered_own, unanswered)
+        if node.gossip_round <= WIDE_BOOTSTRAP_ROUNDS
+        else (unanswered_own,)
+    )
     for accept in wanted:
         vm = _subsets.random_member(node, rng, accept)
         if vm is not None:
             addresses.add(node.members[vm].record.address)
     seeds = [one for one in node.seeds if one != node.local_record.address]
-    if seeds and node.gossip_round <= ASK_MANY:
+    if seeds and node.gossip_round <= WIDE_BOOTSTRAP_ROUNDS:
         addresses.add(rng.choice(seeds))
     return [
         _gossip(node, address, node.by_address.get(address, ""))
@@ -162,7 +172,7 @@
     ]
 
 
-def _to_stranger(
+def _gossip_with_random_peer(
     node: _states.Node, rng: random.Random
 ) -> list[_effects.Effect]:
     """Gossip with anyone: heals views that have grown apart."""
@@ -174,29 +184,29 @@
     if seeds and rng.random() < 0.25:
         return [_gossip(node, rng.choice(seeds), "")]
     vm = _subsets.random_member(
-        node, rng, lambda member: not _cut_off(node, member.record.vm)
+        node, rng, lambda member: not _is_unreachable(node, member.record.vm)
     )
     if vm is None:
         return []
     return [_gossip(node, node.members[vm].record.address, vm)]
 
 
-def _push(
+def _push_to_random(
     node: _states.Node, own: int, other: int, rng: random.Random
 ) -> list[_effects.Effect]:
     chosen: set[str] = set()
 
-    def home(member: _states.Member) -> bool:
-        return _pushable(node, member, chosen) and (
+    def in_own_domain(member: _states.Member) -> bool:
+        return _accepts_push(node, member, chosen) and (
             member.record.failure_domain == node.local_record.failure_domain
         )
 
-    def away(member: _states.Member) -> bool:
-        return _pushable(node, member, chosen) and (
+    def in_other_domain(member: _states.Member) -> bool:
+        return _accepts_push(node, member, chosen) and (
             member.record.failure_domain != node.local_record.failure_domain
         )
 
-    for accept in (home,) * own + (away,) * other:
+    for accept in (in_own_domain,) * own + (in_other_domain,) * other:
         vm = _subsets.random_member(node, rng, accept)
         if vm is not None:
             chosen.add(vm)
@@ -213,29 +223,31 @@
     own, other = _subsets.partners(node)
     effects: list[_effects.Effect] = []
     for vms, count in ((own, FANOUT_OWN), (other, FANOUT_OTHER)):
-        able = [vm for vm in vms if _pushable(node, node.members[vm], set())]
-        for vm in rng.sample(able, min(count, len(able))):
+        eligible = [
+            vm for vm in vms if _accepts_push(node, node.members[vm], set())
+        ]
+        for vm in rng.sample(eligible, min(count, len(eligible))):
             address = node.members[vm].record.address
             effects.append(_gossip(node, address, vm))
     return effects
 
 
-def _pushable(
+def _accepts_push(
     node: _states.Node, member: _states.Member, chosen: set[str]
 ) -> bool:
     return (
         member.record.vm not in chosen
         and _members.is_member(member)
         and not member.ejected
-        and not _reaches.is_cut(node, member.record.failure_domain)
+        and not _reaches.is_unreachable(node, member.record.failure_domain)
     )
 
 
-def _cut_off(node: _states.Node, vm: str) -> bool:
+def _is_unreachable(node: _states.Node, vm: str) -> bool:
     domain = node.members[vm].record.failure_domain
-    return _reaches.is_cut(node, domain)
+    return _reaches.is_unreachable(node, domain)
 
 
 def _gossip(node: _states.Node, address: str, vm: str) -> _effects.Effect:
-    message = _summaries.summary(node, _messages.Gossip, vm)
+    message = _summaries.build_summary(node, _messages.Gossip, vm)
     return _effects.Exchange(address, message)
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -45,11 +45,11 @@
 class Check:
     """One VM being tested: by this daemon and by helpers."""
 
-    started: float
-    whole: bool
-    direct: bool | None = None
-    asked: int = 0
-    results: dict[str, bool] = dataclasses.field(default_factory=dict)
+    started_at: float
+    with_helpers: bool
+    direct_result: bool | None = None
+    helpers_asked: int = 0
+    helper_results: dict[str, bool] = dataclasses.field(default_factory=dict)
     reply_to: set[str] = dataclasses.field(default_factory=set)
 
 
@@ -80,12 +80,12 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Fetch:
+class PendingFetch:
     """A bundle being fetched, and who else could give it."""
 
     address: str
     deadline: float
-    others: list[str] = dataclasses.field(default_factory=list)
+    other_addresses: list[str] = dataclasses.field(default_factory=list)
 
 
 @dataclasses.dataclass(slots=True)
@@ -124,14 +124,14 @@
     reachability: dict[str, DomainReachability] = dataclasses.field(
         default_factory=dict
     )
-    next_sync: float = -1e9
+    next_sync_at: float = -1e9
     syncing: bool = False
     # Caches, valid for one edition of who is usable, or for one roster
     # of who is a member and may watch.
-    partners_roster: int = -1
+    partners_version: int = -1
     partners: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
-    watchers_roster: int = -1
-    targets_edition: int = -1
+    watchers_version: int = -1
+    targets_version: int = -1
     targets: dict[tuple[str, int], tuple[calls.Target, ...]] = (
         dataclasses.field(default_factory=dict)
     )
@@ -144,7 +144,7 @@
     settled_by_address: dict[str, bool] = dataclasses.field(
         default_factory=dict
     )
-    fetches: dict[_messages.BundleId, Fetch] = dataclasses.field(
+    fetches: dict[_messages.BundleId, PendingFetch] = dataclasses.field(
         default_factory=dict
     )
     refusal_reasons: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -161,9 +161,9 @@
     # Time.
     last_tick_at: float = 0.0
     next_gossip_at: float = 0.0
-    next_review: float = 0.0
-    next_flush: float = 0.0
-    flushed: float = 0.0
+    next_expiry_at: float = 0.0
+    next_flush_at: float = 0.0
+    tokens_refilled_at: float = 0.0
     pending_effects: list[_effects.Effect] = dataclasses.field(
         default_factory=list
     )
--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -17,10 +17,10 @@
 
     from sassafrasstair.decisions.fleet import _messages
 
-OWN_RINGS = 4
+OWN_DOMAIN_RINGS = 4
 WATCHERS = 2
-MOST_WATCHERS = 4
-SPILL_SHARE = 4
+MAX_WATCHERS = 4
+SPILLOVER_DIVISOR = 4
 
 
 @functools.lru_cache(maxsize=32768)
@@ -39,9 +39,9 @@
     one. So every member has exactly as many own-domain partners that test
     it as there are rings, and connections stay few and lasting.
     """
-    if node.partners_roster != node.membership_version:
+    if node.partners_version != node.membership_version:
         node.partners = (_own_partners(node), _other_partners(node))
-        node.partners_roster = node.membership_version
+        node.partners_version = node.membership_version
     return node.partners
 
 
@@ -53,16 +53,20 @@
     """
     domain = node.local_record.failure_domain
     ranked = sorted(
-        (vm for vm in _domain(node, domain) if not node.members[vm].ejected),
+        (
+            vm
+            for vm in _serving_vms(node, domain)
+            if not node.members[vm].ejected
+        ),
         key=lambda vm: _watch_rank(node, vm),
         reverse=True,
-    )[:MOST_WATCHERS]
+    )[:MAX_WATCHERS]
     chosen: list[str] = []
     for vm in ranked:
-        sighted = [
+        with_platform = [
             vm for vm in chosen if not node.members[vm].platform_unreachable
         ]
-        if len(sighted) >= WATCHERS:
+        if len(with_platform) >= WATCHERS:
             break
         chosen.append(vm)
     return chosen
@@ -80,25 +84,25 @@
     if node.in_force is None:
         return ()
     size = node.in_force.bundle.subset_size
-    if node.targets_edition != node.usability_version:
+    if node.targets_version != node.usability_version:
         node.targets = {}
-        node.targets_edition = node.usability_version
+        node.targets_version = node.usability_version
     key = (service, size)
     if key not in node.targets:
-        node.targets[key] = choose(node, service, size, now)
+        node.targets[key] = choose_targets(node, service, size, now)
     return node.targets[key]
 
 
-def choose(
+def choose_targets(
     node: _states.Node, service: str, size: int, now: float
 ) -> tuple[calls.Target, ...]:
     """Return up to ``size`` usable instances, see ``targets``."""
-    live = _usable(node, service, now)
+    live = _usable_records(node, service, now)
     if not live:
         # Failure: after a time of heavy loss every instance is held back
         # as one that flaps, and all calls are refused though all serve.
         # Held back instances are better than none.
-        live = _usable(node, service, math.inf)
+        live = _usable_records(node, service, math.inf)
     live.sort(
         key=lambda record: weight(node.local_record.vm, record.vm),
         reverse=True,
@@ -107,8 +111,8 @@
     own = [record for record in live if record.failure_domain == domain]
     others = [record for record in live if record.failure_domain != domain]
     others.sort(key=lambda record: record.region != node.local_record.region)
-    spill = min(len(others), max(1, size // SPILL_SHARE))
-    near = own[: size - spill]
+    spillover = min(len(others), max(1, size // SPILLOVER_DIVISOR))
+    near = own[: size - spillover]
     chosen = near + others[: size - len(near)]
     return tuple(
         calls.Target(
@@ -137,20 +141,20 @@
     return rng.choice(left) if left else None
 
 
-def _usable(
+def _usable_records(
     node: _states.Node, service: str, now: float
 ) -> list[_messages.Record]:
     return [
         member.record
         for member in node.members.values()
         if member.record.service == service
-        and _members.usable(node, member, now)
+        and _members.is_usable(node, member, now)
     ]
 
 
 def _own_partners(node: _states.Node) -> tuple[str, ...]:
-    names = list(_domain(node, node.local_record.failure_domain))
-    return _next_in_rings(node.local_record.vm, names, "own", OWN_RINGS)
+    names = list(_serving_vms(node, node.local_record.failure_domain))
+    return _next_in_rings(node.local_record.vm, names, "own", OWN_DOMAIN_RINGS)
 
 
 def _other_partners(node: _states.Node) -> tuple[str, ...]:
@@ -190,7 +194,7 @@
     return tuple(dict.fromkeys(chosen))
 
 
-def _domain(node: _states.Node, domain: str) -> abc.Iterator[str]:
+def _serving_vms(node: _states.Node, domain: str) -> abc.Iterator[str]:
     for vm, member in node.members.items():
         if member.record.failure_domain != domain:
             continue
--- a/src/sassafrasstair/decisions/fleet/_summaries.py
+++ b/src/sassafrasstair/decisions/fleet/_summaries.py
@@ -10,12 +10,12 @@
 
 def probe(node: _states.Node, vm: str) -> _effects.Effect:
     """Return a short exchange that shows whether ``vm`` is alive."""
-    message = summary(node, _messages.Gossip, vm)
+    message = build_summary(node, _messages.Gossip, vm)
     address = node.members[vm].record.address
     return _effects.Exchange(address, message, _effects.PROBE_TIMEOUT)
 
 
-def summary(
+def build_summary(
     node: _states.Node,
     kind: type[_messages.Gossip] | type[_messages.GossipReply],
     receiver: str,
--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -22,21 +22,21 @@
     import random
 
 HELPERS = 2
-MOST_CHECKS = 16
+MAX_CHECKS = 16
 CHECK_TIMEOUT = 1.6
-SUSPECTED_FOR = 6.0
-GONE_KEPT_FOR = 3600.0
-RETRY_FIRST = 2.0
-RETRY_LONGEST = 15.0
-FAILURES_TO_BAR = 2
-MOST_RETRIES = 3
+SUSPICION_TIMEOUT = 6.0
+GONE_RETENTION = 3600.0
+MIN_RETRY_INTERVAL = 2.0
+MAX_RETRY_INTERVAL = 15.0
+FAILURES_TO_EJECT = 2
+MAX_RETRIES = 3
 
 
-def check(
+def start_check(
     node: _states.Node,
     vm: str,
     reply_to: str,
-    whole: bool,
+    with_helpers: bool,
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
@@ -50,18 +50,22 @@
         return []
     running = node.checks.get(vm)
     if running is not None:
-        return _join_check(node, running, vm, reply_to, whole, rng)
-    if len(node.checks) >= MOST_CHECKS:
+        return _extend_check(node, running, vm, reply_to, with_helpers, rng)
+    if len(node.checks) >= MAX_CHECKS:
         return []
-    begun = _states.Check(now, whole)
+    begun = _states.Check(now, with_helpers)
     node.checks[vm] = begun
     if reply_to:
         begun.reply_to.add(reply_to)
     effects = [_summaries.probe(node, vm)]
-    return effects + (_ask(node, begun, vm, rng) if whole else [])
+    return effects + (
+        _ask_helpers(node, begun, vm, rng) if with_helpers else []
+    )
 
 
-def alive(node: _states.Node, vm: str, now: float) -> list[_effects.Effect]:
+def record_success(
+    node: _states.Node, vm: str, now: float
+) -> list[_effects.Effect]:
     """Take in that ``vm`` was reached or has called."""
     member = node.members.get(vm)
     if member is None or vm == node.local_record.vm:
@@ -71,13 +75,15 @@
     if member.ejected:
         member.ejected = False
         node.ejected.discard(vm)
-        _members.hold(node, member, now)
-        _members.changed(node, roster=_is_own(node, member))
-    effects = _end_check(node, vm, reached=True)
-    return effects + _reaches.reached(node, member.record.failure_domain, now)
+        _members.start_hold_down(node, member, now)
+        _members.invalidate_caches(node, membership=_is_own(node, member))
+    effects = _record_direct_result(node, vm, reached=True)
+    return effects + _reaches.record_success(
+        node, member.record.failure_domain, now
+    )
 
 
-def failed(
+def record_failure(
     node: _states.Node, vm: str, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Take in that this daemon could not reach ``vm``."""
@@ -91,40 +97,42 @@
         # it was this process that did not run: they count for nothing.
         return []
     member.failures += 1
-    if member.failures >= FAILURES_TO_BAR:
-        _bar(node, member, now)
-    effects = _end_check(node, vm, reached=False)
+    if member.failures >= FAILURES_TO_EJECT:
+        _eject(node, member, now)
+    effects = _record_direct_result(node, vm, reached=False)
     own = member.record.failure_domain == node.local_record.failure_domain
     if not own:
-        effects += _reaches.missed(node, member, now, rng)
+        effects += _reaches.record_failure(node, member, now, rng)
     running = node.checks.get(vm)
-    cut = _reaches.is_cut(node, member.record.failure_domain)
-    if running is None and not cut and not _judged(member):
-        effects += check(node, vm, "", whole=True, now=now, rng=rng)
-    return effects + _judge(node, vm, now)
+    cut = _reaches.is_unreachable(node, member.record.failure_domain)
+    if running is None and not cut and not _is_not_serving(member):
+        effects += start_check(
+            node, vm, "", with_helpers=True, now=now, rng=rng
+        )
+    return effects + _suspect_if_confirmed(node, vm, now)
 
 
-def result(
+def record_helper_result(
     node: _states.Node, message: _messages.ProbeResult, now: float
 ) -> list[_effects.Effect]:
     """Take in what a helper found."""
     running = node.checks.get(message.vm)
     if running is None:
         return []
-    running.results[message.sender] = message.reached
-    return _judge(node, message.vm, now)
+    running.helper_results[message.sender] = message.reached
+    return _suspect_if_confirmed(node, message.vm, now)
 
 
-def review(
+def run_due_probes(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Return the probes and judgements that time has brought due."""
     _expire_checks(node, now)
-    effects = _retry_barred(node, now, rng)
-    return effects + _reaches.review(node, now, rng)
+    effects = _probe_ejected(node, now, rng)
+    return effects + _reaches.probe_unreachable(node, now, rng)
 
 
-def review_members(node: _states.Node, now: float) -> list[_effects.Effect]:
+def expire_members(node: _states.Node, now: float) -> list[_effects.Effect]:
     """Turn long suspicion into gone, and forget what is long gone.
 
     Each daemon does so by itself: a rumour of it would tell nobody more
@@ -134,33 +142,33 @@
     for vm in sorted(node.not_serving):
         member = node.members[vm]
         age = now - member.changed_at
-        if member.liveness == _messages.SUSPECTED and age > SUSPECTED_FOR:
-            effects += _declare(node, vm, _messages.GONE, now)
-        elif member.liveness == _messages.GONE and age > GONE_KEPT_FOR:
-            _members.forget(node, vm)
+        if member.liveness == _messages.SUSPECTED and age > SUSPICION_TIMEOUT:
+            effects += _set_liveness(node, vm, _messages.GONE, now)
+        elif member.liveness == _messages.GONE and age > GONE_RETENTION:
+            _members.remove(node, vm)
     return effects
 
 
-def _join_check(
+def _extend_check(
     node: _states.Node,
     running: _states.Check,
     vm: str,
     reply_to: str,
-    whole: bool,
+    with_helpers: bool,
     rng: random.Random,
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
-    if reply_to and running.direct is not None:
-        effects.append(_report_to(node, vm, reply_to, running.direct))
+    if reply_to and running.direct_result is not None:
+        effects.append(_report_to(node, vm, reply_to, running.direct_result))
     elif reply_to:
         running.reply_to.add(reply_to)
-    if whole and not running.whole:
-        running.whole = True
-        effects += _ask(node, running, vm, rng)
+    if with_helpers and not running.with_helpers:
+        running.with_helpers = True
+        effects += _ask_helpers(node, running, vm, rng)
     return effects
 
 
-def _ask(
+def _ask_helpers(
     node: _states.Node,
     running: _states.Check,
     vm: str,
@@ -169,13 +177,13 @@
     """Ask helpers: for an own-domain VM one at home and one elsewhere."""
     domain = node.members[vm].record.failure_domain
     own = domain == node.local_record.failure_domain
-    scopes = (True, False) if own else (True, True)
+    in_domain_flags = (True, False) if own else (True, True)
     chosen: set[str] = set()
-    for home in scopes:
-        helper = _helper(node, vm, domain, home, chosen, rng)
+    for in_domain in in_domain_flags:
+        helper = _choose_helper(node, vm, domain, in_domain, chosen, rng)
         if helper is not None:
             chosen.add(helper)
-    running.asked += len(chosen)
+    running.helpers_asked += len(chosen)
     request = _messages.ProbeRequest(
         vm, node.local_record.address, with_helpers=not own
     )
@@ -189,11 +197,11 @@
     ]
 
 
-def _helper(
+def _choose_helper(
     node: _states.Node,
     vm: str,
     domain: str,
-    home: bool,
+    in_domain: bool,
     chosen: set[str],
     rng: random.Random,
 ) -> str | None:
@@ -201,24 +209,24 @@
         same = member.record.failure_domain == domain
         name = member.record.vm
         return (
-            same == home
+            same == in_domain
             and name != vm
             and name not in chosen
             and not member.failures
             and _members.is_member(member)
-            and not _reaches.is_cut(node, member.record.failure_domain)
+            and not _reaches.is_unreachable(node, member.record.failure_domain)
         )
 
     return _subsets.random_member(node, rng, accept)
 
 
-def _end_check(
+def _record_direct_result(
     node: _states.Node, vm: str, reached: bool
 ) -> list[_effects.Effect]:
     running = node.checks.get(vm)
-    if running is None or running.direct is not None:
+    if running is None or running.direct_result is not None:
         return []
-    running.direct = reached
+    running.direct_result = reached
     waiting = sorted(running.reply_to)
     running.reply_to.clear()
     if reached:
@@ -233,10 +241,16 @@
     return _effects.Exchange(address, message, _effects.PROBE_TIMEOUT)
 
 
-def _judge(node: _states.Node, vm: str, now: float) -> list[_effects.Effect]:
+def _suspect_if_confirmed(
+    node: _states.Node, vm: str, now: float
+) -> list[_effects.Effect]:
     """Suspect ``vm`` if this daemon may, and enough is known."""
     running = node.checks.get(vm)
-    if running is None or not running.whole or running.direct is not False:
+    if (
+        running is None
+        or not running.with_helpers
+        or running.direct_result is not False
+    ):
         return []
     own = (
         node.members[vm].record.failure_domain
@@ -247,33 +261,33 @@
     # One daemon that is itself cut off, or a broken link between two,
     # would have a healthy VM shunned by all: a helper must have failed
     # to reach it as well, and none may have reached it.
-    if any(running.results.values()):
+    if any(running.helper_results.values()):
         del node.checks[vm]
         return []
-    if running.asked and not running.results:
+    if running.helpers_asked and not running.helper_results:
         return []
     del node.checks[vm]
-    return _declare(node, vm, _messages.SUSPECTED, now)
+    return _set_liveness(node, vm, _messages.SUSPECTED, now)
 
 
-def _declare(
-    node: _states.Node, vm: str, life: int, now: float
+def _set_liveness(
+    node: _states.Node, vm: str, liveness: int, now: float
 ) -> list[_effects.Effect]:
     member = node.members[vm]
     rumour = _messages.Rumour(
-        vm, member.incarnation, member.revision, life, member.leaving
+        vm, member.incarnation, member.revision, liveness, member.leaving
     )
     if not _members.merge(node, rumour, now):
         return []
     event = "member_gone"
-    if life == _messages.SUSPECTED:
+    if liveness == _messages.SUSPECTED:
         event = "member_suspected"
-        _members.mark_hot(node, vm)
+        _members.queue_rumour(node, vm)
     fields = {"vm": vm, "incarnation": member.incarnation}
     return [_effects.ReportEvent(event, fields)]
 
 
-def _judged(member: _states.Member) -> bool:
+def _is_not_serving(member: _states.Member) -> bool:
     return member.liveness != _messages.SERVING
 
 
@@ -281,16 +295,18 @@
     return member.record.failure_domain == node.local_record.failure_domain
 
 
-def _bar(node: _states.Node, member: _states.Member, now: float) -> None:
-    wait = RETRY_FIRST * 2 ** min(member.failures - FAILURES_TO_BAR, 4)
-    member.next_probe_at = now + min(wait, RETRY_LONGEST)
+def _eject(node: _states.Node, member: _states.Member, now: float) -> None:
+    wait = MIN_RETRY_INTERVAL * 2 ** min(
+        member.failures - FAILURES_TO_EJECT, 4
+    )
+    member.next_probe_at = now + min(wait, MAX_RETRY_INTERVAL)
     if not member.ejected:
         member.ejected = True
         node.ejected.add(member.record.vm)
-        _members.changed(node, roster=_is_own(node, member))
+        _members.invalidate_caches(node, membership=_is_own(node, member))
 
 
-def _retry_barred(
+def _probe_ejected(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
@@ -298,16 +314,16 @@
         member = node.members[vm]
         if now < member.next_probe_at or vm in node.checks:
             continue
-        if _reaches.is_cut(node, member.record.failure_domain):
+        if _reaches.is_unreachable(node, member.record.failure_domain):
             continue
-        if len(effects) >= MOST_RETRIES:
+        if len(effects) >= MAX_RETRIES:
             break
-        member.next_probe_at = now + RETRY_LONGEST * rng.uniform(0.8, 1.2)
+        member.next_probe_at = now + MAX_RETRY_INTERVAL * rng.uniform(0.8, 1.2)
         effects.append(_summaries.probe(node, vm))
     return effects
 
 
 def _expire_checks(node: _states.Node, now: float) -> None:
     for vm, running in list(node.checks.items()):
-        if now - running.started > CHECK_TIMEOUT:
+        if now - running.started_at > CHECK_TIMEOUT:
             del node.checks[vm]
--- a/src/sassafrasstair/decisions/fleet/_versions.py
+++ b/src/sassafrasstair/decisions/fleet/_versions.py
@@ -19,7 +19,7 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-MOST_REFUSED = 8
+MAX_REFUSED = 8
 DIGEST_BYTES = 16
 
 
@@ -37,7 +37,7 @@
     return _messages.BundleId(approved.bundle.version, digest)
 
 
-def offered(
+def add_envelope(
     node: _states.Node, envelope: bytes, source: str
 ) -> list[_effects.Effect]:
     """Take in one envelope from ``source`` if it is good and new."""
@@ -53,11 +53,13 @@
     except bundles.BundleError as error:
         return _refuse(node, seal, str(error), source)
     place = bundle_id(approved)
-    held = _states.StoredBundle(place, approved.bundle, pack(envelope), seal)
-    return _keep(node, held, source)
+    held = _states.StoredBundle(
+        place, approved.bundle, compress(envelope), seal
+    )
+    return _store(node, held, source)
 
 
-def settle(node: _states.Node) -> list[_effects.Effect]:
+def update_in_force(node: _states.Node) -> list[_effects.Effect]:
     """Put the greatest bundle that applies here in force, if settled."""
     if not node.settled:
         return []
@@ -76,12 +78,12 @@
     return [_effects.InForce(newest.bundle)]
 
 
-def pack(envelope: bytes) -> bytes:
+def compress(envelope: bytes) -> bytes:
     """Return ``envelope`` compressed for the wire."""
     return zlib.compress(envelope, 6)
 
 
-def unpack(body: bytes) -> bytes | None:
+def decompress(body: bytes) -> bytes | None:
     """Return the envelope in ``body``, or None if bad or too large."""
     # A small body can unpack to gigabytes and use up the VM's memory: the
     # limit stops the unpacking one byte past what a bundle may have.
@@ -92,7 +94,7 @@
         return None
 
 
-def wanted(
+def missing_ids(
     node: _states.Node, ids: abc.Iterable[_messages.BundleId]
 ) -> list[_messages.BundleId]:
     """Return those of ``ids`` that may be news here, greatest first."""
@@ -114,21 +116,21 @@
     return sorted(missing, reverse=True)
 
 
-def _keep(
+def _store(
     node: _states.Node, held: _states.StoredBundle, source: str
 ) -> list[_effects.Effect]:
     if held.bundle_id in node.bundles_by_id:
         return []
-    effects = _conflict(node, held)
-    kept = _frontier(node.bundles_by_id | {held.bundle_id: held})
+    effects = _report_conflict(node, held)
+    kept = _newest_by_domain(node.bundles_by_id | {held.bundle_id: held})
     if held.bundle_id not in kept:
-        return effects + _outdated(node, held, max(kept), source)
+        return effects + _refuse_outdated(node, held, max(kept), source)
     node.bundles_by_id = kept
     node.bundle_push_pending = True
-    return effects + settle(node)
+    return effects + update_in_force(node)
 
 
-def _outdated(
+def _refuse_outdated(
     node: _states.Node,
     held: _states.StoredBundle,
     newest: _messages.BundleId,
@@ -141,7 +143,7 @@
     return _refuse(node, held.envelope_digest, reason, source)
 
 
-def _conflict(
+def _report_conflict(
     node: _states.Node, held: _states.StoredBundle
 ) -> list[_effects.Effect]:
     for other in node.bundles_by_id:
@@ -156,7 +158,7 @@
     return []
 
 
-def _frontier(
+def _newest_by_domain(
     held: dict[_messages.BundleId, _states.StoredBundle],
 ) -> dict[_messages.BundleId, _states.StoredBundle]:
     """Return the bundles that are the greatest of some failure domain."""
@@ -183,7 +185,7 @@
     key = seal[:DIGEST_BYTES].hex()
     if key in node.refusal_reasons:
         return []
-    while len(node.refusal_reasons) >= MOST_REFUSED:
+    while len(node.refusal_reasons) >= MAX_REFUSED:
         del node.refusal_reasons[next(iter(node.refusal_reasons))]
     node.refusal_reasons[key] = reason
     fields = {"digest": key, "reason": reason, "source": source}
--- a/tests/decisions/fleet/test_members.py
+++ b/tests/decisions/fleet/test_members.py
@@ -48,7 +48,7 @@
 ) -> None:
     for order in itertools.permutations(rumours):
         if RECORD.vm in node.members:
-            _members.forget(node, RECORD.vm)
+            _members.remove(node, RECORD.vm)
         for rumour in order:
             _members.merge(node, _rumour(*rumour), 0.0)
         member = node.members[RECORD.vm]
@@ -95,7 +95,7 @@
 
 def test_rumours_die_out(node: fleet.Node) -> None:
     _members.merge(node, _rumour("1", 0, _messages.GONE), 0.0)
-    _members.mark_hot(node, RECORD.vm)
+    _members.queue_rumour(node, RECORD.vm)
     told = [
         rumour.vm
         for _ in range(100)
@@ -107,7 +107,7 @@
 def _chosen(node: fleet.Node, size: int) -> tuple[fleet.Record, ...]:
     return tuple(
         node.members[target.vm].record
-        for target in _subsets.choose(node, "s", size, 0.0)
+        for target in _subsets.choose_targets(node, "s", size, 0.0)
     )
 
 
@@ -137,7 +137,7 @@
     _members.merge(peer, _rumour("1", 0, _messages.SERVING), 0.0)
     node.transmissions_left.clear()
     peer.transmissions_left.clear()
-    gossip = _summaries.summary(peer, fleet.Gossip, node.local_record.vm)
+    gossip = _summaries.build_summary(peer, fleet.Gossip, node.local_record.vm)
     _, effects = fleet.handle_request(node, gossip, 1.0, rng)
     (fetch,) = [e for e in effects if isinstance(e, fleet.Exchange)]
     reply, _ = fleet.handle_request(peer, fetch.message, 1.0, rng)
--- a/tests/decisions/fleet/test_versions.py
+++ b/tests/decisions/fleet/test_versions.py
@@ -113,7 +113,7 @@
 
 def test_body_that_unpacks_too_large_is_cut_off() -> None:
     body = zlib.compress(b" " * (50 * bundles.MAX_BUNDLE_BYTES))
-    envelope = _versions.unpack(body)
+    envelope = _versions.decompress(body)
     assert envelope is not None
     assert len(envelope) == bundles.MAX_BUNDLE_BYTES + 1
 
