--- a/src/sassafrasstair/decisions/fleet/__init__.py
+++ b/src/sassafrasstair/decisions/fleet/__init__.py
@@ -1,8 +1,9 @@
-"""How the daemons share membership and bundles, without I/O.
+"""Gossip membership and bundle distribution between daemons, without I/O.
 
-The daemon calls ``tick`` each 250 ms, gives requests of peers to
-``handle`` and the ends of its own exchanges to ``replied`` or
-``unreachable``, and carries out the effects that these return.
+The daemon calls ``tick`` every 250 ms, passes requests of peers to
+``handle_request``, and passes the result of each of its own exchanges to
+``process_reply`` or ``unreachable``. It carries out the effects that these
+functions return.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/decisions/fleet/_effects.py
+++ b/src/sassafrasstair/decisions/fleet/_effects.py
@@ -1,4 +1,4 @@
-"""What the fleet decisions ask of the daemon that drives them."""
+"""Effects that the fleet decisions return for the daemon to carry out."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Exchange:
-    """Send ``message`` and report the reply, or unreachable in time."""
+    """Send ``message``; report the reply, or a failure after ``timeout``."""
 
     address: str
     message: _messages.Message
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Watch:
-    """Hold, or give up, a blocking watch at the platform."""
+    """Start or stop a blocking watch on the platform."""
 
     enabled: bool
 
@@ -38,14 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """From now on ``bundle`` is in force at this daemon."""
+    """Put ``bundle`` in force at this daemon."""
 
     bundle: bundles.Bundle
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportEvent:
-    """One event for the log."""
+    """Write one event to the log."""
 
     event: str
     fields: dict[str, str]
--- a/src/sassafrasstair/decisions/fleet/_fetches.py
+++ b/src/sassafrasstair/decisions/fleet/_fetches.py
@@ -1,4 +1,4 @@
-"""Fetching from peers: bundles that are news, members that differ."""
+"""Fetching of new bundles and differing members from peers."""
 
 from __future__ import annotations
 
@@ -24,22 +24,24 @@
 
 def fetch_missing(
     node: _states.Node,
-    ids: abc.Iterable[_messages.BundleId],
+    bundle_ids: abc.Iterable[_messages.BundleId],
     address: str,
     now: float,
 ) -> list[_effects.Effect]:
-    """Fetch from ``address`` those of ``ids`` that are news here."""
+    """Fetch from ``address`` those of ``bundle_ids`` that are new here."""
     effects: list[_effects.Effect] = []
-    for one in _versions.missing_ids(node, ids):
-        running = node.fetches.get(one)
-        if running is not None:
-            if address not in running.other_addresses:
-                running.other_addresses.append(address)
+    for bundle_id in _versions.missing_ids(node, bundle_ids):
+        fetch = node.fetches.get(bundle_id)
+        if fetch is not None:
+            if address not in fetch.other_addresses:
+                fetch.other_addresses.append(address)
             continue
-        if now < node.fetch_blocked_until.get(one, now):
+        if now < node.fetch_blocked_until.get(bundle_id, now):
             continue
-        node.fetches[one] = _states.PendingFetch(address, now + FETCH_DEADLINE)
-        effects.append(_fetch(one, address))
+        node.fetches[bundle_id] = _states.PendingFetch(
+            address, now + FETCH_DEADLINE
+        )
+        effects.append(_fetch(bundle_id, address))
     return effects
 
 
@@ -49,7 +51,7 @@
     address: str,
     now: float,
 ) -> list[_effects.Effect]:
-    """Take in a fetched bundle, or try the next peer that has it."""
+    """Store a fetched bundle, or try the next peer that has it."""
     envelope = (
         _versions.decompress(reply.compressed_envelope)
         if reply.compressed_envelope
@@ -65,52 +67,52 @@
 
 
 def try_next_peer(
-    node: _states.Node, bundle: _messages.BundleId, now: float
+    node: _states.Node, bundle_id: _messages.BundleId, now: float
 ) -> list[_effects.Effect]:
     """Ask the next peer for ``bundle``; give up if there is none."""
-    running = node.fetches.pop(bundle, None)
-    if running is None or not running.other_addresses:
+    fetch = node.fetches.pop(bundle_id, None)
+    if fetch is None or not fetch.other_addresses:
         return []
-    address = running.other_addresses.pop(0)
-    node.fetches[bundle] = _states.PendingFetch(
-        address, now + FETCH_DEADLINE, running.other_addresses
+    address = fetch.other_addresses.pop(0)
+    node.fetches[bundle_id] = _states.PendingFetch(
+        address, now + FETCH_DEADLINE, fetch.other_addresses
     )
-    return [_fetch(bundle, address)]
+    return [_fetch(bundle_id, address)]
 
 
 def process_lost_peer(
     node: _states.Node, address: str, now: float
 ) -> list[_effects.Effect]:
-    """Ask others for what ``address`` was asked for."""
+    """Move the fetches from ``address`` to other peers."""
     effects: list[_effects.Effect] = []
-    for bundle, running in list(node.fetches.items()):
-        if running.address == address:
-            effects += try_next_peer(node, bundle, now)
+    for bundle_id, fetch in list(node.fetches.items()):
+        if fetch.address == address:
+            effects += try_next_peer(node, bundle_id, now)
     return effects
 
 
 def retry_overdue(node: _states.Node, now: float) -> list[_effects.Effect]:
-    """Ask others for what has not come in time."""
+    """Move the fetches that missed their deadline to other peers."""
     effects: list[_effects.Effect] = []
-    for bundle, running in list(node.fetches.items()):
-        if now > running.deadline:
-            effects += try_next_peer(node, bundle, now)
+    for bundle_id, fetch in list(node.fetches.items()):
+        if now > fetch.deadline:
+            effects += try_next_peer(node, bundle_id, now)
     return effects
 
 
 def reply_with_bundle(
     node: _states.Node, request: _messages.BundleFetch
 ) -> _messages.BundleReply:
-    """Return the bundle asked for, empty if not held."""
-    held = node.bundles_by_id.get(request.bundle_id)
-    body = b"" if held is None else held.compressed_envelope
+    """Return the requested bundle, empty if it is not stored."""
+    stored = node.bundles_by_id.get(request.bundle_id)
+    body = b"" if stored is None else stored.compressed_envelope
     return _messages.BundleReply(request.bundle_id, body)
 
 
 def sync_members(
     node: _states.Node, peer: _messages.Summary, now: float
 ) -> list[_effects.Effect]:
-    """Fetch the differing members if the tables differ for long."""
+    """Fetch the differing members if the tables stay different."""
     lacks_vm_list = node.vm_list_index == 0 and peer.vm_list_index > 0
     if peer.members_checksum == _members.checksum(node):
         node.vm_list_index = max(node.vm_list_index, peer.vm_list_index)
@@ -128,7 +130,7 @@
 def reply_with_members(
     node: _states.Node, request: _messages.MembersFetch
 ) -> _messages.MembersReply:
-    """Return the members in the buckets that differ."""
+    """Return all members in the buckets whose checksum differs."""
     rumours = _members.differing_rumours(node, request.bucket_checksums)
     body = zlib.compress(_messages.encode_rumours(rumours), 6)
     return _messages.MembersReply(body, node.vm_list_index)
@@ -137,10 +139,10 @@
 def decode_members_reply(
     node: _states.Node, reply: _messages.MembersReply, now: float
 ) -> tuple[_messages.Rumour, ...]:
-    """Return the rumours in ``reply``; raise ``BadMessage``."""
+    """Return the rumours in ``reply``; raise ``BadMessage`` if invalid."""
     node.syncing = False
-    # One kilobyte a second is what the budget leaves: after a large
-    # table the next comparison waits until its bytes are paid for.
+    # The traffic budget leaves one kilobyte per second for this. After a
+    # large table, the next fetch waits until its bytes fit the budget.
     wait = len(reply.compressed_rumours) / SYNC_BYTES_PER_SECOND
     node.next_sync_at = now + max(SYNC_INTERVAL, wait)
     node.vm_list_index = max(node.vm_list_index, reply.vm_list_index)
@@ -153,15 +155,15 @@
     return _messages.decode_rumours(data)
 
 
-def _fetch(bundle: _messages.BundleId, address: str) -> _effects.Effect:
-    return _effects.Exchange(address, _messages.BundleFetch(bundle))
+def _fetch(bundle_id: _messages.BundleId, address: str) -> _effects.Effect:
+    return _effects.Exchange(address, _messages.BundleFetch(bundle_id))
 
 
 def _block_fetch(
-    node: _states.Node, bundle: _messages.BundleId, now: float
+    node: _states.Node, bundle_id: _messages.BundleId, now: float
 ) -> None:
-    # A peer that announces a bundle which is refused here would be asked
-    # for it at each exchange, and the body sent again and again.
+    # Otherwise a bundle that a peer announces and this daemon refuses would
+    # be fetched again at each exchange.
     while len(node.fetch_blocked_until) >= MAX_BLOCKED_FETCHES:
         del node.fetch_blocked_until[next(iter(node.fetch_blocked_until))]
-    node.fetch_blocked_until[bundle] = now + FETCH_BLOCK_TIME
+    node.fetch_blocked_until[bundle_id] = now + FETCH_BLOCK_TIME
--- a/src/sassafrasstair/decisions/fleet/_members.py
+++ b/src/sassafrasstair/decisions/fleet/_members.py
@@ -1,8 +1,8 @@
-"""The member table: a join of rumours, the same whatever their order.
+"""The member table: a merge of rumours that is independent of their order.
 
-Beliefs on one incarnation of a VM are ordered by the revision that the VM's
-own daemon raises, then by severity. That it leaves is never taken back
-within an incarnation. A greater incarnation replaces all.
+Rumours about one incarnation of a VM are ordered by revision, which only
+the VM's own daemon raises, and then by severity. ``leaving`` is never
+cleared within an incarnation. A greater incarnation replaces all state.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 MAX_RUMOURS = 12
 MAX_QUEUED_ANNOUNCEMENTS = 64
 PRIORITY_OFFSET = 1_000
-"""Added to the count of transmissions left of what must go first."""
+"""Added to the transmissions left of rumours that are sent first."""
 
 RETRANSMIT_FACTOR = 1.5
 MIN_HOLD_DOWN = 1.0
@@ -39,17 +39,19 @@
         return False
     if member.record.state == "leaving" or member.ejected:
         return False
-    reach = node.reachability.get(member.record.failure_domain)
-    return now >= member.hold_down_until and not (reach and reach.unreachable)
+    reachability = node.reachability.get(member.record.failure_domain)
+    return now >= member.hold_down_until and not (
+        reachability and reachability.unreachable
+    )
 
 
 def is_member(member: _states.Member) -> bool:
-    """Return whether ``member`` takes part in gossip, as far as known."""
+    """Return whether ``member`` is believed to take part in gossip."""
     return member.liveness == _messages.SERVING
 
 
 def rumour_of(member: _states.Member, with_record: bool) -> _messages.Rumour:
-    """Return what is believed of ``member``, with its record if whole."""
+    """Return the state of ``member`` as a rumour, optionally with record."""
     return _messages.Rumour(
         member.record.vm,
         member.incarnation,
@@ -62,14 +64,14 @@
 
 
 def invalidate_caches(node: _states.Node, membership: bool = False) -> None:
-    """Void what was worked out of who is usable, or of all members."""
+    """Invalidate the caches of usable VMs, and those of members if asked."""
     node.usability_version += 1
     if membership:
         node.membership_version += 1
 
 
 def merge(node: _states.Node, rumour: _messages.Rumour, now: float) -> bool:
-    """Join ``rumour`` into the table; return whether it was news."""
+    """Merge ``rumour`` into the table; return whether that changed it."""
     member = node.members.get(rumour.vm)
     if member is None:
         return _add(node, rumour, now)
@@ -88,26 +90,26 @@
 def record_incarnation(
     node: _states.Node, vm: str, incarnation: str, now: float
 ) -> None:
-    """Take in from ``vm`` itself that ``incarnation`` runs there."""
+    """Record that ``vm`` itself reported to run ``incarnation``."""
     rumour = _messages.Rumour(vm, incarnation, 0, _messages.SERVING)
     if merge(node, rumour, now):
         queue_rumour(node, vm)
 
 
 def queue_rumour(node: _states.Node, vm: str) -> None:
-    """Have the belief on ``vm`` passed on a bounded number of times."""
+    """Queue the state of ``vm`` for a bounded number of transmissions."""
     member = node.members[vm]
     log_members = math.log(len(node.members) + 2)
-    times = math.ceil(RETRANSMIT_FACTOR * log_members)
+    transmissions = math.ceil(RETRANSMIT_FACTOR * log_members)
     if member.liveness != _messages.SERVING or member.leaving:
-        node.transmissions_left[vm] = PRIORITY_OFFSET + times
+        node.transmissions_left[vm] = PRIORITY_OFFSET + transmissions
     elif (
         vm == node.local_record.vm
         or len(node.transmissions_left) < MAX_QUEUED_ANNOUNCEMENTS
     ):
-        # When a whole fleet starts, everyone announces itself: beyond this
-        # the announcements are left to the comparison of tables.
-        node.transmissions_left[vm] = times
+        # When a whole fleet starts, every daemon announces itself. Beyond
+        # this limit, announcements spread by the comparison of tables.
+        node.transmissions_left[vm] = transmissions
 
 
 def piggyback(
@@ -115,20 +117,21 @@
     receiver: str,
     known: abc.Collection[_messages.Rumour] = (),
 ) -> tuple[_messages.Rumour, ...]:
-    """Return the rumours for one message, those least told first.
+    """Return the rumours for one message, the least transmitted first.
 
-    ``known`` is what the receiver has just told itself.
+    Rumours in ``known``, which the receiver has just sent, are left out.
     """
     known_vms = {rumour.vm for rumour in known if _is_current(node, rumour)}
-    fresh = [vm for vm in node.transmissions_left if vm not in known_vms]
+    candidates = [vm for vm in node.transmissions_left if vm not in known_vms]
     chosen = sorted(
-        fresh, key=node.transmissions_left.__getitem__, reverse=True
+        candidates, key=node.transmissions_left.__getitem__, reverse=True
     )
     rumours = [_take_rumour(node, vm) for vm in chosen[:MAX_RUMOURS]]
     member = node.members.get(receiver)
     if member is not None and member.liveness != _messages.SERVING:
-        # A paused process wakes and is rumoured dead: unless it hears so
-        # it cannot refute, and gets no work though it serves.
+        # A process that resumes after a pause may be recorded as dead.
+        # Unless it learns so, it cannot refute that, and it gets no work
+        # although it serves.
         rumours.append(rumour_of(member, with_record=False))
     return tuple(rumours)
 
@@ -163,9 +166,9 @@
 def start_hold_down(
     node: _states.Node, member: _states.Member, now: float
 ) -> None:
-    """Bar a member that is back for a while, longer the more it flaps."""
-    # Hysteresis: a VM at the edge of failure would take work and lose it
-    # again each second; each return within a minute doubles the wait.
+    """Give a returned member no work for a time that grows as it flaps."""
+    # Without hysteresis a VM close to failure would receive work and lose
+    # it again every second. Each return within a minute doubles the wait.
     if now - member.hold_down_until > FLAP_WINDOW:
         member.flaps = 0
     wait = min(MIN_HOLD_DOWN * 2**member.flaps, MAX_HOLD_DOWN)
@@ -176,22 +179,22 @@
 
 
 def end_hold_downs(node: _states.Node, now: float) -> None:
-    """End the holds whose time is over."""
-    over = {
+    """End the hold-downs that have expired."""
+    expired = {
         vm for vm in node.held_down if node.members[vm].hold_down_until <= now
     }
-    if over:
-        node.held_down -= over
+    if expired:
+        node.held_down -= expired
         invalidate_caches(node)
 
 
 def mark_record_shared(node: _states.Node, vm: str) -> None:
-    """Note that peers have the record of ``vm`` already."""
+    """Note that peers already have the record of ``vm``."""
     node.unshared_records.discard(vm)
 
 
 def remove(node: _states.Node, vm: str) -> None:
-    """Drop ``vm`` from the table."""
+    """Remove ``vm`` from the table."""
     member = node.members.pop(vm)
     _toggle_checksum(node, member)
     if node.by_address.get(member.record.address) == vm:
@@ -210,7 +213,7 @@
 
 
 def _is_known(member: _states.Member, rumour: _messages.Rumour) -> bool:
-    """Return quickly whether ``rumour`` is just what is believed."""
+    """Return whether ``rumour`` equals the state of ``member``."""
     return (
         rumour.incarnation == member.incarnation
         and rumour.revision == member.revision
@@ -246,10 +249,10 @@
         member.revision,
         member.liveness,
     )
-    # The VM list names no incarnation: what it says holds for the one
-    # that runs, which refutes it if it is wrong.
-    listed = not rumour.incarnation and bool(member.incarnation)
-    if listed:
+    # The VM list names no incarnation: its entry applies to the running
+    # incarnation, which refutes it if it is wrong.
+    from_vm_list = not rumour.incarnation and bool(member.incarnation)
+    if from_vm_list:
         member.liveness = max(member.liveness, rumour.liveness)
     elif later:
         member.platform_unreachable = rumour.platform_unreachable
@@ -261,8 +264,8 @@
 def _replace_incarnation(
     member: _states.Member, rumour: _messages.Rumour
 ) -> None:
-    known = bool(member.incarnation)
-    member.leaving = rumour.leaving or (member.leaving and not known)
+    had_incarnation = bool(member.incarnation)
+    member.leaving = rumour.leaving or (member.leaving and not had_incarnation)
     member.incarnation = rumour.incarnation
     member.revision = rumour.revision
     member.liveness = rumour.liveness
@@ -297,8 +300,9 @@
         start_hold_down(node, member, now)
     if before[2:] != _state_key(member)[2:]:
         invalidate_caches(node, membership=True)
-    # That a suspected VM is now held for gone changes nothing for calls
-    # and can wait for the next rounds; a rack's loss would send it twice.
+    # A change from suspected to gone does not affect calls and can wait
+    # for the next rounds. Otherwise the loss of a rack would be pushed
+    # twice.
     if _takes_work(before[2], before[3]) != _takes_work(
         member.liveness, member.leaving
     ):
@@ -335,8 +339,8 @@
 
 
 def _toggle_checksum(node: _states.Node, member: _states.Member) -> None:
-    # Members that are gone count for nothing: nodes forget them at
-    # different times, which must not look like a difference.
+    # Members that are gone are left out of the checksums: daemons remove
+    # them at different times, which must not count as a difference.
     if member.liveness == _messages.GONE:
         return
     value = _digest(f"{member.record.vm} {_state_key(member)}")
--- a/src/sassafrasstair/decisions/fleet/_messages.py
+++ b/src/sassafrasstair/decisions/fleet/_messages.py
@@ -1,7 +1,7 @@
-"""What daemons tell each other for membership and bundles.
+"""Messages that daemons exchange about membership and bundles.
 
-Messages are msgspec structs in array form, tagged, so that msgpack carries
-them in few bytes. Each exchange is one request and one reply on a
+Messages are tagged msgspec structs in array form, which keeps their msgpack
+encoding small. Each exchange is one request and one reply on a
 request/reply socket.
 """
 
@@ -21,7 +21,8 @@
 class Record(msgspec.Struct, frozen=True, array_like=True):
     """One entry of the platform's VM list.
 
-    ``address`` is the "IP:port" of the VM's daemon.
+    ``address`` is the "IP:port" of the VM's daemon. ``state`` is "leaving"
+    once the VM is to take no new work.
     """
 
     vm: str
@@ -33,13 +34,14 @@
 
 
 class Rumour(msgspec.Struct, frozen=True, array_like=True):
-    """What is believed of one VM; merging any two gives the later belief.
-
-    ``incarnation`` orders the processes that ran on the VM; empty means
-    that only the VM list spoke of it. ``revision`` is raised only by the
-    VM's own daemon, to overrule what is said of it. ``blind`` means that
-    it cannot read the platform. ``record`` is left out where peers must
-    have it already.
+    """Membership update about one VM; merging two yields the later state.
+
+    ``incarnation`` orders the processes that have run on the VM; it is empty
+    if the update comes from the VM list alone. ``revision`` is raised only
+    by the VM's own daemon, to override what peers report about it.
+    ``leaving`` means that the VM takes no new work, and
+    ``platform_unreachable`` that its daemon cannot read the platform.
+    ``record`` is omitted where peers must have it already.
     """
 
     vm: str
@@ -52,18 +54,21 @@
 
 
 class BundleId(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Place of a bundle in the total order: version, then digest."""
+    """Position of a bundle in the total order: version, then digest."""
 
     version: int
     digest: bytes
 
 
 class Summary(msgspec.Struct, frozen=True, array_like=True):
-    """What a daemon holds, and its freshest rumours.
-
-    ``settled`` is whether it knows enough to serve, ``members`` the
-    checksum of its member table, ``cut`` the failure domains that it
-    cannot reach.
+    """State of a daemon and the rumours that it passes on.
+
+    ``vm``, ``address`` and ``incarnation`` identify the sender. ``settled``
+    tells whether it has learned enough from peers to serve.
+    ``vm_list_index`` is the platform index of the VM list that it has
+    applied, ``members_checksum`` the checksum of its member table,
+    ``bundle_ids`` the bundles that it stores, and ``unreachable_domains``
+    the failure domains that it cannot reach.
     """
 
     vm: str
@@ -78,7 +83,7 @@
 
 
 class Gossip(Summary, frozen=True, array_like=True, tag=1):
-    """Request: a summary, answered with the peer's own."""
+    """Request: the sender's summary; the peer answers with its own."""
 
 
 class GossipReply(Summary, frozen=True, array_like=True, tag=2):
@@ -86,20 +91,20 @@
 
 
 class BundleFetch(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """Request: the envelope of one bundle that the peer holds."""
+    """Request: the envelope of one bundle that the peer stores."""
 
     bundle_id: BundleId
 
 
 class BundleReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """Reply: the compressed envelope, empty if no longer held."""
+    """Reply: the compressed envelope, empty if no longer stored."""
 
     bundle_id: BundleId
     compressed_envelope: bytes
 
 
 class MembersFetch(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """Request: the members in the buckets whose checksums differ."""
+    """Request: all members in buckets whose checksum differs."""
 
     bucket_checksums: tuple[int, ...]
 
@@ -112,9 +117,10 @@
 
 
 class ProbeRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Request: try to reach a VM and tell ``reply_to`` the result.
+    """Request: probe a VM and send the result to ``reply_to``.
 
-    ``whole`` asks the peer for a judgement of its own, with helpers.
+    With ``with_helpers`` the receiver runs a full liveness check, for which
+    it asks other members for indirect probes.
     """
 
     vm: str
@@ -123,7 +129,7 @@
 
 
 class ProbeResult(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Request: whether the sender reached the VM it was asked about."""
+    """Request: whether the sender reached the VM that it probed."""
 
     vm: str
     sender: str
@@ -131,7 +137,7 @@
 
 
 class Receipt(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Reply: nothing to say but that the request came."""
+    """Reply: an empty acknowledgement of a request."""
 
 
 Message = (
@@ -152,16 +158,16 @@
 
 
 class BadMessage(Exception):
-    """Bytes from a peer that are no message of this protocol."""
+    """Bytes from a peer that are not a valid message."""
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of ``message``."""
+    """Return ``message`` encoded as msgpack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message in ``data``; raise ``BadMessage``."""
+    """Return the message in ``data``; raise ``BadMessage`` if invalid."""
     try:
         return _decoder.decode(data)
     except msgspec.MsgspecError as error:
@@ -169,12 +175,12 @@
 
 
 def encode_rumours(rumours: tuple[Rumour, ...]) -> bytes:
-    """Return the bytes of a table of rumours."""
+    """Return ``rumours`` encoded as msgpack."""
     return _encoder.encode(rumours)
 
 
 def decode_rumours(data: bytes) -> tuple[Rumour, ...]:
-    """Return the rumours in ``data``; raise ``BadMessage``."""
+    """Return the rumours in ``data``; raise ``BadMessage`` if invalid."""
     try:
         return _rumours_decoder.decode(data)
     except msgspec.MsgspecError as error:
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -1,4 +1,4 @@
-"""One daemon's part in the fleet: time, requests, replies and failures."""
+"""Entry points of a daemon: ticks, requests, replies and failures."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
     now: float,
     rng: random.Random,
 ) -> _states.Node:
-    """Return the state of a daemon that starts now and knows nothing."""
+    """Return the initial state of a daemon that starts at ``now``."""
     node = _states.Node(me, incarnation, seeds, verify, now)
     rumour = _messages.Rumour(
         me.vm,
@@ -57,7 +57,7 @@
 def tick(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Do what time has brought due; to be called each 250 ms."""
+    """Run the periodic work that is due; call this every 250 ms."""
     effects = _detect_pause(node, now)
     node.last_tick_at = now
     waiting, node.pending_effects = node.pending_effects, []
@@ -81,7 +81,7 @@
     now: float,
     rng: random.Random,
 ) -> tuple[_messages.Message | None, list[_effects.Effect]]:
-    """Answer one request of a peer; no reply to what is no request."""
+    """Handle a message of a peer; the reply is None if it is no request."""
     effects = _detect_pause(node, now)
     reply: _messages.Message | None = _messages.Receipt()
     if isinstance(message, _messages.Gossip):
@@ -111,7 +111,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Take in the reply to an ``Exchange`` with ``peer_address``."""
+    """Process the reply to an ``Exchange`` with ``peer_address``."""
     effects = _detect_pause(node, now)
     effects += _suspicions.record_success(
         node, node.by_address.get(peer_address, ""), now
@@ -136,7 +136,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Take in that an ``Exchange`` with ``peer_address`` failed."""
+    """Process the failure of an ``Exchange`` with ``peer_address``."""
     node.syncing = False
     effects = _detect_pause(node, now)
     effects += _fetches.process_lost_peer(node, peer_address, now)
@@ -152,7 +152,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Take in what the platform's bundle keys hold at ``index``."""
+    """Process the values of the platform's bundle keys at ``index``."""
     effects = _platform.process_bundles(node, envelopes)
     return effects + _spreads.flush(node, now, rng)
 
@@ -164,7 +164,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Take in the platform's VM list at ``index``."""
+    """Process the platform's VM list at ``index``."""
     effects = _platform.process_vms(node, records, index, now)
     return effects + _spreads.flush(node, now, rng)
 
@@ -172,7 +172,7 @@
 def process_platform_failure(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Take in a lost or overflown watch, or a read that failed."""
+    """Process a lost or overflowed watch, or a failed read."""
     effects = _platform.process_failure(node, rng)
     return effects + _spreads.flush(node, now, rng)
 
@@ -180,7 +180,7 @@
 def set_leaving(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Tell all that this VM takes no new work from now on."""
+    """Announce that this VM takes no new work from now on."""
     me = node.members[node.local_record.vm]
     rumour = _messages.Rumour(
         node.local_record.vm,
@@ -203,9 +203,9 @@
     incarnation: str,
     now: float,
 ) -> None:
-    """Take in what a call to ``vm`` showed of its daemon.
+    """Record whether the daemon on ``vm`` answered a call.
 
-    ``incarnation`` is empty when the daemon did not answer.
+    ``incarnation`` is empty if it did not answer.
     """
     member = node.members.get(vm)
     if member is None or vm == node.local_record.vm:
@@ -224,9 +224,9 @@
 
 
 def _detect_pause(node: _states.Node, now: float) -> list[_effects.Effect]:
-    """Forget, after a pause of this process, what it seemed to show."""
-    # A paused process wakes to find every exchange overdue: it would take
-    # all its peers for dead, and tell others so.
+    """Discard pending failures after a pause of this process."""
+    # When a process resumes after a pause, every exchange is overdue: it
+    # would suspect all its peers and spread that suspicion.
     gap = now - node.last_tick_at
     if gap <= PAUSE_THRESHOLD:
         return []
@@ -256,7 +256,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Take in all that a peer's summary says."""
+    """Process all parts of a peer's summary."""
     effects: list[_effects.Effect] = []
     member = node.members.get(peer.vm)
     if member is not None and peer.incarnation > member.incarnation:
@@ -285,7 +285,7 @@
 def _process_own_rumour(
     node: _states.Node, rumour: _messages.Rumour, now: float
 ) -> list[_effects.Effect]:
-    """Refute what is wrongly said of this VM; accept that it leaves."""
+    """Refute a suspicion of this VM; accept that it is leaving."""
     if rumour.incarnation > node.incarnation:
         fields = {"incarnation": rumour.incarnation}
         return [_effects.ReportEvent("incarnation_superseded", fields)]
--- a/src/sassafrasstair/decisions/fleet/_platform.py
+++ b/src/sassafrasstair/decisions/fleet/_platform.py
@@ -1,8 +1,9 @@
 """When this daemon reads or watches the platform.
 
-Two daemons of each failure domain hold a watch; all others hear from
-peers. A read of the whole is made once after a lost watch, and by a new
-daemon only if no peer could tell it, each after a random delay.
+Two daemons of each failure domain hold a watch; all others learn of changes
+from peers. A daemon reads all platform keys once after a lost watch. A new
+daemon reads them only if no peer has sent it a bundle. Both reads follow a
+random delay.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 def process_bundles(
     node: _states.Node, envelopes: abc.Sequence[bytes]
 ) -> list[_effects.Effect]:
-    """Take in the bundles of a read or of an answered watch."""
+    """Process the bundles of a read or of an answered watch."""
     _record_platform_success(node)
     effects: list[_effects.Effect] = []
     for envelope in envelopes:
@@ -45,7 +46,7 @@
     index: int,
     now: float,
 ) -> list[_effects.Effect]:
-    """Take in the VM list; what it changes becomes rumours."""
+    """Apply the VM list and queue rumours about what it changes."""
     _record_platform_success(node)
     effects: list[_effects.Effect] = []
     for record in records:
@@ -55,44 +56,45 @@
                 effects.append(_effects.ReportEvent("listed_as_leaving", {}))
         elif index > node.vm_list_index > 0:
             _members.mark_record_shared(node, record.vm)
-    names: dict[str, str] = {each.vm: each.state for each in records}
+    states: dict[str, str] = {each.vm: each.state for each in records}
     if index < node.vm_list_index:
-        # A platform that came back older does not know some VMs yet, and
-        # dropping those would empty services: only what it has listed since
-        # and lists no more has been removed.
+        # A platform restored from an older copy does not list some VMs yet,
+        # and dropping those would leave services without instances. Only a
+        # VM that it has listed since its restore and lists no more counts as
+        # removed.
         if index > node.restored_index:
-            _drop_missing(node, node.restored_states, names, now)
-        node.restored_states, node.restored_index = names, index
+            _drop_missing(node, node.restored_states, states, now)
+        node.restored_states, node.restored_index = states, index
         return effects
-    _drop_missing(node, node.listed_states, names, now)
+    _drop_missing(node, node.listed_states, states, now)
     node.restored_states, node.restored_index = {}, 0
-    node.listed_states = names
+    node.listed_states = states
     node.vm_list_index = index
     return effects
 
 
 def _drop_missing(
     node: _states.Node,
-    listed: abc.Iterable[str],
-    names: abc.Container[str],
+    previous: abc.Iterable[str],
+    present: abc.Container[str],
     now: float,
 ) -> None:
-    for vm in listed:
-        if vm not in names and _merge_unlisted(node, vm, now):
+    for vm in previous:
+        if vm not in present and _merge_unlisted(node, vm, now):
             _members.queue_rumour(node, vm)
 
 
 def process_failure(
     node: _states.Node, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Take in a lost or overflown watch, or a failed read."""
+    """Process a lost or overflowed watch, or a failed read."""
     node.platform_failures += 1
     if node.bundles_by_id and not node.watching:
         node.read_pending = False
         return []
-    longest = LOST_WATCH_SPREAD * 2 ** min(node.platform_failures - 1, 6)
+    max_delay = LOST_WATCH_SPREAD * 2 ** min(node.platform_failures - 1, 6)
     node.read_pending = True
-    delay = rng.uniform(0.0, min(longest, MAX_BACKOFF))
+    delay = rng.uniform(0.0, min(max_delay, MAX_BACKOFF))
     if node.platform_failures == FAILURES_TO_REPORT:
         _announce_reachability(node, unreachable=True)
     return [_effects.ReadPlatform(delay)]
@@ -101,19 +103,19 @@
 def update_watch(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Return the change of watch, or the first read, that is due."""
+    """Return the watch change and the first read if they are due."""
     effects: list[_effects.Effect] = []
-    # Watchers are looked for again only when the members change, so a look
-    # before the peers are known must not count as one.
-    knows = node.settled and _knows_peers(node, now)
-    if knows and node.watchers_version != node.membership_version:
+    # Watchers are chosen again only when the members change, so the choice
+    # must wait until the peers are known.
+    peers_known = node.settled and _knows_peers(node, now)
+    if peers_known and node.watchers_version != node.membership_version:
         node.watchers_version = node.membership_version
         chosen = node.local_record.vm in _subsets.watchers(node)
         if chosen != node.watching:
             node.watching = chosen
             effects.append(_effects.Watch(chosen))
-    uninformed = not node.bundles_by_id and not node.watching
-    if uninformed and not node.read_pending and now >= node.next_read_at:
+    lacks_bundle = not node.bundles_by_id and not node.watching
+    if lacks_bundle and not node.read_pending and now >= node.next_read_at:
         node.read_pending = True
         node.next_read_at = now + MAX_BACKOFF
         effects.append(_effects.ReadPlatform(0.0))
@@ -121,13 +123,13 @@
 
 
 def first_read_at(now: float, rng: random.Random) -> float:
-    """Return when a daemon reads for itself that no peer could tell."""
+    """Return when a daemon without a bundle from peers reads by itself."""
     return now + PEERS_FIRST_DELAY + rng.uniform(0.0, FIRST_READ_SPREAD)
 
 
 def _knows_peers(node: _states.Node, now: float) -> bool:
-    # All start at once: a daemon that knows only its seeds is among the
-    # first two of those few, and so would each of the whole fleet be.
+    # When all daemons start at once, each knows only its seeds and would
+    # be among the first two of those: the whole fleet would watch.
     return node.vm_list_index > 0 or now - node.started_at > PEERS_KNOWN_DELAY
 
 
--- a/src/sassafrasstair/decisions/fleet/_queries.py
+++ b/src/sassafrasstair/decisions/fleet/_queries.py
@@ -1,4 +1,4 @@
-"""What the daemon asks of its view of the fleet."""
+"""Read-only queries on a daemon's view of the fleet."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def ready_to_serve(node: _states.Node, now: float) -> bool:
-    """Return whether this daemon may serve: settled, with a bundle."""
+    """Return whether this daemon is settled and has a bundle in force."""
     return node.settled and node.in_force is not None
 
 
@@ -28,24 +28,24 @@
 
 
 def incarnation_of(node: _states.Node, vm: str) -> str:
-    """Return the newest incarnation known of ``vm``, empty if unknown."""
+    """Return the latest known incarnation of ``vm``, empty if unknown."""
     member = node.members.get(vm)
     return "" if member is None else member.incarnation
 
 
 def is_serving(node: _states.Node, vm: str) -> bool:
-    """Return whether the fleet believes that the daemon of ``vm`` runs."""
+    """Return whether the member table lists ``vm`` as serving."""
     member = node.members.get(vm)
     return member is not None and member.liveness == _messages.SERVING
 
 
 def is_leaving(node: _states.Node) -> bool:
-    """Return whether this VM is known to be leaving, whoever said so."""
+    """Return whether this VM is leaving, by its own or others' word."""
     return node.members[node.local_record.vm].leaving
 
 
 def status(node: _states.Node) -> dict[str, typing.Any]:
-    """Return what ``sassafras status`` shows of the fleet, as JSON has."""
+    """Return the JSON object that ``sassafras status`` shows."""
     lives = [member.liveness for member in node.members.values()]
     return {
         "vm": node.local_record.vm,
@@ -76,12 +76,12 @@
 
 
 def _bundle_status(
-    held: _states.StoredBundle | None,
+    stored: _states.StoredBundle | None,
 ) -> dict[str, typing.Any] | None:
-    if held is None:
+    if stored is None:
         return None
     return {
-        "version": held.bundle_id.version,
-        "digest": held.bundle_id.digest.hex(),
-        "rollout": list(held.bundle.rollout),
+        "version": stored.bundle_id.version,
+        "digest": stored.bundle_id.digest.hex(),
+        "rollout": list(stored.bundle.rollout),
     }
--- a/src/sassafrasstair/decisions/fleet/_reaches.py
+++ b/src/sassafrasstair/decisions/fleet/_reaches.py
@@ -1,8 +1,8 @@
-"""Which other failure domains can be reached from here.
+"""Reachability of the other failure domains from this daemon.
 
-Each daemon judges by what it saw itself. A peer of its own domain that
-finds one cut off, or back, only has it look for itself; so views follow
-the network and need no agreement.
+Each daemon decides by its own contacts. A report from a peer of its own
+domain, that a domain is unreachable or reachable again, only makes it probe
+that domain itself, so no agreement between daemons is needed.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Look for oneself at what an own-domain peer says of its reach."""
+    """Probe domains that an own-domain peer reports otherwise than here."""
     member = node.members.get(sender)
     own = node.local_record.failure_domain
     if member is None or member.record.failure_domain != own:
@@ -56,7 +56,7 @@
 def record_success(
     node: _states.Node, domain: str, now: float
 ) -> list[_effects.Effect]:
-    """Take in that a VM of ``domain`` was reached."""
+    """Record that a VM of ``domain`` was reached."""
     if domain == node.local_record.failure_domain:
         return []
     reach = node.reachability.setdefault(domain, _states.DomainReachability())
@@ -75,7 +75,7 @@
 def probe_unreachable(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Return probes of the failure domains that are cut off."""
+    """Return the due probes of unreachable failure domains."""
     effects: list[_effects.Effect] = []
     for domain, reach in node.reachability.items():
         if reach.unreachable and now >= reach.next_probe_at:
@@ -99,7 +99,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Take in a failure towards another domain; see if it is cut off."""
+    """Record a failed contact; detect that the domain is unreachable."""
     domain = member.record.failure_domain
     reach = node.reachability.setdefault(domain, _states.DomainReachability())
     for vm in [
@@ -147,11 +147,11 @@
     chosen: set[str] = set()
 
     def accept(member: _states.Member) -> bool:
-        name = member.record.vm
+        vm_name = member.record.vm
         same = member.record.failure_domain == domain
         return (
             same
-            and name not in chosen
+            and vm_name not in chosen
             and not member.liveness != _messages.SERVING
         )
 
--- a/src/sassafrasstair/decisions/fleet/_spreads.py
+++ b/src/sassafrasstair/decisions/fleet/_spreads.py
@@ -1,4 +1,4 @@
-"""Whom this daemon gossips with, and when it knows enough to serve."""
+"""Choice of gossip peers, pushes of updates, and settling after a start."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 def gossip_if_due(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Return the periodic exchange if it is due."""
+    """Return the periodic gossip exchange if it is due."""
     if not node.settled:
         return _ask_peers(node, rng)
     if now < node.next_gossip_at:
@@ -59,10 +59,10 @@
 def flush(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Pass on at once what cannot wait for the next round."""
+    """Push urgent updates without waiting for the next round."""
     effects: list[_effects.Effect] = []
     if node.bundle_push_pending and node.settled:
-        # Bundles pay no token: only operators can make them.
+        # Bundles need no token: only operators can publish them.
         node.bundle_push_pending = False
         others = BUNDLE_FANOUT_OTHER if node.watching else 0
         effects += _push_to_random(node, BUNDLE_FANOUT_OWN, others, rng)
@@ -84,7 +84,7 @@
 def settle(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """See whether this daemon knows enough to serve."""
+    """Mark this daemon as settled once it knows enough to serve."""
     if node.settled:
         return []
     if not _knows_enough(node, now):
@@ -102,23 +102,23 @@
         return waited >= MAX_SETTLE_WAIT
     if waited >= SETTLE_WAIT:
         return True
-    # A restarted daemon beside a stale platform would bring an old bundle
-    # back into force: peers that were settled before it know better. An
-    # answer of a peer that has just started itself shows nothing.
+    # If the platform is stale, a restarted daemon would put an old bundle
+    # back in force, whereas settled peers have the newer one. Answers of
+    # peers that have only just started themselves do not count.
     settled_peers = [
         name for name, ok in node.settled_by_address.items() if ok
     ]
-    own = [name for name in settled_peers if _is_own(node, name)]
-    if len(own) >= MIN_SETTLED_PEERS:
+    own_domain_peers = [name for name in settled_peers if _is_own(node, name)]
+    if len(own_domain_peers) >= MIN_SETTLED_PEERS:
         return True
     if len(settled_peers) + 1 < len(node.members):
         return False
-    known = {
+    serving_addresses = {
         member.record.address
         for vm, member in node.members.items()
         if vm != node.local_record.vm and _members.is_member(member)
     }
-    return bool(settled_peers) and known.union(node.seeds) <= set(
+    return bool(settled_peers) and serving_addresses.union(node.seeds) <= set(
         settled_peers
     )
 
@@ -131,7 +131,7 @@
 
 
 def _rounds_of_kind(node: _states.Node, other: bool) -> int:
-    """Return the count of rounds of the kind, to go through all partners."""
+    """Return the number of own-domain or other-domain rounds so far."""
     others = node.gossip_round // OTHER_DOMAIN_ROUNDS
     return others if other else node.gossip_round - others
 
@@ -139,7 +139,7 @@
 def _ask_peers(
     node: _states.Node, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Ask a few peers that have not answered yet."""
+    """Gossip with a few peers that have not answered as settled yet."""
     addresses: set[str] = set()
 
     def unanswered(member: _states.Member) -> bool:
@@ -154,12 +154,12 @@
         return same and unanswered(member)
 
     node.gossip_round += 1
-    wanted = (
+    filters = (
         (unanswered_own, unanswered_own, unanswered)
         if node.gossip_round <= WIDE_BOOTSTRAP_ROUNDS
         else (unanswered_own,)
     )
-    for accept in wanted:
+    for accept in filters:
         vm = _subsets.random_member(node, rng, accept)
         if vm is not None:
             addresses.add(node.members[vm].record.address)
@@ -175,7 +175,7 @@
 def _gossip_with_random_peer(
     node: _states.Node, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Gossip with anyone: heals views that have grown apart."""
+    """Gossip with any peer, so that diverged member tables converge."""
     seeds = [
         one
         for one in node.seeds
@@ -192,7 +192,7 @@
 
 
 def _push_to_random(
-    node: _states.Node, own: int, other: int, rng: random.Random
+    node: _states.Node, own_count: int, other_count: int, rng: random.Random
 ) -> list[_effects.Effect]:
     chosen: set[str] = set()
 
@@ -206,7 +206,9 @@
             member.record.failure_domain != node.local_record.failure_domain
         )
 
-    for accept in (in_own_domain,) * own + (in_other_domain,) * other:
+    for accept in (in_own_domain,) * own_count + (
+        in_other_domain,
+    ) * other_count:
         vm = _subsets.random_member(node, rng, accept)
         if vm is not None:
             chosen.add(vm)
@@ -219,7 +221,7 @@
 def _push_to_partners(
     node: _states.Node, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Gossip with some partners, whose connections are open already."""
+    """Gossip with some partners, whose connections are already open."""
     own, other = _subsets.partners(node)
     effects: list[_effects.Effect] = []
     for vms, count in ((own, FANOUT_OWN), (other, FANOUT_OTHER)):
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -19,11 +19,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Member:
-    """One VM as this daemon sees it.
-
-    ``failures`` counts failed contacts of this daemon since the last good
-    one; ``barred`` says that they were enough to send it no work;
-    ``hold_until`` keeps it barred for a while after it is back.
+    """One VM in this daemon's member table.
+
+    ``incarnation``, ``revision``, ``liveness``, ``leaving`` and
+    ``platform_unreachable`` hold the merged rumours, see ``Rumour``;
+    ``changed_at`` is when a rumour last changed them. ``last_contact_at`` is
+    when this daemon last had contact with the VM, and ``failures`` counts
+    its failed contacts since. ``ejected`` means that the failures were
+    enough to send the VM no work; ``next_probe_at`` is when it is probed
+    again. After its return it gets no work until ``hold_down_until``;
+    ``flaps`` counts its recent returns and lengthens that time.
     """
 
     record: _messages.Record
@@ -43,7 +48,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Check:
-    """One VM being tested: by this daemon and by helpers."""
+    """Liveness check of one VM, by this daemon and by helpers.
+
+    ``with_helpers`` tells whether helpers are asked as well. The result of
+    this daemon's own probe is ``direct_result``, None while it runs.
+    ``helpers_asked`` counts the helpers, ``helper_results`` holds whether
+    each reached the VM. Peers at ``reply_to`` await the direct result.
+    """
 
     started_at: float
     with_helpers: bool
@@ -55,7 +66,14 @@
 
 @dataclasses.dataclass(slots=True)
 class DomainReachability:
-    """Whether another failure domain can be reached from here."""
+    """Reachability of another failure domain from this daemon.
+
+    ``failed_at`` maps VMs of the domain to the time of their last failed
+    contact; ``last_success_at`` is the time of the last good contact.
+    ``unreachable`` last changed at ``changed_at``. An unreachable domain is
+    probed again at ``next_probe_at``; ``last_probed_at`` limits the probes
+    that failures and reports of peers cause.
+    """
 
     failed_at: dict[str, float] = dataclasses.field(default_factory=dict)
     last_success_at: float = -1e9
@@ -69,8 +87,7 @@
 class StoredBundle:
     """One verified bundle.
 
-    ``body`` is its envelope compressed for the wire, ``seal`` the digest
-    of the envelope.
+    ``envelope_digest`` is the SHA-256 digest of its uncompressed envelope.
     """
 
     bundle_id: _messages.BundleId
@@ -81,7 +98,11 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingFetch:
-    """A bundle being fetched, and who else could give it."""
+    """Fetch of a bundle from ``address``, in progress.
+
+    ``other_addresses`` are peers that have the bundle too and are asked if
+    this one fails or does not answer by ``deadline``.
+    """
 
     address: str
     deadline: float
@@ -90,7 +111,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """All that one daemon knows of the fleet; lost with its process."""
+    """In-memory view that one daemon has of the fleet.
+
+    Nothing of it is persisted. ``by_address`` maps addresses of daemons to
+    VMs; ``ejected``, ``not_serving``, ``unshared_records`` (peers may lack
+    their records), ``held_down`` and ``failed_calls`` are sets of VMs.
+    ``transmissions_left`` counts how often each queued rumour is still to
+    be sent. ``listed_states`` is the VM list last applied;
+    ``restored_index`` and ``restored_states`` belong to a platform restored
+    from an older copy. ``settled`` tells whether the daemon has learned
+    enough from peers to serve, ``settled_by_address`` whether each peer
+    that answered had. ``refusal_reasons`` are by envelope digest, and
+    ``dropped_digests`` by the version that two bundles shared.
+    """
 
     local_record: _messages.Record
     incarnation: str
@@ -126,8 +159,8 @@
     )
     next_sync_at: float = -1e9
     syncing: bool = False
-    # Caches, valid for one edition of who is usable, or for one roster
-    # of who is a member and may watch.
+    # Caches: the targets are valid for one ``usability_version``, the
+    # partners and the choice of watchers for one ``membership_version``.
     partners_version: int = -1
     partners: tuple[tuple[str, ...], tuple[str, ...]] = ((), ())
     watchers_version: int = -1
--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: partners, watchers and the targets of calls."""
+"""Rendezvous hashing: gossip partners, watchers and call targets."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 def partners(
     node: _states.Node,
 ) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Return the gossip partners: of the own failure domain, of others.
+    """Return the gossip partners in the own and in other failure domains.
 
-    Each ring is the members in the order of a hash; a partner is the next
-    one. So every member has exactly as many own-domain partners that test
-    it as there are rings, and connections stay few and lasting.
+    Each ring orders the members by a hash, and the partner is the next
+    member in the ring. So every member is tested by one own-domain partner
+    per ring, and connections stay few and long-lived.
     """
     if node.partners_version != node.membership_version:
         node.partners = (_own_partners(node), _other_partners(node))
@@ -46,10 +46,10 @@
 
 
 def watchers(node: _states.Node) -> list[str]:
-    """Return who of the own failure domain watches the platform.
+    """Return the VMs of the own failure domain that watch the platform.
 
-    The two of greatest weight; while these say that they are blind they
-    keep trying, and up to two more take over.
+    These are the two VMs of greatest weight. While they report that they
+    cannot reach the platform they keep trying, and up to two more join.
     """
     domain = node.local_record.failure_domain
     ranked = sorted(
@@ -77,9 +77,9 @@
 ) -> tuple[calls.Target, ...]:
     """Return the instances of ``service`` that this daemon may call.
 
-    At most the bundle's ``subset_size``, those of the own failure domain
-    first, and some of others to spill over to; none before there is a
-    bundle.
+    There are at most ``subset_size`` of the bundle: those of the own
+    failure domain first, then some of other domains for spillover. Without
+    a bundle there are none.
     """
     if node.in_force is None:
         return ()
@@ -97,19 +97,19 @@
     node: _states.Node, service: str, size: int, now: float
 ) -> tuple[calls.Target, ...]:
     """Return up to ``size`` usable instances, see ``targets``."""
-    live = _usable_records(node, service, now)
-    if not live:
-        # Failure: after a time of heavy loss every instance is held back
-        # as one that flaps, and all calls are refused though all serve.
-        # Held back instances are better than none.
-        live = _usable_records(node, service, math.inf)
-    live.sort(
+    usable = _usable_records(node, service, now)
+    if not usable:
+        # After a period of heavy packet loss every instance may be in
+        # hold-down, so that all calls would be refused although all
+        # instances serve. Then instances in hold-down are used.
+        usable = _usable_records(node, service, math.inf)
+    usable.sort(
         key=lambda record: weight(node.local_record.vm, record.vm),
         reverse=True,
     )
     domain = node.local_record.failure_domain
-    own = [record for record in live if record.failure_domain == domain]
-    others = [record for record in live if record.failure_domain != domain]
+    own = [record for record in usable if record.failure_domain == domain]
+    others = [record for record in usable if record.failure_domain != domain]
     others.sort(key=lambda record: record.region != node.local_record.region)
     spillover = min(len(others), max(1, size // SPILLOVER_DIVISOR))
     near = own[: size - spillover]
@@ -127,18 +127,18 @@
     rng: random.Random,
     accept: abc.Callable[[_states.Member], bool],
 ) -> str | None:
-    """Return a VM other than this one that ``accept`` takes, if any."""
+    """Return a random other VM that ``accept`` accepts, None if none."""
     names = list(node.members)
     for _ in range(8):
         vm = rng.choice(names)
         if vm != node.local_record.vm and accept(node.members[vm]):
             return vm
-    left = [
+    remaining = [
         vm
         for vm, member in node.members.items()
         if vm != node.local_record.vm and accept(member)
     ]
-    return rng.choice(left) if left else None
+    return rng.choice(remaining) if remaining else None
 
 
 def _usable_records(
@@ -159,8 +159,8 @@
 
 def _other_partners(node: _states.Node) -> tuple[str, ...]:
     """Return one partner in each other failure domain."""
-    # With a few partners anywhere, a small fleet may have nobody who tests
-    # some domain: its loss would go unseen until calls fail.
+    # If partners were drawn from all domains alike, a small fleet might have
+    # none in some domain, whose loss would go unnoticed until calls fail.
     by_domain: dict[str, list[str]] = {}
     for vm, member in node.members.items():
         domain = member.record.failure_domain
@@ -203,8 +203,8 @@
 
 
 def _watch_rank(node: _states.Node, vm: str) -> tuple[bool, int]:
-    # Failure: all VMs of a failure domain are being replaced and leave;
-    # with nobody left to watch, new bundles never come into force there.
-    # Those that leave therefore rank last but are not left out.
+    # VMs that are leaving rank last but stay eligible. If all VMs of a
+    # failure domain are being replaced and leave, nobody else could watch,
+    # and new bundles would never come into force there.
     member = node.members[vm]
     return not member.leaving, weight(node.local_record.failure_domain, vm)
--- a/src/sassafrasstair/decisions/fleet/_summaries.py
+++ b/src/sassafrasstair/decisions/fleet/_summaries.py
@@ -1,4 +1,4 @@
-"""The summary that daemons exchange, and the probe that carries it."""
+"""Building of the gossip summary, and of probes, which carry one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def probe(node: _states.Node, vm: str) -> _effects.Effect:
-    """Return a short exchange that shows whether ``vm`` is alive."""
+    """Return a gossip exchange with a short timeout that tests ``vm``."""
     message = build_summary(node, _messages.Gossip, vm)
     address = node.members[vm].record.address
     return _effects.Exchange(address, message, _effects.PROBE_TIMEOUT)
@@ -21,9 +21,9 @@
     receiver: str,
     known: tuple[_messages.Rumour, ...] = (),
 ) -> _messages.Gossip | _messages.GossipReply:
-    """Return what this daemon tells ``receiver``, as that ``kind``.
+    """Return a ``kind`` of summary of this daemon for ``receiver``.
 
-    ``known`` are the rumours that the receiver has just told.
+    ``known`` are the rumours that the receiver has just sent.
     """
     return kind(
         node.local_record.vm,
--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -1,9 +1,10 @@
-"""Which VMs cannot be reached, and what is told of it.
+"""Failure detection: liveness checks, suspicion and local ejection.
 
-A VM is judged only by members of its own failure domain, and only after
-helpers failed to reach it too; so a cut between failure domains sends no
-rumours and leaves nothing to take back when it heals. Daemons elsewhere
-bar it for themselves and ask its domain for a judgement.
+A VM is suspected only by members of its own failure domain, and only after
+helpers failed to reach it too. A partition between failure domains
+therefore causes no rumours, and nothing has to be retracted when it heals.
+Daemons in other domains eject the VM locally and ask a member of its domain
+for a check.
 """
 
 from __future__ import annotations
@@ -40,7 +41,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Test ``vm``, for ``reply_to`` if not empty; with helpers if whole."""
+    """Probe ``vm`` and report to ``reply_to``, unless that is empty."""
     member = node.members.get(vm)
     if (
         member is None
@@ -48,25 +49,25 @@
         or member.liveness == _messages.GONE
     ):
         return []
-    running = node.checks.get(vm)
-    if running is not None:
-        return _extend_check(node, running, vm, reply_to, with_helpers, rng)
+    current = node.checks.get(vm)
+    if current is not None:
+        return _extend_check(node, current, vm, reply_to, with_helpers, rng)
     if len(node.checks) >= MAX_CHECKS:
         return []
-    begun = _states.Check(now, with_helpers)
-    node.checks[vm] = begun
+    check = _states.Check(now, with_helpers)
+    node.checks[vm] = check
     if reply_to:
-        begun.reply_to.add(reply_to)
+        check.reply_to.add(reply_to)
     effects = [_summaries.probe(node, vm)]
     return effects + (
-        _ask_helpers(node, begun, vm, rng) if with_helpers else []
+        _ask_helpers(node, check, vm, rng) if with_helpers else []
     )
 
 
 def record_success(
     node: _states.Node, vm: str, now: float
 ) -> list[_effects.Effect]:
-    """Take in that ``vm`` was reached or has called."""
+    """Record that ``vm`` was reached or has sent a message."""
     member = node.members.get(vm)
     if member is None or vm == node.local_record.vm:
         return []
@@ -86,26 +87,28 @@
 def record_failure(
     node: _states.Node, vm: str, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Take in that this daemon could not reach ``vm``."""
+    """Record that this daemon could not reach ``vm``."""
     member = node.members.get(vm)
     if (
         member is None
         or vm == node.local_record.vm
         or now < node.ignore_failures_until
     ):
-        # After a pause all timeouts look like failures of others, though
-        # it was this process that did not run: they count for nothing.
+        # After a pause of this process all its exchanges time out, which
+        # says nothing about the peers: such failures are ignored.
         return []
     member.failures += 1
     if member.failures >= FAILURES_TO_EJECT:
         _eject(node, member, now)
     effects = _record_direct_result(node, vm, reached=False)
-    own = member.record.failure_domain == node.local_record.failure_domain
-    if not own:
+    in_own_domain = (
+        member.record.failure_domain == node.local_record.failure_domain
+    )
+    if not in_own_domain:
         effects += _reaches.record_failure(node, member, now, rng)
-    running = node.checks.get(vm)
-    cut = _reaches.is_unreachable(node, member.record.failure_domain)
-    if running is None and not cut and not _is_not_serving(member):
+    current = node.checks.get(vm)
+    unreachable = _reaches.is_unreachable(node, member.record.failure_domain)
+    if current is None and not unreachable and not _is_not_serving(member):
         effects += start_check(
             node, vm, "", with_helpers=True, now=now, rng=rng
         )
@@ -115,28 +118,28 @@
 def record_helper_result(
     node: _states.Node, message: _messages.ProbeResult, now: float
 ) -> list[_effects.Effect]:
-    """Take in what a helper found."""
-    running = node.checks.get(message.vm)
-    if running is None:
+    """Record the probe result of a helper."""
+    check = node.checks.get(message.vm)
+    if check is None:
         return []
-    running.helper_results[message.sender] = message.reached
+    check.helper_results[message.sender] = message.reached
     return _suspect_if_confirmed(node, message.vm, now)
 
 
 def run_due_probes(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Return the probes and judgements that time has brought due."""
+    """Drop expired checks and return the probes that are due."""
     _expire_checks(node, now)
     effects = _probe_ejected(node, now, rng)
     return effects + _reaches.probe_unreachable(node, now, rng)
 
 
 def expire_members(node: _states.Node, now: float) -> list[_effects.Effect]:
-    """Turn long suspicion into gone, and forget what is long gone.
+    """Mark long suspected members as gone and remove those long gone.
 
-    Each daemon does so by itself: a rumour of it would tell nobody more
-    than the suspicion that all have heard of.
+    Each daemon does so by itself: a rumour would add nothing to the
+    suspicion, which has already reached all daemons.
     """
     effects: list[_effects.Effect] = []
     for vm in sorted(node.not_serving):
@@ -151,41 +154,45 @@
 
 def _extend_check(
     node: _states.Node,
-    running: _states.Check,
+    check: _states.Check,
     vm: str,
     reply_to: str,
     with_helpers: bool,
     rng: random.Random,
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
-    if reply_to and running.direct_result is not None:
-        effects.append(_report_to(node, vm, reply_to, running.direct_result))
+    if reply_to and check.direct_result is not None:
+        effects.append(_report_to(node, vm, reply_to, check.direct_result))
     elif reply_to:
-        running.reply_to.add(reply_to)
-    if with_helpers and not running.with_helpers:
-        running.with_helpers = True
-        effects += _ask_helpers(node, running, vm, rng)
+        check.reply_to.add(reply_to)
+    if with_helpers and not check.with_helpers:
+        check.with_helpers = True
+        effects += _ask_helpers(node, check, vm, rng)
     return effects
 
 
 def _ask_helpers(
     node: _states.Node,
-    running: _states.Check,
+    check: _states.Check,
     vm: str,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Ask helpers: for an own-domain VM one at home and one elsewhere."""
+    """Ask two helpers to probe ``vm``.
+
+    For a VM of the own failure domain, one helper is in that domain and one
+    in another; otherwise both are in the domain of the VM.
+    """
     domain = node.members[vm].record.failure_domain
-    own = domain == node.local_record.failure_domain
-    in_domain_flags = (True, False) if own else (True, True)
+    in_own_domain = domain == node.local_record.failure_domain
+    in_domain_flags = (True, False) if in_own_domain else (True, True)
     chosen: set[str] = set()
     for in_domain in in_domain_flags:
         helper = _choose_helper(node, vm, domain, in_domain, chosen, rng)
         if helper is not None:
             chosen.add(helper)
-    running.helpers_asked += len(chosen)
+    check.helpers_asked += len(chosen)
     request = _messages.ProbeRequest(
-        vm, node.local_record.address, with_helpers=not own
+        vm, node.local_record.address, with_helpers=not in_own_domain
     )
     return [
         _effects.Exchange(
@@ -223,12 +230,12 @@
 def _record_direct_result(
     node: _states.Node, vm: str, reached: bool
 ) -> list[_effects.Effect]:
-    running = node.checks.get(vm)
-    if running is None or running.direct_result is not None:
+    check = node.checks.get(vm)
+    if check is None or check.direct_result is not None:
         return []
-    running.direct_result = reached
-    waiting = sorted(running.reply_to)
-    running.reply_to.clear()
+    check.direct_result = reached
+    waiting = sorted(check.reply_to)
+    check.reply_to.clear()
     if reached:
         del node.checks[vm]
     return [_report_to(node, vm, address, reached) for address in waiting]
@@ -244,27 +251,27 @@
 def _suspect_if_confirmed(
     node: _states.Node, vm: str, now: float
 ) -> list[_effects.Effect]:
-    """Suspect ``vm`` if this daemon may, and enough is known."""
-    running = node.checks.get(vm)
+    """Suspect ``vm`` if it is in the own domain and the results suffice."""
+    check = node.checks.get(vm)
     if (
-        running is None
-        or not running.with_helpers
-        or running.direct_result is not False
+        check is None
+        or not check.with_helpers
+        or check.direct_result is not False
     ):
         return []
-    own = (
+    in_own_domain = (
         node.members[vm].record.failure_domain
         == node.local_record.failure_domain
     )
-    if not own:
+    if not in_own_domain:
         return []
-    # One daemon that is itself cut off, or a broken link between two,
-    # would have a healthy VM shunned by all: a helper must have failed
-    # to reach it as well, and none may have reached it.
-    if any(running.helper_results.values()):
+    # A daemon that is itself partitioned, or a broken link between two
+    # daemons, would deprive a healthy VM of all work. Therefore a helper
+    # must have failed to reach it as well, and none may have reached it.
+    if any(check.helper_results.values()):
         del node.checks[vm]
         return []
-    if running.helpers_asked and not running.helper_results:
+    if check.helpers_asked and not check.helper_results:
         return []
     del node.checks[vm]
     return _set_liveness(node, vm, _messages.SUSPECTED, now)
@@ -324,6 +331,6 @@
 
 
 def _expire_checks(node: _states.Node, now: float) -> None:
-    for vm, running in list(node.checks.items()):
-        if now - running.started_at > CHECK_TIMEOUT:
+    for vm, check in list(node.checks.items()):
+        if now - check.started_at > CHECK_TIMEOUT:
             del node.checks[vm]
--- a/src/sassafrasstair/decisions/fleet/_versions.py
+++ b/src/sassafrasstair/decisions/fleet/_versions.py
@@ -1,8 +1,8 @@
-"""Which bundles a daemon keeps, and which one is in force.
+"""Which bundles a daemon stores, and which one is in force.
 
 Bundles are totally ordered by version and then by the digest of their
-payload; replicas keep the greatest, so they agree in whatever order
-bundles come and never go back.
+payload. Daemons keep the greatest, so they agree whatever order the bundles
+arrive in, and never return to an older one.
 """
 
 from __future__ import annotations
@@ -24,15 +24,14 @@
 
 
 def bundle_id(approved: bundles.Approved) -> _messages.BundleId:
-    """Return the place of a bundle in the total order.
+    """Return the position of a bundle in the total order.
 
-    The digest is of the payload and not of the envelope: two signatures
-    under the same payload do not make two bundles.
+    The digest covers the payload and not the envelope: the same payload
+    with another signature is the same bundle.
     """
-    # Failure: while daemons are replaced by a newer release, old and new
-    # ones settle two bundles of one version differently for good. A digest
-    # of the decoded bundle depends on the release's defaults; that of the
-    # signed text does not.
+    # A digest of the decoded bundle would depend on the release's defaults:
+    # during an upgrade, old and new daemons would permanently choose
+    # different bundles of one version. The signed text has no defaults.
     digest = bytes.fromhex(approved.digest)[:DIGEST_BYTES]
     return _messages.BundleId(approved.bundle.version, digest)
 
@@ -40,37 +39,38 @@
 def add_envelope(
     node: _states.Node, envelope: bytes, source: str
 ) -> list[_effects.Effect]:
-    """Take in one envelope from ``source`` if it is good and new."""
-    seal = hashlib.sha256(envelope).digest()
+    """Store the envelope from ``source`` if it is valid and new."""
+    envelope_digest = hashlib.sha256(envelope).digest()
     if len(envelope) > bundles.MAX_BUNDLE_BYTES:
-        return _refuse(node, seal, "too large", source)
+        return _refuse(node, envelope_digest, "too large", source)
     if any(
-        seal == held.envelope_digest for held in node.bundles_by_id.values()
+        envelope_digest == held.envelope_digest
+        for held in node.bundles_by_id.values()
     ):
         return []
     try:
         approved = node.verify(envelope)
     except bundles.BundleError as error:
-        return _refuse(node, seal, str(error), source)
-    place = bundle_id(approved)
-    held = _states.StoredBundle(
-        place, approved.bundle, compress(envelope), seal
+        return _refuse(node, envelope_digest, str(error), source)
+    identifier = bundle_id(approved)
+    stored = _states.StoredBundle(
+        identifier, approved.bundle, compress(envelope), envelope_digest
     )
-    return _store(node, held, source)
+    return _store(node, stored, source)
 
 
 def update_in_force(node: _states.Node) -> list[_effects.Effect]:
-    """Put the greatest bundle that applies here in force, if settled."""
+    """Put the greatest applicable bundle in force if settled."""
     if not node.settled:
         return []
-    applying = [
+    applicable = [
         held
         for held in node.bundles_by_id.values()
         if _applies(held.bundle, node.local_record.failure_domain)
     ]
-    if not applying:
+    if not applicable:
         return []
-    newest = max(applying, key=lambda held: held.bundle_id)
+    newest = max(applicable, key=lambda held: held.bundle_id)
     current = node.in_force
     if current is not None and newest.bundle_id <= current.bundle_id:
         return []
@@ -84,9 +84,12 @@
 
 
 def decompress(body: bytes) -> bytes | None:
-    """Return the envelope in ``body``, or None if bad or too large."""
-    # A small body can unpack to gigabytes and use up the VM's memory: the
-    # limit stops the unpacking one byte past what a bundle may have.
+    """Return the envelope in ``body``, or None if it is malformed.
+
+    A larger envelope than allowed is cut off one byte past the limit.
+    """
+    # A small body can decompress to gigabytes and exhaust the VM's memory.
+    # Decompression stops one byte past the maximum size of a bundle.
     limit = bundles.MAX_BUNDLE_BYTES + 1
     try:
         return zlib.decompressobj().decompress(body, limit)
@@ -97,9 +100,10 @@
 def missing_ids(
     node: _states.Node, ids: abc.Iterable[_messages.BundleId]
 ) -> list[_messages.BundleId]:
-    """Return those of ``ids`` that may be news here, greatest first."""
-    # A staged bundle may come before the older one for all domains, which
-    # others still need from here: only one for all makes older ones old.
+    """Return those of ``ids`` that may be new here, greatest first."""
+    # A staged bundle may arrive before an older one for all domains, which
+    # peers may still need from this daemon. Therefore only a bundle for all
+    # domains supersedes the older ones.
     floor = min(
         (
             one
@@ -109,22 +113,23 @@
         default=None,
     )
     missing = [
-        one
-        for one in ids
-        if one not in node.bundles_by_id and (floor is None or one > floor)
+        bundle_id
+        for bundle_id in ids
+        if bundle_id not in node.bundles_by_id
+        and (floor is None or bundle_id > floor)
     ]
     return sorted(missing, reverse=True)
 
 
 def _store(
-    node: _states.Node, held: _states.StoredBundle, source: str
+    node: _states.Node, stored: _states.StoredBundle, source: str
 ) -> list[_effects.Effect]:
-    if held.bundle_id in node.bundles_by_id:
+    if stored.bundle_id in node.bundles_by_id:
         return []
-    effects = _report_conflict(node, held)
-    kept = _newest_by_domain(node.bundles_by_id | {held.bundle_id: held})
-    if held.bundle_id not in kept:
-        return effects + _refuse_outdated(node, held, max(kept), source)
+    effects = _report_conflict(node, stored)
+    kept = _newest_by_domain(node.bundles_by_id | {stored.bundle_id: stored})
+    if stored.bundle_id not in kept:
+        return effects + _refuse_outdated(node, stored, max(kept), source)
     node.bundles_by_id = kept
     node.bundle_push_pending = True
     return effects + update_in_force(node)
@@ -132,26 +137,26 @@
 
 def _refuse_outdated(
     node: _states.Node,
-    held: _states.StoredBundle,
+    stored: _states.StoredBundle,
     newest: _messages.BundleId,
     source: str,
 ) -> list[_effects.Effect]:
-    version = held.bundle_id.version
+    version = stored.bundle_id.version
     reason = f"downgraded: version {version}, newest is {newest.version}"
     if version == newest.version:
         reason = "same version as another, of lesser digest"
-    return _refuse(node, held.envelope_digest, reason, source)
+    return _refuse(node, stored.envelope_digest, reason, source)
 
 
 def _report_conflict(
-    node: _states.Node, held: _states.StoredBundle
+    node: _states.Node, stored: _states.StoredBundle
 ) -> list[_effects.Effect]:
     for other in node.bundles_by_id:
-        if other.version == held.bundle_id.version:
+        if other.version == stored.bundle_id.version:
             fields = {
                 "version": str(other.version),
-                "kept": max(other, held.bundle_id).digest.hex(),
-                "dropped": min(other, held.bundle_id).digest.hex(),
+                "kept": max(other, stored.bundle_id).digest.hex(),
+                "dropped": min(other, stored.bundle_id).digest.hex(),
             }
             node.dropped_digests[other.version] = fields["dropped"]
             return [_effects.ReportEvent("bundle_conflict", fields)]
@@ -159,18 +164,18 @@
 
 
 def _newest_by_domain(
-    held: dict[_messages.BundleId, _states.StoredBundle],
+    bundles_by_id: dict[_messages.BundleId, _states.StoredBundle],
 ) -> dict[_messages.BundleId, _states.StoredBundle]:
-    """Return the bundles that are the greatest of some failure domain."""
+    """Return the bundles that are the greatest in some failure domain."""
     kept = {}
     covered: set[str] = set()
-    for one in sorted(held, reverse=True):
-        rollout = held[one].bundle.rollout
+    for identifier in sorted(bundles_by_id, reverse=True):
+        rollout = bundles_by_id[identifier].bundle.rollout
         if not rollout:
-            kept[one] = held[one]
+            kept[identifier] = bundles_by_id[identifier]
             break
         if not covered.issuperset(rollout):
-            kept[one] = held[one]
+            kept[identifier] = bundles_by_id[identifier]
             covered.update(rollout)
     return kept
 
@@ -180,9 +185,9 @@
 
 
 def _refuse(
-    node: _states.Node, seal: bytes, reason: str, source: str
+    node: _states.Node, envelope_digest: bytes, reason: str, source: str
 ) -> list[_effects.Effect]:
-    key = seal[:DIGEST_BYTES].hex()
+    key = envelope_digest[:DIGEST_BYTES].hex()
     if key in node.refusal_reasons:
         return []
     while len(node.refusal_reasons) >= MAX_REFUSED:
