--- a/tests/decisions/fleet/conftest.py
+++ b/tests/decisions/fleet/conftest.py
@@ -20,7 +20,7 @@
 def _bundle(
     version: int, rollout: tuple[str, ...] = (), deadline_ms: int = 1_000
 ) -> bytes:
-    """Return an envelope; another deadline makes another payload."""
+    """Return an envelope; a different deadline changes its payload."""
     return msgspec.json.encode(
         bundles.Bundle(
             format=1,
@@ -51,10 +51,10 @@
 
 
 def _settled(seed: int, loss: float = 0.0) -> _capacity_fleets.Fleet:
-    """Return 24 daemons of one service, 4 in each domain, settled."""
+    """Return 24 settled daemons of one service, 4 in each domain."""
     records = _capacity_fleets.records(24, 1)
     contents = _capacity_platform.Contents(10, (_bundle(1),), tuple(records))
-    made = _capacity_fleets.Fleet(
+    simulation = _capacity_fleets.Fleet(
         _verify,
         _capacity_platform.Platform(contents),
         random.Random(seed),
@@ -62,10 +62,12 @@
     )
     seeds = tuple(record.address for record in records[:6])
     for record in records:
-        made.start(record, seeds)
-    assert made.run(15, lambda: bool(made.nodes) and made.at_version(1))
-    made.run(30)
-    return made
+        simulation.start(record, seeds)
+    assert simulation.run(
+        15, lambda: bool(simulation.nodes) and simulation.at_version(1)
+    )
+    simulation.run(30)
+    return simulation
 
 
 @pytest.fixture
@@ -85,7 +87,7 @@
 
 @pytest.fixture
 def node() -> fleet.Node:
-    """Return a daemon of domain-0 that is alone and not settled."""
+    """Return a daemon of domain-0 without peers, not settled."""
     record = _capacity_fleets.records(24, 1)[0]
     rng = random.Random(1)
     return fleet.new_node(record, "0001", (), _verify, 0.0, rng)
--- a/tests/decisions/fleet/test_fleet_failures.py
+++ b/tests/decisions/fleet/test_fleet_failures.py
@@ -8,119 +8,126 @@
 from sassafrasstair.bench import _capacity_fleets
 from sassafrasstair.decisions import fleet
 
-Make = abc.Callable[..., bytes]
-Settled = abc.Callable[..., _capacity_fleets.Fleet]
+MakeBundle = abc.Callable[..., bytes]
+MakeFleet = abc.Callable[..., _capacity_fleets.Fleet]
 SERVICE = "service-00"
 SUSPICIONS = {"member_suspected", "member_gone"}
 
 
-def _events(made: _capacity_fleets.Fleet, since: float) -> list[str]:
-    return [report.event for at, _, report in made.reports if at >= since]
+def _events(simulation: _capacity_fleets.Fleet, since: float) -> list[str]:
+    return [
+        report.event for at, _, report in simulation.reports if at >= since
+    ]
 
 
-def _chosen(made: _capacity_fleets.Fleet, address: str) -> set[str]:
+def _callable_vms(
+    simulation: _capacity_fleets.Fleet, address: str
+) -> set[str]:
     """Return the VMs that the daemon at ``address`` may call."""
-    targets = fleet.targets(made.nodes[address], SERVICE, made.now)
+    targets = fleet.targets(simulation.nodes[address], SERVICE, simulation.now)
     return {target.vm for target in targets}
 
 
-def _shunned(made: _capacity_fleets.Fleet, vm: str) -> bool:
-    """Return whether no other running daemon would send work to ``vm``."""
+def _gets_no_work(simulation: _capacity_fleets.Fleet, vm: str) -> bool:
+    """Return whether no other running daemon would call ``vm``."""
     return not any(
-        vm in _chosen(made, address)
-        for address, node in made.nodes.items()
-        if address not in made.down and node.local_record.vm != vm
+        vm in _callable_vms(simulation, address)
+        for address, node in simulation.nodes.items()
+        if address not in simulation.down and node.local_record.vm != vm
     )
 
 
-def _silence(made: _capacity_fleets.Fleet) -> None:
-    """Stop the periodic exchanges, which might find the news themselves."""
-    for node in made.nodes.values():
-        node.next_gossip_at = made.now + 60
+def _stop_periodic_gossip(simulation: _capacity_fleets.Fleet) -> None:
+    """Stop the periodic exchanges, which might spread the change too."""
+    for node in simulation.nodes.values():
+        node.next_gossip_at = simulation.now + 60
 
 
-def _domain(made: _capacity_fleets.Fleet, name: str) -> list[str]:
+def _addresses_in(simulation: _capacity_fleets.Fleet, name: str) -> list[str]:
     return [
         address
-        for address, node in made.nodes.items()
+        for address, node in simulation.nodes.items()
         if node.local_record.failure_domain == name
     ]
 
 
-def test_restart_beside_a_stale_platform_keeps_the_newest(
-    settled: Settled, make_bundle: Make
+def test_restart_with_stale_platform_keeps_newest_version(
+    settled: MakeFleet, make_bundle: MakeBundle
 ) -> None:
-    """An approved version would be gone from one VM after its restart.
+    """A restarted VM would run an older version than the approved one.
 
-    The platform comes back with its contents of last week; then a daemon
-    restarts with empty memory and reads it before it has asked a peer.
+    The platform is restored from an old copy. A daemon then restarts with
+    empty memory and reads the platform before it has asked a peer.
     """
-    made = settled(1)
-    old = made.platform.contents
-    made.publish(bundles=(make_bundle(2),))
-    assert made.run(6, lambda: made.at_version(2))
-    made.platform.contents = old
-    address = next(iter(made.nodes))
-    record = made.nodes[address].local_record
-    seeds = tuple(_domain(made, "domain-0")[1:])
-    made.in_force[address].clear()
-    made.start(record, seeds)
-    made.run(0.01)
-    node = made.nodes[address]
+    simulation = settled(1)
+    old = simulation.platform.contents
+    simulation.publish(bundles=(make_bundle(2),))
+    assert simulation.run(6, lambda: simulation.at_version(2))
+    simulation.platform.contents = old
+    address = next(iter(simulation.nodes))
+    record = simulation.nodes[address].local_record
+    seeds = tuple(_addresses_in(simulation, "domain-0")[1:])
+    simulation.in_force[address].clear()
+    simulation.start(record, seeds)
+    simulation.run(0.01)
+    node = simulation.nodes[address]
     effects = fleet.process_platform_bundles(
-        node, list(old.bundles), old.index, made.now, made.rng
+        node, list(old.bundles), old.index, simulation.now, simulation.rng
     )
-    made.perform(address, effects)
-    made.run(6)
-    assert [version for _, version in made.in_force[address]] == [2]
+    simulation.perform(address, effects)
+    simulation.run(6)
+    assert [version for _, version in simulation.in_force[address]] == [2]
 
 
-def test_alone_with_the_platform_a_daemon_serves_after_a_bounded_wait(
-    settled: Settled,
+def test_daemon_without_peers_serves_after_bounded_wait(
+    settled: MakeFleet,
 ) -> None:
     """A restarted daemon that no peer can reach must still serve.
 
-    Its failure domain has only this VM left and is cut off from the
-    others, but not from the platform.
+    It is the only VM left in its failure domain, which is partitioned from
+    the other domains but not from the platform.
     """
-    made = settled(2)
-    first, *others = _domain(made, "domain-0")
+    simulation = settled(2)
+    first, *others = _addresses_in(simulation, "domain-0")
     for address in others:
-        made.stop(address)
-    made.cut("domain-0")
-    made.start(made.nodes[first].local_record, tuple(others))
-    made.run(0.01)
-    node = made.nodes[first]
-    assert not fleet.ready_to_serve(node, made.now)
-    assert made.run(9, lambda: fleet.ready_to_serve(node, made.now))
+        simulation.stop(address)
+    simulation.cut("domain-0")
+    simulation.start(simulation.nodes[first].local_record, tuple(others))
+    simulation.run(0.01)
+    node = simulation.nodes[first]
+    assert not fleet.ready_to_serve(node, simulation.now)
+    assert simulation.run(
+        9, lambda: fleet.ready_to_serve(node, simulation.now)
+    )
 
 
 def test_versions_never_go_back_while_two_operators_approve(
-    settled: Settled, make_bundle: Make
+    settled: MakeFleet, make_bundle: MakeBundle
 ) -> None:
-    """Two operators publish version 2 with other contents in turn.
+    """Two operators publish version 2 with different contents in turn.
 
-    Each watcher hears of another one last; all daemons must agree.
+    Watchers may receive the two in different orders; all daemons must
+    agree.
     """
-    made = settled(3, loss=0.05)
+    simulation = settled(3, loss=0.05)
     for deadline_ms in (1_000, 2_000, 1_000):
-        made.publish(bundles=(make_bundle(2, deadline_ms=deadline_ms),))
-        made.run(0.3)
-    made.run(6)
-    in_force = [fleet.in_force(node) for node in made.nodes.values()]
+        simulation.publish(bundles=(make_bundle(2, deadline_ms=deadline_ms),))
+        simulation.run(0.3)
+    simulation.run(6)
+    in_force = [fleet.in_force(node) for node in simulation.nodes.values()]
     assert all(bundle == in_force[0] for bundle in in_force)
-    for seen in made.in_force.values():
+    for seen in simulation.in_force.values():
         assert [v for _, v in seen] == sorted(v for _, v in seen)
 
 
 def test_staged_bundle_stays_in_its_failure_domains(
-    settled: Settled, make_bundle: Make
+    settled: MakeFleet, make_bundle: MakeBundle
 ) -> None:
-    made = settled(4)
+    simulation = settled(4)
     staged = make_bundle(2, rollout=("domain-1",))
-    made.publish(bundles=(make_bundle(1), staged))
-    made.run(6)
-    for node in made.nodes.values():
+    simulation.publish(bundles=(make_bundle(1), staged))
+    simulation.run(6)
+    for node in simulation.nodes.values():
         bundle = fleet.in_force(node)
         assert bundle is not None
         staged_here = node.local_record.failure_domain == "domain-1"
@@ -128,225 +135,264 @@
 
 
 def test_dead_watchers_are_replaced(
-    settled: Settled, make_bundle: Make
+    settled: MakeFleet, make_bundle: MakeBundle
 ) -> None:
-    """Both watchers of a domain vanish, then a version is published.
+    """Both watchers of a domain fail, then a version is published.
 
-    The domain is cut off from the others, so that only its own watchers
-    can bring the version in.
+    The domain is partitioned from the others, so that only its own watchers
+    can receive the version.
     """
-    made = settled(5)
-    watchers = [a for a in _domain(made, "domain-0") if a in made.watching]
+    simulation = settled(5)
+    watchers = [
+        a
+        for a in _addresses_in(simulation, "domain-0")
+        if a in simulation.watching
+    ]
     assert len(watchers) == 2
     for address in watchers:
-        made.stop(address)
-    made.cut("domain-0")
-    made.run(15)
-    made.publish(bundles=(make_bundle(2),))
-    assert made.run(6, lambda: made.at_version(2))
+        simulation.stop(address)
+    simulation.cut("domain-0")
+    simulation.run(15)
+    simulation.publish(bundles=(make_bundle(2),))
+    assert simulation.run(6, lambda: simulation.at_version(2))
 
 
-def test_blind_watchers_get_others_beside_them(settled: Settled) -> None:
-    """Both watchers of a domain lose the platform, others would reach it.
+def test_watchers_without_platform_are_supplemented(
+    settled: MakeFleet,
+) -> None:
+    """Both watchers of a domain lose the platform, which others can reach.
 
-    They are alive, so their peers keep them; without a word from them the
-    domain would hear of nothing new.
+    They are alive, so their peers keep them as watchers. Unless they report
+    the loss, the domain would receive no changes.
     """
-    made = settled(6)
-    watchers = [a for a in _domain(made, "domain-0") if a in made.watching]
+    simulation = settled(6)
+    watchers = [
+        a
+        for a in _addresses_in(simulation, "domain-0")
+        if a in simulation.watching
+    ]
     for address in watchers:
-        del made.watching[address]
+        del simulation.watching[address]
         for _ in range(3):
             fleet.process_platform_failure(
-                made.nodes[address], made.now, made.rng
+                simulation.nodes[address], simulation.now, simulation.rng
             )
-    made.run(10)
-    watching = [a for a in _domain(made, "domain-0") if made.nodes[a].watching]
+    simulation.run(10)
+    watching = [
+        a
+        for a in _addresses_in(simulation, "domain-0")
+        if simulation.nodes[a].watching
+    ]
     assert len(watching) == 4
 
 
-def test_cut_domain_goes_on_alone_and_is_back_after_the_heal(
-    settled: Settled, make_bundle: Make
+def test_partitioned_domain_keeps_serving_and_recovers(
+    settled: MakeFleet, make_bundle: MakeBundle
 ) -> None:
-    """A failure domain is cut off for a minute, with the platform.
+    """A failure domain loses the other domains and the platform for 60 s.
 
-    Callers inside must find the instances inside, and nobody must be
-    declared dead; after the heal a version published meanwhile holds.
+    Callers inside must use the instances inside, and no VM may be declared
+    dead. Once the partition has healed, the version published meanwhile is
+    in force.
     """
-    made = settled(7)
-    inside = _domain(made, "domain-0")
-    names = {made.nodes[address].local_record.vm for address in inside}
-    since = made.now
-    made.cut("domain-0")
-    made.cuts.add(frozenset(("domain-0", "")))
-    made.publish(bundles=(make_bundle(2),))
-    made.run(60)
-    for address in made.nodes:
-        chosen = _chosen(made, address)
+    simulation = settled(7)
+    inside = _addresses_in(simulation, "domain-0")
+    names = {simulation.nodes[address].local_record.vm for address in inside}
+    since = simulation.now
+    simulation.cut("domain-0")
+    simulation.cuts.add(frozenset(("domain-0", "")))
+    simulation.publish(bundles=(make_bundle(2),))
+    simulation.run(60)
+    for address in simulation.nodes:
+        chosen = _callable_vms(simulation, address)
         assert chosen
         assert (chosen <= names) == (address in inside)
-    assert not SUSPICIONS.intersection(_events(made, since))
-    made.heal()
-    assert made.run(6, lambda: made.at_version(2))
-    made.run(6)
+    assert not SUSPICIONS.intersection(_events(simulation, since))
+    simulation.heal()
+    assert simulation.run(6, lambda: simulation.at_version(2))
+    simulation.run(6)
     assert all(
-        names - {made.nodes[a].local_record.vm} <= _chosen(made, a)
+        names - {simulation.nodes[a].local_record.vm}
+        <= _callable_vms(simulation, a)
         for a in inside
     )
-    assert any(names & _chosen(made, a) for a in _domain(made, "domain-1"))
-    assert all(len(_chosen(made, a) - names) >= 2 for a in inside)
+    assert any(
+        names & _callable_vms(simulation, a)
+        for a in _addresses_in(simulation, "domain-1")
+    )
+    assert all(len(_callable_vms(simulation, a) - names) >= 2 for a in inside)
 
 
-def test_domain_that_calls_cannot_reach_is_shunned_whole_within_3_s(
-    settled: Settled,
+def test_unreachable_domain_gets_no_work_within_3_s(
+    settled: MakeFleet,
 ) -> None:
-    """A failure domain is cut off; one caller sees a call fail.
+    """A failure domain becomes unreachable, and one caller's call fails.
 
-    Its peers have called nobody there yet. One by one they would lose a
-    call to each instance behind the cut.
+    The caller's peers have called no instance there yet. Otherwise each of
+    them would lose a call to each unreachable instance.
     """
-    made = settled(16)
-    names = {made.nodes[a].local_record.vm for a in _domain(made, "domain-0")}
-    callers = _domain(made, "domain-1")
-    made.cut("domain-0")
-    caller = made.nodes[callers[0]]
-    fleet.observe_call(caller, min(names), False, "", made.now)
-    assert made.run(
-        3, lambda: not any(names & _chosen(made, a) for a in callers)
+    simulation = settled(16)
+    names = {
+        simulation.nodes[a].local_record.vm
+        for a in _addresses_in(simulation, "domain-0")
+    }
+    callers = _addresses_in(simulation, "domain-1")
+    simulation.cut("domain-0")
+    caller = simulation.nodes[callers[0]]
+    fleet.observe_call(caller, min(names), False, "", simulation.now)
+    assert simulation.run(
+        3,
+        lambda: not any(names & _callable_vms(simulation, a) for a in callers),
     )
 
 
-def test_paused_process_wakes_accuses_nobody_and_is_taken_back(
-    settled: Settled,
+def test_resumed_process_suspects_no_peer_and_gets_work(
+    settled: MakeFleet,
 ) -> None:
-    """A process stands still for two minutes, is held for gone and wakes.
+    """A process resumes after a pause of two minutes and is marked as gone.
 
-    All its own exchanges are overdue then; it must not take its peers for
-    dead, and must get work again though no rumour of it is left.
+    All its own exchanges are overdue then. It must not suspect its peers,
+    and must get work again although no rumour about it is still sent.
     """
-    made = settled(8)
-    address = next(iter(made.nodes))
-    vm = made.nodes[address].local_record.vm
-    made.pause(address, 120)
-    made.run(119.9)
-    assert _shunned(made, vm)
-    since = made.now
-    assert made.run(3, lambda: "refuted" in _events(made, since))
-    made.run(10)
-    accused = {
+    simulation = settled(8)
+    address = next(iter(simulation.nodes))
+    vm = simulation.nodes[address].local_record.vm
+    simulation.pause(address, 120)
+    simulation.run(119.9)
+    assert _gets_no_work(simulation, vm)
+    since = simulation.now
+    assert simulation.run(3, lambda: "refuted" in _events(simulation, since))
+    simulation.run(10)
+    suspected = {
         report.fields["vm"]
-        for at, _, report in made.reports
+        for at, _, report in simulation.reports
         if at >= since and report.event in SUSPICIONS
     }
-    assert not accused
-    for other in made.nodes.values():
+    assert not suspected
+    for other in simulation.nodes.values():
         assert other.members[vm].liveness == 0
-    near = _domain(made, "domain-0")
-    assert all(vm in _chosen(made, a) for a in near if a != address)
+    near = _addresses_in(simulation, "domain-0")
+    assert all(
+        vm in _callable_vms(simulation, a) for a in near if a != address
+    )
 
 
 def test_dead_vm_gets_no_work_3_s_after_one_call_to_it_failed(
-    settled: Settled,
+    settled: MakeFleet,
 ) -> None:
-    made = settled(9, loss=0.01)
+    simulation = settled(9, loss=0.01)
     address, caller = (
-        _domain(made, "domain-0")[0],
-        _domain(made, "domain-3")[0],
+        _addresses_in(simulation, "domain-0")[0],
+        _addresses_in(simulation, "domain-3")[0],
     )
-    vm = made.nodes[address].local_record.vm
-    made.stop(address)
-    _silence(made)
-    fleet.observe_call(made.nodes[caller], vm, False, "", made.now)
-    assert made.run(3, lambda: _shunned(made, vm))
+    vm = simulation.nodes[address].local_record.vm
+    simulation.stop(address)
+    _stop_periodic_gossip(simulation)
+    fleet.observe_call(simulation.nodes[caller], vm, False, "", simulation.now)
+    assert simulation.run(3, lambda: _gets_no_work(simulation, vm))
 
 
-def test_leaving_vm_gets_no_work_within_3_s(settled: Settled) -> None:
-    made = settled(10, loss=0.01)
+def test_leaving_vm_gets_no_work_within_3_s(settled: MakeFleet) -> None:
+    simulation = settled(10, loss=0.01)
     for address in (
-        _domain(made, "domain-0")[0],
-        _domain(made, "domain-4")[1],
+        _addresses_in(simulation, "domain-0")[0],
+        _addresses_in(simulation, "domain-4")[1],
     ):
-        node = made.nodes[address]
-        _silence(made)
-        made.perform(address, fleet.set_leaving(node, made.now, made.rng))
-        shunned = functools.partial(_shunned, made, node.local_record.vm)
-        assert made.run(3, shunned)
-
-
-def test_leaving_by_the_vm_list_reaches_all_within_3_s(
-    settled: Settled,
+        node = simulation.nodes[address]
+        _stop_periodic_gossip(simulation)
+        simulation.perform(
+            address, fleet.set_leaving(node, simulation.now, simulation.rng)
+        )
+        gets_no_work = functools.partial(
+            _gets_no_work, simulation, node.local_record.vm
+        )
+        assert simulation.run(3, gets_no_work)
+
+
+def test_leaving_in_vm_list_reaches_all_within_3_s(
+    settled: MakeFleet,
 ) -> None:
-    made = settled(11)
-    first, *rest = made.platform.contents.vms
+    simulation = settled(11)
+    first, *rest = simulation.platform.contents.vms
     leaving = msgspec.structs.replace(first, state="leaving")
-    made.publish(vms=(leaving, *rest))
-    assert made.run(3, lambda: _shunned(made, first.vm))
-    assert made.run(10, lambda: "listed_as_leaving" in _events(made, 0))
+    simulation.publish(vms=(leaving, *rest))
+    assert simulation.run(3, lambda: _gets_no_work(simulation, first.vm))
+    assert simulation.run(
+        10, lambda: "listed_as_leaving" in _events(simulation, 0)
+    )
 
 
-def test_one_broken_link_accuses_nobody(settled: Settled) -> None:
+def test_one_broken_link_causes_no_suspicion(settled: MakeFleet) -> None:
     """One daemon cannot call one of its peers, which all others reach.
 
-    On its word alone a healthy VM would be shunned by the whole fleet.
+    If its report were enough, a healthy VM would get no work at all.
     """
-    made = settled(12)
-    one, other, *_ = _domain(made, "domain-0")
-    since = made.now
-    made.broken.add((one, other))
-    made.run(60)
-    assert not SUSPICIONS.intersection(_events(made, since))
-    vm = made.nodes[other].local_record.vm
-    assert vm not in _chosen(made, one)
-    assert vm in _chosen(made, _domain(made, "domain-0")[2])
-
-
-def test_lost_watch_costs_one_read_each_and_rests_while_down(
-    settled: Settled, make_bundle: Make
+    simulation = settled(12)
+    one, other, *_ = _addresses_in(simulation, "domain-0")
+    since = simulation.now
+    simulation.broken.add((one, other))
+    simulation.run(60)
+    assert not SUSPICIONS.intersection(_events(simulation, since))
+    vm = simulation.nodes[other].local_record.vm
+    assert vm not in _callable_vms(simulation, one)
+    assert vm in _callable_vms(
+        simulation, _addresses_in(simulation, "domain-0")[2]
+    )
+
+
+def test_lost_watches_read_with_backoff_while_platform_is_down(
+    settled: MakeFleet, make_bundle: MakeBundle
 ) -> None:
     """The platform is down for two minutes and comes back.
 
-    Every watcher loses its watch at once; they must not read in step, nor
-    the fleet with them, and must have what changed meanwhile.
+    All watchers lose their watch at once. Their reads must be spread over
+    time, the rest of the fleet must not read, and changes made meanwhile
+    must arrive.
     """
-    made = settled(13)
-    before = sum(made.platform.calls.values())
-    made.platform_goes(up=False)
-    made.run(120)
-    while_down = sum(made.platform.calls.values()) - before
-    made.platform.publish(bundles=(make_bundle(2),))
-    made.platform_goes(up=True)
-    since = made.now
-    assert made.run(31, lambda: made.at_version(2))
-    made.run(31)
-    assert len(made.watching) == 12
+    simulation = settled(13)
+    before = sum(simulation.platform.calls.values())
+    simulation.platform_goes(up=False)
+    simulation.run(120)
+    while_down = sum(simulation.platform.calls.values()) - before
+    simulation.platform.publish(bundles=(make_bundle(2),))
+    simulation.platform_goes(up=True)
+    since = simulation.now
+    assert simulation.run(31, lambda: simulation.at_version(2))
+    simulation.run(31)
+    assert len(simulation.watching) == 12
     assert while_down < 24 * 3 * 12
-    assert made.platform.peak(since) <= 24 * 3
+    assert simulation.platform.peak(since) <= 24 * 3
 
 
-def test_all_start_at_once_and_most_never_read(settled: Settled) -> None:
-    """Power is back in all domains: every daemon starts with nothing.
+def test_simultaneous_start_reads_platform_rarely(settled: MakeFleet) -> None:
+    """Every daemon starts with empty memory after a power failure.
 
-    If each read the platform, 1,300 would ask it in the same second.
+    If each read the platform, 1,300 would do so in the same second.
     """
-    made = settled(14)
-    readers = sum(made.platform.calls.values()) / 3
+    simulation = settled(14)
+    readers = sum(simulation.platform.calls.values()) / 3
     assert readers < 24 * 1.5
-    assert len(made.watching) == 12
-    assert len({tuple(n.bucket_checksums) for n in made.nodes.values()}) == 1
+    assert len(simulation.watching) == 12
+    assert (
+        len({tuple(n.bucket_checksums) for n in simulation.nodes.values()})
+        == 1
+    )
 
 
-def test_replaced_vm_with_a_new_incarnation_is_taken_in(
-    settled: Settled,
+def test_new_incarnation_reaches_all_daemons(
+    settled: MakeFleet,
 ) -> None:
-    made = settled(15)
-    address = _domain(made, "domain-2")[0]
-    node = made.nodes[address]
-    made.stop(address)
-    made.run(20)
-    made.start(node.local_record, tuple(_domain(made, "domain-0")))
-    made.run(10)
-    incarnation = made.nodes[address].incarnation
+    simulation = settled(15)
+    address = _addresses_in(simulation, "domain-2")[0]
+    node = simulation.nodes[address]
+    simulation.stop(address)
+    simulation.run(20)
+    simulation.start(
+        node.local_record, tuple(_addresses_in(simulation, "domain-0"))
+    )
+    simulation.run(10)
+    incarnation = simulation.nodes[address].incarnation
     assert incarnation > node.incarnation
-    for other in made.nodes.values():
+    for other in simulation.nodes.values():
         assert fleet.incarnation_of(other, node.local_record.vm) == incarnation
         assert other.members[node.local_record.vm].liveness == 0
--- a/tests/decisions/fleet/test_members.py
+++ b/tests/decisions/fleet/test_members.py
@@ -41,7 +41,7 @@
         ([("1", 0, 0, True), ("2", 0, 0)], ("2", 0, 0, False)),
     ],
 )
-def test_rumours_join_in_any_order(
+def test_rumours_merge_alike_in_any_order(
     node: fleet.Node,
     rumours: list[tuple[str, int, int, bool]],
     expected: tuple[str, int, int, bool],
@@ -70,7 +70,7 @@
         (1, 1, 8, (1, 1)),
     ],
 )
-def test_targets_are_near_with_some_to_spill_over(
+def test_targets_prefer_own_domain_with_spillover(
     node: fleet.Node,
     own: int,
     others: int,
@@ -82,36 +82,36 @@
         vm = f"other-{number}"
         record = fleet.Record(vm, "s", domain, "region-0", f"1.1.1.1:{number}")
         _members.merge(node, fleet.Rumour(vm, "1", 0, 0, record=record), 0.0)
-    targets = _chosen(node, size)
+    targets = _chosen_records(node, size)
     near = [t for t in targets if t.failure_domain == "domain-0"]
     assert (len(near), len(targets) - len(near)) == expected
 
 
 @pytest.mark.parametrize("data", [b"", b"\xc1", b"\x92\x63\x01", b"\x91\x01"])
-def test_bad_bytes_are_no_message(data: bytes) -> None:
+def test_malformed_bytes_raise_bad_message(data: bytes) -> None:
     with pytest.raises(fleet.BadMessage):
         fleet.decode(data)
 
 
-def test_rumours_die_out(node: fleet.Node) -> None:
+def test_rumours_are_sent_a_bounded_number_of_times(node: fleet.Node) -> None:
     _members.merge(node, _rumour("1", 0, _messages.GONE), 0.0)
     _members.queue_rumour(node, RECORD.vm)
-    told = [
+    sent = [
         rumour.vm
         for _ in range(100)
         for rumour in _members.piggyback(node, "")
     ]
-    assert 0 < told.count(RECORD.vm) <= 3 * 3
+    assert 0 < sent.count(RECORD.vm) <= 3 * 3
 
 
-def _chosen(node: fleet.Node, size: int) -> tuple[fleet.Record, ...]:
+def _chosen_records(node: fleet.Node, size: int) -> tuple[fleet.Record, ...]:
     return tuple(
         node.members[target.vm].record
         for target in _subsets.choose_targets(node, "s", size, 0.0)
     )
 
 
-def test_rng_is_the_only_source_of_chance(
+def test_same_seed_gives_same_effects(
     verify: abc.Callable[[bytes], bundles.Approved],
 ) -> None:
     seen = []
@@ -122,13 +122,13 @@
     assert seen[0] == seen[1]
 
 
-def test_what_rumours_missed_is_fetched(
+def test_differing_members_are_fetched(
     node: fleet.Node, verify: abc.Callable[[bytes], bundles.Approved]
 ) -> None:
-    """A rumour died out before it came here; tables differ for good.
+    """A rumour is no longer sent before it has reached every daemon.
 
-    The checksums on a later exchange differ, and the members that differ
-    are fetched.
+    Member tables would differ permanently unless a later exchange, in which
+    the checksums differ, fetches the differing members.
     """
     rng = random.Random(1)
     peer = fleet.new_node(
@@ -147,13 +147,13 @@
 
 
 @pytest.mark.parametrize(("gap", "barred"), [(0.5, True), (20.0, False)])
-def test_timeouts_right_after_a_pause_count_for_nothing(
+def test_timeouts_right_after_a_pause_are_ignored(
     node: fleet.Node, gap: float, barred: bool
 ) -> None:
-    """A process stood still; its open exchanges are all overdue then.
+    """After a pause of the process all its open exchanges are overdue.
 
-    They failed because it did not read the replies, not because its
-    peers are gone.
+    They failed because it did not read the replies, not because its peers
+    are gone.
     """
     rng = random.Random(1)
     _members.merge(node, _rumour("1", 0, _messages.SERVING), 0.0)
@@ -163,13 +163,13 @@
     assert node.members[RECORD.vm].ejected is barred
 
 
-def test_other_domains_do_not_accuse(
+def test_other_domains_do_not_declare_suspicion(
     node: fleet.Node,
 ) -> None:
     """A daemon and a helper cannot reach a VM of another failure domain.
 
-    That may be the network between the domains; only the VM's own domain
-    may tell all that it is gone.
+    The network between the domains may be at fault, so only members of the
+    VM's own domain may declare it suspected.
     """
     rng = random.Random(1)
     for number in range(6, 12):
@@ -185,10 +185,10 @@
     assert node.members[RECORD.vm].liveness == _messages.SERVING
 
 
-def test_a_vm_held_for_gone_hears_so_when_it_calls(node: fleet.Node) -> None:
-    """A paused process wakes after its rumour has died out.
+def test_vm_marked_gone_is_told_when_it_gossips(node: fleet.Node) -> None:
+    """A process resumes after the rumour that it is gone was last sent.
 
-    Unless it hears that it is held for gone it cannot refute that.
+    Unless a peer tells it of that state it cannot refute it.
     """
     _members.merge(node, _rumour("1", 0, _messages.GONE), 0.0)
     gossip = fleet.Gossip(RECORD.vm, RECORD.address, "1", True, 0, 0)
@@ -203,12 +203,13 @@
     ("now", "index", "watches"),
     [(4.0, 0, False), (4.0, 9, True), (16, 0, True)],
 )
-def test_who_knows_only_its_seeds_does_not_watch_yet(
+def test_daemon_that_knows_only_seeds_does_not_watch(
     node: fleet.Node, now: float, index: int, watches: bool
 ) -> None:
-    """All start at once: each is among the first two of the few it knows.
+    """When all daemons start at once, each knows only its seeds.
 
-    So the whole fleet would watch the platform.
+    It is among the first two of those, so the whole fleet would watch the
+    platform.
     """
     node.vm_list_index = index
     node.settled = True
--- a/tests/decisions/fleet/test_versions.py
+++ b/tests/decisions/fleet/test_versions.py
@@ -11,7 +11,7 @@
 from sassafrasstair.decisions import fleet
 from sassafrasstair.decisions.fleet import _versions
 
-Make = abc.Callable[..., bytes]
+MakeBundle = abc.Callable[..., bytes]
 
 
 def _settle(node: fleet.Node) -> None:
@@ -37,7 +37,7 @@
 )
 def test_same_bundle_in_force_in_any_order(
     node: fleet.Node,
-    make_bundle: Make,
+    make_bundle: MakeBundle,
     verify: abc.Callable[[bytes], bundles.Approved],
     offers: list[tuple[int, tuple[str, ...]]],
     expected: int,
@@ -45,46 +45,46 @@
 ) -> None:
     envelopes = [make_bundle(*offer) for offer in offers]
     for order in itertools.permutations(envelopes):
-        one = fleet.new_node(
+        fresh_node = fleet.new_node(
             node.local_record, "0001", (), verify, 0.0, random.Random(1)
         )
-        _settle(one)
-        effects = _offer(one, *order)
-        in_force = fleet.in_force(one)
+        _settle(fresh_node)
+        effects = _offer(fresh_node, *order)
+        in_force = fleet.in_force(fresh_node)
         assert in_force is not None
-        came = [
+        versions = [
             effect.bundle.version
             for effect in effects
             if isinstance(effect, fleet.InForce)
         ]
-        assert came == sorted(set(came))
+        assert versions == sorted(set(versions))
         assert in_force.version == expected
-        assert {held.version for held in one.bundles_by_id} == kept
+        assert {held.version for held in fresh_node.bundles_by_id} == kept
 
 
-def test_same_version_twice_is_settled_alike_and_reported(
+def test_conflicting_bundles_are_resolved_alike_and_reported(
     node: fleet.Node,
-    make_bundle: Make,
+    make_bundle: MakeBundle,
     verify: abc.Callable[[bytes], bundles.Approved],
 ) -> None:
     """Two operators approve version 2 at once, with different payloads.
 
-    Each failure domain hears of another one first. Without one fixed rule
-    each would keep the first that it heard, for good.
+    Daemons receive the two in different orders. Without a fixed rule each
+    would permanently keep the one that arrived first.
     """
     envelopes = [make_bundle(2, deadline_ms=ms) for ms in (1_000, 2_000)]
     winners = set()
     for order in (envelopes, envelopes[::-1]):
-        one = fleet.new_node(
+        fresh_node = fleet.new_node(
             node.local_record, "0001", (), verify, 0.0, random.Random(1)
         )
-        _settle(one)
-        effects = _offer(one, *order)
-        assert one.in_force is not None
-        winners.add(one.in_force.bundle_id.digest)
+        _settle(fresh_node)
+        effects = _offer(fresh_node, *order)
+        assert fresh_node.in_force is not None
+        winners.add(fresh_node.in_force.bundle_id.digest)
         events = [e.event for e in effects if isinstance(e, fleet.ReportEvent)]
         assert "bundle_conflict" in events
-        assert fleet.status(one)["conflicts"]["2"] not in winners
+        assert fleet.status(fresh_node)["conflicts"]["2"] not in winners
     assert len(winners) == 1
 
 
@@ -96,8 +96,11 @@
         (None, "downgraded: version 1, newest is 2"),
     ],
 )
-def test_refused_bundle_is_shown_and_changes_nothing(
-    node: fleet.Node, make_bundle: Make, envelope: bytes | None, reason: str
+def test_refused_bundle_is_in_status_and_changes_nothing(
+    node: fleet.Node,
+    make_bundle: MakeBundle,
+    envelope: bytes | None,
+    reason: str,
 ) -> None:
     _settle(node)
     _offer(node, make_bundle(2))
@@ -111,20 +114,20 @@
     assert shown.startswith(reason)
 
 
-def test_body_that_unpacks_too_large_is_cut_off() -> None:
+def test_decompression_stops_at_the_size_limit() -> None:
     body = zlib.compress(b" " * (50 * bundles.MAX_BUNDLE_BYTES))
     envelope = _versions.decompress(body)
     assert envelope is not None
     assert len(envelope) == bundles.MAX_BUNDLE_BYTES + 1
 
 
-def test_bundle_refused_here_is_not_fetched_again_at_once(
+def test_refused_bundle_is_not_fetched_again_at_once(
     node: fleet.Node,
 ) -> None:
-    """A peer holds a bundle whose key this daemon no longer trusts.
+    """A peer stores a bundle whose key this daemon no longer trusts.
 
-    Each gossip exchange names it; fetching it each time would spend the
-    whole control budget on bodies that are refused.
+    Each gossip exchange lists it. Fetching it each time would spend the
+    whole budget of control traffic on refused bodies.
     """
     _settle(node)
     rng = random.Random(1)
@@ -138,19 +141,21 @@
     assert asked not in fleet.handle_request(node, gossip, 4.0, rng)[1]
 
 
-def test_order_follows_the_signed_text(
-    make_bundle: Make,
+def test_order_depends_on_the_signed_text(
+    make_bundle: MakeBundle,
     verify: abc.Callable[[bytes], bundles.Approved],
 ) -> None:
-    """Two halves of a mesh stay on different bundles of one version.
+    """Parts of a mesh could stay on different bundles of one version.
 
-    Two operators approved the same version; half of the daemons run a
-    newer release, whose schema has one more default. A digest of what they
-    decoded orders the two bundles differently in either half.
+    Two operators approved the same version, and half of the daemons run a
+    newer release whose schema has one more default. A digest of the decoded
+    bundle would order the two differently in each half.
     """
     text = make_bundle(7)
-    wider = text.replace(b"{", b"{ ", 1)
-    for one in (text, wider):
-        place = fleet.bundle_id(verify(one))
-        assert bundles.digest(one).startswith(place.digest.hex())
-    assert fleet.bundle_id(verify(text)) != fleet.bundle_id(verify(wider))
+    reformatted = text.replace(b"{", b"{ ", 1)
+    for envelope in (text, reformatted):
+        identifier = fleet.bundle_id(verify(envelope))
+        assert bundles.digest(envelope).startswith(identifier.digest.hex())
+    assert fleet.bundle_id(verify(text)) != fleet.bundle_id(
+        verify(reformatted)
+    )
--- a/tests/decisions/fleet/test_watch_start.py
+++ b/tests/decisions/fleet/test_watch_start.py
@@ -14,11 +14,11 @@
 
 
 def test_lone_daemon_watches_once_its_peers_are_known() -> None:
-    """A new bundle never comes into force in a quiet failure domain.
+    """A new bundle would never come into force in a quiet failure domain.
 
-    Two daemons start and read the platform once. No member comes or goes
-    afterwards. The watchers were chosen before the peers were known, when
-    nobody may watch yet, and never again, as nothing changed.
+    After the start no member joins or leaves. If watchers were chosen only
+    before the peers are known, when no daemon may watch yet, the choice
+    would never be repeated.
     """
     rng = random.Random(1)
     me = fleet.Record("a-1", "ledger", "pos-a", "tt-north", "10.0.0.1:1")
