--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -39,7 +39,7 @@
     """Do the periodic work of the allocator, if it runs here."""
     allocation = daemon.allocation
     if allocation is None:
-        settled = now - daemon.feed.started >= SETTLE_SECONDS
+        settled = now - daemon.feed.started_at >= SETTLE_SECONDS
         if settled and _is_first(daemon) and _has_limits(daemon):
             activate(daemon, now)
         return
@@ -132,7 +132,7 @@
 
 def _is_first(daemon: _state.Daemon) -> bool:
     feed = daemon.feed
-    return feed.known and not feed.earlier_hosts
+    return feed.own_listed and not feed.earlier_hosts
 
 
 def _has_limits(daemon: _state.Daemon) -> bool:
@@ -177,7 +177,7 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, now: float
 ) -> None:
     shares = allocation.allocator.shares
-    for domain in shares.peers:
+    for domain in shares.peer_domains:
         since = now - allocation.updated_at.get(domain, -math.inf)
         due = since >= UPDATE_SECONDS or quotas.has_changes(shares, domain)
         if due and domain not in allocation.updates_in_flight:
