--- a/src/sassafrasstair/decisions/fleet/_effects.py
+++ b/src/sassafrasstair/decisions/fleet/_effects.py
@@ -9,6 +9,7 @@
     from sassafrasstair import bundles
     from sassafrasstair.decisions.fleet import _messages
 
+# Seconds.
 EXCHANGE_TIMEOUT = 1.0
 PROBE_TIMEOUT = 0.6
 
--- a/src/sassafrasstair/decisions/fleet/_fetches.py
+++ b/src/sassafrasstair/decisions/fleet/_fetches.py
@@ -14,6 +14,7 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
+# Times are in seconds.
 FETCH_DEADLINE = 2.0
 FETCH_BLOCK_TIME = 30.0
 MAX_BLOCKED_FETCHES = 16
--- a/src/sassafrasstair/decisions/fleet/_members.py
+++ b/src/sassafrasstair/decisions/fleet/_members.py
@@ -20,12 +20,15 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
+# Rumours per message, and queued rumours that only announce serving members.
 MAX_RUMOURS = 12
 MAX_QUEUED_ANNOUNCEMENTS = 64
 PRIORITY_OFFSET = 1_000
 """Added to the transmissions left of rumours that are sent first."""
 
+# Transmissions per rumour, as a factor of the logarithm of the fleet's size.
 RETRANSMIT_FACTOR = 1.5
+# Seconds.
 MIN_HOLD_DOWN = 1.0
 MAX_HOLD_DOWN = 16.0
 FLAP_WINDOW = 60.0
@@ -117,7 +120,7 @@
     receiver: str,
     known: abc.Collection[_messages.Rumour] = (),
 ) -> tuple[_messages.Rumour, ...]:
-    """Return the rumours for one message, the least transmitted first.
+    """Return the rumours for one message, most transmissions left first.
 
     Rumours in ``known``, which the receiver has just sent, are left out.
     """
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -21,13 +21,15 @@
 
     from sassafrasstair import bundles
 
+# Seconds. A longer gap between ticks counts as a pause of this process.
 PAUSE_THRESHOLD = 1.5
+# Seconds after a pause in which failed contacts are ignored.
 FAILURE_GRACE_PERIOD = 1.0
 EXPIRY_INTERVAL = 1.0
 
 
 def new_node(
-    me: _messages.Record,
+    local_record: _messages.Record,
     incarnation: str,
     seeds: tuple[str, ...],
     verify: abc.Callable[[bytes], bundles.Approved],
@@ -35,17 +37,17 @@
     rng: random.Random,
 ) -> _states.Node:
     """Return the initial state of a daemon that starts at ``now``."""
-    node = _states.Node(me, incarnation, seeds, verify, now)
+    node = _states.Node(local_record, incarnation, seeds, verify, now)
     rumour = _messages.Rumour(
-        me.vm,
+        local_record.vm,
         incarnation,
         0,
         _messages.SERVING,
-        me.state == "leaving",
-        record=me,
+        local_record.state == "leaving",
+        record=local_record,
     )
     _members.merge(node, rumour, now)
-    _members.queue_rumour(node, me.vm)
+    _members.queue_rumour(node, local_record.vm)
     node.next_read_at = _platform.first_read_at(now, rng)
     node.next_gossip_at = now
     node.last_tick_at = now
@@ -181,14 +183,14 @@
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Announce that this VM takes no new work from now on."""
-    me = node.members[node.local_record.vm]
+    own_member = node.members[node.local_record.vm]
     rumour = _messages.Rumour(
         node.local_record.vm,
         node.incarnation,
         node.revision,
-        me.liveness,
+        own_member.liveness,
         True,
-        me.platform_unreachable,
+        own_member.platform_unreachable,
     )
     if _members.merge(node, rumour, now):
         _members.queue_rumour(node, node.local_record.vm)
@@ -243,9 +245,9 @@
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
-    missed = sorted(node.failed_calls)
+    failed_vms = sorted(node.failed_calls)
     node.failed_calls.clear()
-    for vm in missed:
+    for vm in failed_vms:
         effects += _suspicions.record_failure(node, vm, now, rng)
     return effects
 
@@ -291,20 +293,20 @@
         return [_effects.ReportEvent("incarnation_superseded", fields)]
     if rumour.incarnation and rumour.incarnation < node.incarnation:
         return []
-    me = node.members[node.local_record.vm]
+    own_member = node.members[node.local_record.vm]
     suspected = rumour.liveness != _messages.SERVING
     if suspected and rumour.revision >= node.revision:
         node.revision = rumour.revision + 1
-    leaving = me.leaving or rumour.leaving
-    mine = _messages.Rumour(
+    leaving = own_member.leaving or rumour.leaving
+    own_rumour = _messages.Rumour(
         node.local_record.vm,
         node.incarnation,
         node.revision,
         _messages.SERVING,
         leaving,
-        me.platform_unreachable,
+        own_member.platform_unreachable,
     )
-    if not _members.merge(node, mine, now):
+    if not _members.merge(node, own_rumour, now):
         return []
     _members.queue_rumour(node, node.local_record.vm)
     node.push_pending = True
--- a/src/sassafrasstair/decisions/fleet/_platform.py
+++ b/src/sassafrasstair/decisions/fleet/_platform.py
@@ -21,11 +21,13 @@
     from collections import abc
     import random
 
+# Delays are in seconds.
 PEERS_FIRST_DELAY = 1.0
 FIRST_READ_SPREAD = 6.0
 LOST_WATCH_SPREAD = 2.0
 MAX_BACKOFF = 30.0
 PEERS_KNOWN_DELAY = 15.0
+# Consecutive failures after which peers are told of them.
 FAILURES_TO_REPORT = 3
 
 
@@ -141,14 +143,14 @@
 
 
 def _announce_reachability(node: _states.Node, unreachable: bool) -> None:
-    me = node.members[node.local_record.vm]
+    own_member = node.members[node.local_record.vm]
     node.revision += 1
     rumour = _messages.Rumour(
         node.local_record.vm,
         node.incarnation,
         node.revision,
         _messages.SERVING,
-        me.leaving,
+        own_member.leaving,
         unreachable,
     )
     _members.merge(node, rumour, node.last_tick_at)
--- a/src/sassafrasstair/decisions/fleet/_reaches.py
+++ b/src/sassafrasstair/decisions/fleet/_reaches.py
@@ -19,8 +19,11 @@
 if typing.TYPE_CHECKING:
     import random
 
+# A domain becomes unreachable when contacts with ``UNREACHABLE_FAILURES`` of
+# its VMs, or with all if it has fewer, fail within ``FAILURE_WINDOW`` seconds.
 FAILURE_WINDOW = 3.0
 UNREACHABLE_FAILURES = 3
+# Seconds.
 PROBE_INTERVAL = 2.0
 PROBES_PER_CHECK = 3
 
@@ -38,7 +41,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Probe domains that an own-domain peer reports otherwise than here."""
+    """Probe domains whose state an own-domain peer reports differently."""
     member = node.members.get(sender)
     own = node.local_record.failure_domain
     if member is None or member.record.failure_domain != own:
--- a/src/sassafrasstair/decisions/fleet/_spreads.py
+++ b/src/sassafrasstair/decisions/fleet/_spreads.py
@@ -16,9 +16,12 @@
 if typing.TYPE_CHECKING:
     import random
 
+# Intervals and waits are in seconds. The ``ROUNDS`` constants select every
+# nth round for a partner in another domain or for a random peer.
 GOSSIP_INTERVAL = 1.0
 OTHER_DOMAIN_ROUNDS = 4
 RANDOM_PEER_ROUNDS = 16
+# Number of peers in the own and in other failure domains per push.
 FANOUT_OWN = 2
 FANOUT_OTHER = 1
 BUNDLE_FANOUT_OWN = 3
@@ -26,7 +29,10 @@
 FLUSH_INTERVAL = 0.25
 TOKENS_PER_SECOND = 2.0
 MAX_TOKENS = 24.0
+# The first rounds after a start ask more peers, and a seed.
 WIDE_BOOTSTRAP_ROUNDS = 2
+# A daemon settles after ``SETTLE_WAIT``, or after ``MAX_SETTLE_WAIT`` while
+# it still fetches bundles, or earlier once enough settled peers answered.
 SETTLE_WAIT = 3.0
 MAX_SETTLE_WAIT = 6.0
 MIN_SETTLED_PEERS = 2
@@ -106,9 +112,11 @@
     # back in force, whereas settled peers have the newer one. Answers of
     # peers that have only just started themselves do not count.
     settled_peers = [
-        name for name, ok in node.settled_by_address.items() if ok
+        name for name, settled in node.settled_by_address.items() if settled
+    ]
+    own_domain_peers = [
+        address for address in settled_peers if _is_own(node, address)
     ]
-    own_domain_peers = [name for name in settled_peers if _is_own(node, name)]
     if len(own_domain_peers) >= MIN_SETTLED_PEERS:
         return True
     if len(settled_peers) + 1 < len(node.members):
@@ -163,7 +171,7 @@
         vm = _subsets.random_member(node, rng, accept)
         if vm is not None:
             addresses.add(node.members[vm].record.address)
-    seeds = [one for one in node.seeds if one != node.local_record.address]
+    seeds = [seed for seed in node.seeds if seed != node.local_record.address]
     if seeds and node.gossip_round <= WIDE_BOOTSTRAP_ROUNDS:
         addresses.add(rng.choice(seeds))
     return [
@@ -177,9 +185,9 @@
 ) -> list[_effects.Effect]:
     """Gossip with any peer, so that diverged member tables converge."""
     seeds = [
-        one
-        for one in node.seeds
-        if one != node.local_record.address and one not in node.by_address
+        seed
+        for seed in node.seeds
+        if seed != node.local_record.address and seed not in node.by_address
     ]
     if seeds and rng.random() < 0.25:
         return [_gossip(node, rng.choice(seeds), "")]
--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -178,18 +178,21 @@
 
 
 def _next_in_rings(
-    me: str, names: list[str], kind: str, rings: int
+    own_vm: str, names: list[str], kind: str, rings: int
 ) -> tuple[str, ...]:
-    others = [vm for vm in names if vm != me]
+    others = [vm for vm in names if vm != own_vm]
     if not others:
         return ()
     chosen = []
     for ring in range(rings):
         salt = f"{kind} {ring}"
-        mine = weight(salt, me)
+        own_weight = weight(salt, own_vm)
         modulus = 1 << 64
         chosen.append(
-            min(others, key=lambda vm: (weight(salt, vm) - mine) % modulus)
+            min(
+                others,
+                key=lambda vm: (weight(salt, vm) - own_weight) % modulus,
+            )
         )
     return tuple(dict.fromkeys(chosen))
 
--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -24,12 +24,15 @@
 
 HELPERS = 2
 MAX_CHECKS = 16
+# Seconds.
 CHECK_TIMEOUT = 1.6
 SUSPICION_TIMEOUT = 6.0
 GONE_RETENTION = 3600.0
 MIN_RETRY_INTERVAL = 2.0
 MAX_RETRY_INTERVAL = 15.0
+# Consecutive failed contacts after which a VM gets no work from here.
 FAILURES_TO_EJECT = 2
+# Probes of ejected VMs per tick.
 MAX_RETRIES = 3
 
 
