--- a/src/sassafrasstair/clocks.py
+++ b/src/sassafrasstair/clocks.py
@@ -33,7 +33,7 @@
         return datetime.datetime.now(datetime.UTC)
 
 
-class SuspendClock:
+class BootTimeClock:
     """The clock of the machine, counting the time that it was suspended.
 
     ``time.monotonic()`` stands still meanwhile, so that a deadline that
--- a/src/sassafrasstair/console/forwarder.py
+++ b/src/sassafrasstair/console/forwarder.py
@@ -48,7 +48,7 @@
         uvloop.run(
             forwarding.run(
                 dialect,
-                clocks.SuspendClock(),
+                clocks.BootTimeClock(),
                 forwarding.descriptor_sink(_STDOUT),
                 seed,
             )
--- a/src/sassafrasstair/decoding.py
+++ b/src/sassafrasstair/decoding.py
@@ -41,10 +41,10 @@
     ``key`` is the dotted path of the place, empty for the whole document.
     """
 
-    def __init__(self, key: str, wanted: str) -> None:
-        super().__init__(f"{key or 'document'}: {wanted}")
+    def __init__(self, key: str, problem: str) -> None:
+        super().__init__(f"{key or 'document'}: {problem}")
         self.key = key
-        self.wanted = wanted
+        self.wanted = problem
 
 
 class SyntaxFault(DecodingError):
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -236,7 +236,7 @@
         _ended(daemon, call, requests.Ending.LOST, reason)
         return
     _count_crossing(daemon, call, attempt, _size(result))
-    _peers.heard(daemon, attempt.host, state.content)
+    _peers.note_peer_content(daemon, attempt.host, state.content)
     _took(daemon, call, state, result if state.ending is None else None)
 
 
@@ -297,7 +297,7 @@
     now = daemon.clock.monotonic()
     if reason is outcomes.Reason.INSTANCE_REPLACED:
         told = views.note_replaced(daemon.view, attempt.instance)
-        _learning.learned(daemon, told, f"peer {attempt.host}")
+        _learning.apply_news(daemon, told, f"peer {attempt.host}")
     lost = ending is requests.Ending.LOST
     answer = calls.Answer(
         outcomes.Outcome.UNKNOWN if lost else outcomes.Outcome.NOT_RUN,
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -302,7 +302,7 @@
     keys = daemon.header_keys
     if result.status == MISDIRECTED_STATUS:
         news = views.note_replaced(daemon.view, run.request.metadata.instance)
-        _learning.learned(daemon, news, "upstream")
+        _learning.apply_news(daemon, news, "upstream")
         return requests.Ending.REFUSED, outcomes.Reason.INSTANCE_REPLACED
     if keys.not_run in result.found:
         return requests.Ending.REFUSED, outcomes.Reason.UPSTREAM_REFUSED
--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -25,8 +25,8 @@
     since = feeds.lost_since(daemon.feed, now)
     if since is not None:
         reason = _dialect.SourceReason.TIMEOUT.value
-        _learning.note_failure(daemon, since, reason, VERB)
-    demanded = _confirmations.is_demanded(daemon)
+        _learning.record_store_failure(daemon, since, reason, VERB)
+    demanded = _confirmations.has_revocation_bound(daemon)
     heard = (
         daemon.view.confirmed_at if demanded else daemon.view.store_answered_at
     )
@@ -37,7 +37,7 @@
 def _send(daemon: _state.Daemon, now: float) -> None:
     fresh = feeds.check_sent(daemon.feed, now, daemon.rng)
     _counters.count_store_call(daemon.counters, VERB)
-    latest = _confirmations.is_demanded(daemon)
+    latest = _confirmations.has_revocation_bound(daemon)
     call = asyncio.ensure_future(daemon.source.check(fresh, latest))
     daemon.store_checks.add(call)
     call.add_done_callback(functools.partial(_done, daemon, now))
@@ -53,7 +53,7 @@
     try:
         revision = call.result()
     except _dialect.SourceError as error:
-        _learning.note_failed_call(daemon, VERB, error, sent_at)
+        _learning.log_failed_call(daemon, VERB, error, sent_at)
         return
     if feeds.check_answered(daemon.feed, sent_at, now):
         daemon.journal.note("store_asked_anew", waited=now - sent_at)
@@ -65,8 +65,8 @@
     restored = views.is_restored(daemon.view, revision)
     behind = restored or _is_behind(daemon, revision, now)
     age = now - daemon.view.store_answered_at if behind else 0.0
-    _learning.note_answer(daemon, now, age)
-    _policy_checks.check_answered(daemon, revision, sent_at)
+    _learning.record_store_answer(daemon, now, age)
+    _policy_checks.confirm_revision(daemon, revision, sent_at)
     if restored and feeds.reads_store(daemon.feed):
         if feeds.request_full_read(daemon.feed, now):
             daemon.feed_woken.set()
--- a/src/sassafrasstair/forwarding/_confirmations.py
+++ b/src/sassafrasstair/forwarding/_confirmations.py
@@ -17,14 +17,14 @@
     from sassafrasstair.forwarding import _state
     from sassafrasstair import httpio
 
-FIELD = b"Sassafras-Confirmed"
-KEY = FIELD.lower()
+HEADER = b"Sassafras-Confirmed"
+HEADER_LOWER = HEADER.lower()
 MARGIN_SHARE = 0.02
 """The part of the time within which a key must stop to work that is left for
 clocks whose rates differ, and for the way of a request to its instance."""
 
 
-def is_demanded(daemon: _state.Daemon) -> bool:
+def has_revocation_bound(daemon: _state.Daemon) -> bool:
     """Return whether keys must stop to work everywhere within a time."""
     return daemon.settings.bounds.revocation_seconds is not None
 
@@ -38,9 +38,9 @@
     return age < (1.0 - MARGIN_SHARE) * bound
 
 
-def fields(daemon: _state.Daemon, held: float = 0.0) -> httpio.Fields:
+def headers(daemon: _state.Daemon, held: float = 0.0) -> httpio.Fields:
     """Return what to tell a peer that has asked, ``held`` seconds ago."""
-    if not is_demanded(daemon):
+    if not has_revocation_bound(daemon):
         return []
     now = daemon.clock.monotonic()
     told = views.own_confirmation(daemon.view, now, held)
@@ -48,7 +48,7 @@
         return []
     return [
         (
-            FIELD,
+            HEADER,
             b"%d %.3f %.3f"
             % (told.version, told.age_seconds, told.held_seconds),
         )
@@ -62,8 +62,8 @@
 
     To be called once its changes are applied. Raises ``WireError``.
     """
-    value = found.get(KEY)
-    if value is not None and is_demanded(daemon):
+    value = found.get(HEADER_LOWER)
+    if value is not None and has_revocation_bound(daemon):
         views.receive_confirmation(daemon.view, _decode(value), asked_at)
 
 
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -54,11 +54,11 @@
     if not reports:
         return
     value = _crash_wire.encode(ledger.digest, reports)
-    _polls.answer_crashes(daemon, (_crash_wire.FIELD, value))
+    _polls.answer_with_crashes(daemon, (_crash_wire.HEADER, value))
     for host in _receivers(daemon):
         if _crash_updates.is_in_sync(daemon, host):
             continue
-        _peers.ping(daemon, host, (_crash_wire.FIELD, value))
+        _peers.ping(daemon, host, (_crash_wire.HEADER, value))
 
 
 def _receivers(daemon: _state.Daemon) -> list[str]:
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Peer:
+class PeerDigest:
     """A peer's digest, and when it may get a full update again."""
 
     digest: int
@@ -36,17 +36,17 @@
     pause: float = PAUSE_SECONDS
 
 
-def field(daemon: _state.Daemon, host: str) -> tuple[bytes, bytes]:
+def header(daemon: _state.Daemon, host: str) -> tuple[bytes, bytes]:
     """Return the field for a message to a peer."""
     ledger = daemon.crash_ledger
     if not needs_full_update(daemon, host):
-        return _crash_wire.FIELD, _crash_wire.encode(ledger.digest)
+        return _crash_wire.HEADER, _crash_wire.encode(ledger.digest)
     now = daemon.clock.monotonic()
     peer = daemon.crash_peers[host]
     peer.next = now + peer.pause
     peer.pause = min(PAUSE_SECONDS_MAX, 2.0 * peer.pause)
     reports = crashes.reports_since(ledger, now)
-    return _crash_wire.FIELD, _crash_wire.encode(ledger.digest, reports)
+    return _crash_wire.HEADER, _crash_wire.encode(ledger.digest, reports)
 
 
 def is_in_sync(daemon: _state.Daemon, host: str) -> bool:
@@ -67,7 +67,7 @@
     daemon: _state.Daemon, host: str, found: abc.Mapping[bytes, bytes]
 ) -> None:
     """Merge the records of a peer's message."""
-    value = found.get(_crash_wire.KEY)
+    value = found.get(_crash_wire.HEADER_LOWER)
     if value is None:
         return
     try:
@@ -76,7 +76,7 @@
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
     _crashes.receive_reports(daemon, reports, host)
-    peer = daemon.crash_peers.pop(host, None) or Peer(digest)
+    peer = daemon.crash_peers.pop(host, None) or PeerDigest(digest)
     peer.digest = digest
     if digest == daemon.crash_ledger.digest:
         peer.next, peer.pause = 0.0, PAUSE_SECONDS
--- a/src/sassafrasstair/forwarding/_crash_wire.py
+++ b/src/sassafrasstair/forwarding/_crash_wire.py
@@ -19,8 +19,8 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-FIELD = b"Sassafras-Crashes"
-KEY = FIELD.lower()
+HEADER = b"Sassafras-Crashes"
+HEADER_LOWER = HEADER.lower()
 _MILLIS = 1000
 
 
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -101,7 +101,7 @@
 def _may_be_behind(daemon: _state.Daemon, now: float) -> bool:
     if views.is_stale(daemon.view, now):
         return True
-    if not _confirmations.is_demanded(daemon):
+    if not _confirmations.has_revocation_bound(daemon):
         return False
     age = views.unconfirmed_seconds(daemon.view, now)
     return age > daemon.settings.bounds.propagation_seconds
--- a/src/sassafrasstair/forwarding/_daemon.py
+++ b/src/sassafrasstair/forwarding/_daemon.py
@@ -118,9 +118,9 @@
 def start(running: RunningDaemon) -> None:
     """Begin to follow the store and the periodic work."""
     daemon = running.daemon
-    _state.start_task(daemon, _sync.follow(daemon))
-    _state.start_task(daemon, _peers.ask_while_lost(daemon))
-    _state.start_task(daemon, _peers.compare(daemon))
+    _state.start_task(daemon, _sync.update_view_forever(daemon))
+    _state.start_task(daemon, _peers.pull_while_store_lost(daemon))
+    _state.start_task(daemon, _peers.compare_with_peers(daemon))
     _state.start_task(daemon, _crash_broadcast.broadcast_forever(daemon))
     _state.start_task(daemon, _tick_forever(running))
 
@@ -194,7 +194,7 @@
     _checks.tick(daemon, now)
     _quotas.tick(daemon, now)
     told = views.expire(daemon.view, now)
-    _learning.learned(daemon, told, "time")
+    _learning.apply_news(daemon, told, "time")
     daemon.journal.tick(now)
     if count % SWEEP_TICKS:
         return
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -19,16 +19,16 @@
 from sassafrasstair import httpio
 
 VIEW_PATH = b"/-sassafras/view"
-FIELD = b"Sassafras-Feed"
-KEY = FIELD.lower()
-SENDER = b"Sassafras-Sender"
-SENDER_KEY = SENDER.lower()
+HEADER = b"Sassafras-Feed"
+HEADER_LOWER = HEADER.lower()
+SENDER_HEADER = b"Sassafras-Sender"
+SENDER_HEADER_LOWER = SENDER_HEADER.lower()
 """Names the process that polls."""
 LOOP_STATUS = 508
 """Said by a daemon that gets a poll of its own."""
 HOLD_SECONDS_MAX = 10.0
 """No poll waits longer, whatever it says."""
-AGE_SHOWN = 86_400.0
+AGE_SECONDS_MAX = 86_400.0
 """A view that nobody has heard of the store for is told as a day old."""
 _NOT_LOST = "-"
 _T = typing.TypeVar("_T")
@@ -45,7 +45,7 @@
     ``told`` are more fields.
     """
     target = b"%s?after=%d" % (VIEW_PATH, after)
-    fields = [(b"Host", host.encode()), (FIELD, b"%.3f" % hold), *told]
+    fields = [(b"Host", host.encode()), (HEADER, b"%.3f" % hold), *told]
     return httpio.request_head(b"GET", target, fields, 0)
 
 
@@ -73,7 +73,7 @@
         lost.encode(),
         status.unsteady_seconds,
         status.leaving,
-        min(status.age_seconds, AGE_SHOWN),
+        min(status.age_seconds, AGE_SECONDS_MAX),
     )
 
 
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -39,14 +39,14 @@
         _crash_updates.receive(daemon, peer, request.found)
         told = [
             _own_state(daemon),
-            _polls.own_status(daemon),
-            _crash_updates.field(daemon, peer),
-            *_confirmations.fields(daemon),
+            _polls.status_header(daemon),
+            _crash_updates.header(daemon, peer),
+            *_confirmations.headers(daemon),
         ]
         exchange.respond(200, told, b"")
     elif path == _feed_wire.VIEW_PATH:
         _polls.serve(daemon, exchange, query)
-    elif path in (_quota_wire.ASK_PATH, _quota_wire.UPDATE_PATH):
+    elif path in (_quota_wire.TOKENS_PATH, _quota_wire.SHARES_PATH):
         _shares.serve(daemon, exchange, path)
     else:
         exchange.respond(404, [], b"")
@@ -62,7 +62,7 @@
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
         return
-    _peers.heard(daemon, exchange.peer, ask.content)
+    _peers.note_peer_content(daemon, exchange.peer, ask.content)
     customer = _customers.identify_forwarded(
         daemon, ask.route, request.found.get(_wire.KEY_DIGEST_HEADER_LOWER)
     )
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -28,15 +28,15 @@
 def take_reading(daemon: _state.Daemon, reading: _dialect.Reading) -> None:
     """Take an answer of the store."""
     now = daemon.clock.monotonic()
-    note_answer(daemon, now)
-    note_refused(daemon, reading.refused)
+    record_store_answer(daemon, now)
+    log_refused_items(daemon, reading.refused)
     if views.UNORDERED < reading.revision < daemon.view.revision:
         _note_outdated(daemon, reading)
     take = views.replace_all if reading.whole else views.apply_changes
     told = take(
         daemon.view, reading.changes, reading.revision, reading.content, now
     )
-    learned(daemon, told, "store")
+    apply_news(daemon, told, "store")
 
 
 def take_stale_reading(
@@ -62,11 +62,13 @@
     now = daemon.clock.monotonic()
     views.note_unsteady(daemon.view, status.unsteady_seconds, now)
     told = views.take_delta(daemon.view, delta, now)
-    learned(daemon, told, f"peer {host}")
+    apply_news(daemon, told, f"peer {host}")
     return bool(told)
 
 
-def note_answer(daemon: _state.Daemon, now: float, age: float = 0.0) -> None:
+def record_store_answer(
+    daemon: _state.Daemon, now: float, age: float = 0.0
+) -> None:
     """Note a word of the store, that a daemon may have had ``age`` ago."""
     away = views.lost_store_seconds(daemon.view, now) or 0.0
     if views.store_answered(daemon.view, now, age):
@@ -80,7 +82,7 @@
         _polls.answer_all(daemon)
 
 
-def note_failure(
+def record_store_failure(
     daemon: _state.Daemon, since: float, reason: str, detail: str
 ) -> None:
     """Note that there has been no word of the store since then."""
@@ -95,7 +97,7 @@
         _polls.answer_all(daemon)
 
 
-def note_failed_call(
+def log_failed_call(
     daemon: _state.Daemon,
     verb: str,
     error: _dialect.SourceError,
@@ -125,7 +127,7 @@
     )
 
 
-def note_refused(
+def log_refused_items(
     daemon: _state.Daemon, refused: abc.Iterable[_dialect.RefusedItem]
 ) -> None:
     """Log and count each item that could not be used, once a revision."""
@@ -143,7 +145,7 @@
         )
 
 
-def learned(
+def apply_news(
     daemon: _state.Daemon,
     told: abc.Sequence[tuple[views.News, str]],
     source: str,
@@ -172,7 +174,7 @@
     daemon.feed.checks_for_all = feeds.is_first(
         {*near, daemon.feed.own_host}, daemon.foreign_readers
     )
-    _polls.answer_news(daemon)
+    _polls.answer_outdated(daemon)
 
 
 def _log(
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -25,7 +25,7 @@
 """For the answer to one; it takes milliseconds."""
 
 
-async def ask_while_lost(daemon: _state.Daemon) -> None:
+async def pull_while_store_lost(daemon: _state.Daemon) -> None:
     """Ask others for what they know while the store gives no answer.
 
     Only a daemon that would read the store itself does: the others follow
@@ -37,7 +37,7 @@
             _ask_others(daemon)
 
 
-async def compare(daemon: _state.Daemon) -> None:
+async def compare_with_peers(daemon: _state.Daemon) -> None:
     """Hear from time to time how far another failure domain's view goes.
 
     A reader whose watch has stalled, or that is cut off from the store, would
@@ -57,10 +57,10 @@
         )
         count = min(len(others), ASKED_WHEN_DEAF if deaf else 1)
         for host in daemon.rng.sample(others, count):
-            ping(daemon, host, _crash_updates.field(daemon, host))
+            ping(daemon, host, _crash_updates.header(daemon, host))
 
 
-def heard(daemon: _state.Daemon, host: str, content: int) -> None:
+def note_peer_content(daemon: _state.Daemon, host: str, content: int) -> None:
     """Note what a peer knows; ask it if that stays more for a moment."""
     if daemon.pulled_hosts or not views.is_behind(daemon.view, content):
         return
@@ -139,7 +139,7 @@
         state = _wire.decode_state(
             result.found.get(_wire.STATE_HEADER_LOWER, b"")
         )
-        field = result.found.get(_feed_wire.KEY)
+        field = result.found.get(_feed_wire.HEADER_LOWER)
         if field is not None and not views.is_behind(
             daemon.view, state.content
         ):
@@ -150,7 +150,7 @@
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
-    heard(daemon, host, state.content)
+    note_peer_content(daemon, host, state.content)
 
 
 def _pull_if_behind(daemon: _state.Daemon, host: str, content: int) -> None:
@@ -162,7 +162,7 @@
 def _pull(daemon: _state.Daemon, address: _dialect.Address) -> None:
     """Ask a daemon for what it knows more."""
     daemon.pulled_hosts.add(address.host)
-    told = _crash_updates.field(daemon, address.host)
+    told = _crash_updates.header(daemon, address.host)
     head = _feed_wire.poll_head(address.host, daemon.view.revision, 0.0, told)
     asked_at = daemon.clock.monotonic()
     done = functools.partial(_pulled, daemon, address.host, asked_at)
@@ -216,7 +216,7 @@
 
 
 def _take(daemon: _state.Daemon, host: str, result: httpio.Response) -> bool:
-    field = result.found.get(_feed_wire.KEY)
+    field = result.found.get(_feed_wire.HEADER_LOWER)
     if field is not None:
         status, delta = _feed_wire.decode_answer(field, result.body)
         return _learning.take_delta(daemon, status, delta, host)
@@ -225,5 +225,5 @@
     told = views.adopt_snapshot(
         daemon.view, snapshot, daemon.clock.monotonic()
     )
-    _learning.learned(daemon, told, f"peer {host}")
+    _learning.apply_news(daemon, told, f"peer {host}")
     return bool(told)
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -16,7 +16,7 @@
 VERB = "policy"
 
 
-def take_reading(
+def confirm_reading(
     daemon: _state.Daemon,
     reading: _dialect.Reading,
     asked_at: float,
@@ -36,14 +36,14 @@
     _confirm(daemon, reading, asked_at)
 
 
-def check_answered(
+def confirm_revision(
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> None:
     """Take the store's revision at its latest state, asked at an instant.
 
     A watch may be about to tell the change behind a greater one.
     """
-    if not _confirmations.is_demanded(daemon) or _vouch(
+    if not _confirmations.has_revocation_bound(daemon) or _vouch(
         daemon, revision, asked_at
     ):
         return
@@ -81,11 +81,11 @@
     try:
         reading = await daemon.source.policy()
     except _dialect.SourceError as error:
-        _learning.note_failed_call(daemon, VERB, error, asked_at)
+        _learning.log_failed_call(daemon, VERB, error, asked_at)
         return
     finally:
         daemon.confirming_policy = False
-    _learning.note_refused(daemon, reading.refused)
+    _learning.log_refused_items(daemon, reading.refused)
     if _confirm(daemon, reading, asked_at):
         views.note_full_read(daemon.view, reading.revision)
         return
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -38,15 +38,15 @@
 
     exchange: httpio.Exchange
     after: int
-    until: float
-    came: float
+    held_until: float
+    received_at: float
 
 
 def serve(
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
     """Answer a poll, or keep it until there is news."""
-    field = exchange.request.found.get(_feed_wire.KEY)
+    field = exchange.request.found.get(_feed_wire.HEADER_LOWER)
     try:
         after, hold = _feed_wire.decode_poll(query, field)
     except _wire.WireError as error:
@@ -54,7 +54,7 @@
         exchange.respond(400, [], b"")
         return
     if (
-        exchange.request.found.get(_feed_wire.SENDER_KEY)
+        exchange.request.found.get(_feed_wire.SENDER_HEADER_LOWER)
         == daemon.process_mark
     ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
@@ -79,7 +79,7 @@
     exchange.gone = lambda: _forget(daemon, poll)
 
 
-def own_status(daemon: _state.Daemon) -> tuple[bytes, bytes]:
+def status_header(daemon: _state.Daemon) -> tuple[bytes, bytes]:
     """Return the field that tells how far and how fresh the own view is."""
     view, now = daemon.view, daemon.clock.monotonic()
     status = feeds.PeerStatus(
@@ -89,10 +89,10 @@
         daemon.leaving,
         max(0.0, now - view.store_answered_at),
     )
-    return _feed_wire.FIELD, _feed_wire.encode_status(status, view.content)
+    return _feed_wire.HEADER, _feed_wire.encode_status(status, view.content)
 
 
-def answer_news(daemon: _state.Daemon) -> None:
+def answer_outdated(daemon: _state.Daemon) -> None:
     """Answer all for whom there is news."""
     daemon.encoded_answers.clear()
     _answer_if(daemon, lambda one: daemon.view.content > one.after)
@@ -103,7 +103,9 @@
     _answer_if(daemon, lambda one: True)
 
 
-def answer_crashes(daemon: _state.Daemon, told: tuple[bytes, bytes]) -> None:
+def answer_with_crashes(
+    daemon: _state.Daemon, told: tuple[bytes, bytes]
+) -> None:
     """Answer with what is new of crashes all who may not know it."""
     due = [
         poll
@@ -118,7 +120,7 @@
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Answer those that have waited for as long as they asked for."""
     if daemon.held_polls:
-        _answer_if(daemon, lambda one: one.until <= now)
+        _answer_if(daemon, lambda one: one.held_until <= now)
 
 
 def _answer_if(
@@ -138,11 +140,11 @@
     told: tuple[bytes, bytes] | None = None,
 ) -> None:
     body = _encoded(daemon, poll.after)
-    told = told or _crash_updates.field(daemon, poll.exchange.peer)
+    told = told or _crash_updates.header(daemon, poll.exchange.peer)
     poll.exchange.gone = None
-    held = daemon.clock.monotonic() - poll.came
-    confirmed = _confirmations.fields(daemon, held)
-    fields = [own_status(daemon), told, *confirmed]
+    held = daemon.clock.monotonic() - poll.received_at
+    confirmed = _confirmations.headers(daemon, held)
+    fields = [status_header(daemon), told, *confirmed]
     poll.exchange.respond(200, fields, body)
 
 
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -58,7 +58,7 @@
     except _wire.WireError as error:
         _silent(daemon, vm, host, str(error))
         return
-    _peers.heard(daemon, host, state.content)
+    _peers.note_peer_content(daemon, host, state.content)
     now = daemon.clock.monotonic()
     peer = daemon.routes.peers.get(vm)
     if peer is not None and peer.unreachable and not state.leaving:
--- a/src/sassafrasstair/forwarding/_quota_wire.py
+++ b/src/sassafrasstair/forwarding/_quota_wire.py
@@ -9,8 +9,8 @@
 from sassafrasstair.decisions import quotas
 from sassafrasstair.forwarding import _wire
 
-ASK_PATH = b"/-sassafras/quota/tokens"
-UPDATE_PATH = b"/-sassafras/quota/shares"
+TOKENS_PATH = b"/-sassafras/quota/tokens"
+SHARES_PATH = b"/-sassafras/quota/shares"
 _T = typing.TypeVar("_T")
 
 Message = (
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -140,12 +140,12 @@
         daemon.feed.own_host, quotas.list_needs(tokens.stocks, now)
     )
     if host == daemon.feed.own_host:
-        _take(daemon, _shares.serve_ask(daemon, asked), host, now)
+        _take(daemon, _shares.grant_tokens(daemon, asked), host, now)
         return
     tokens.asking = True
     body = _quota_wire.encode(asked)
     head = httpio.request_head(
-        b"POST", _quota_wire.ASK_PATH, [(b"Host", host.encode())], len(body)
+        b"POST", _quota_wire.TOKENS_PATH, [(b"Host", host.encode())], len(body)
     )
     done = functools.partial(_answered, daemon, host, now)
     job = httpio.Job(head + body, done)
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -77,7 +77,7 @@
     return allocation
 
 
-def serve_ask(
+def grant_tokens(
     daemon: _state.Daemon, asked: quotas.AllocationRequest
 ) -> quotas.GrantResponse:
     """Return tokens for a daemon of the own domain."""
@@ -100,9 +100,9 @@
     body = exchange.request.body
     answer: quotas.GrantResponse | quotas.Acknowledgement
     try:
-        if path == _quota_wire.ASK_PATH:
+        if path == _quota_wire.TOKENS_PATH:
             asked = _quota_wire.decode(body, quotas.AllocationRequest)
-            answer = serve_ask(daemon, asked)
+            answer = grant_tokens(daemon, asked)
         else:
             update = _quota_wire.decode(body, quotas.Update)
             answer = _receive(daemon, update)
@@ -199,7 +199,7 @@
     body = _quota_wire.encode(update)
     head = httpio.request_head(
         b"POST",
-        _quota_wire.UPDATE_PATH,
+        _quota_wire.SHARES_PATH,
         [(b"Host", host.encode())],
         len(body),
     )
--- a/src/sassafrasstair/forwarding/_state.py
+++ b/src/sassafrasstair/forwarding/_state.py
@@ -125,7 +125,7 @@
     suspect_standings: dict[int, crashes.Standing] = dataclasses.field(
         default_factory=dict
     )
-    crash_peers: dict[str, _crash_updates.Peer] = dataclasses.field(
+    crash_peers: dict[str, _crash_updates.PeerDigest] = dataclasses.field(
         default_factory=dict
     )
     crash_sent_version: int = 0
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -26,7 +26,7 @@
 _Result = httpio.Response | httpio.Failure
 
 
-async def follow(daemon: _state.Daemon) -> None:
+async def update_view_forever(daemon: _state.Daemon) -> None:
     """Keep the view until cancelled."""
     while True:
         daemon.feed_woken.clear()
@@ -100,12 +100,12 @@
         found = reading.result()
     except _dialect.SourceError as error:
         gone = error.reason is _dialect.SourceReason.HISTORY_GONE
-        _learning.note_failed_call(daemon, verb, error, begun)
+        _learning.log_failed_call(daemon, verb, error, begun)
         feeds.read_failed(daemon.feed, now, gone, daemon.rng)
         if gone:
             daemon.journal.note("store_history_gone")
         else:
-            _learning.note_failure(
+            _learning.record_store_failure(
                 daemon, now, error.reason.value, error.detail
             )
         return
@@ -113,7 +113,7 @@
         _learning.take_stale_reading(daemon, found)
     else:
         _learning.take_reading(daemon, found)
-        _policy_checks.take_reading(daemon, found, begun, after)
+        _policy_checks.confirm_reading(daemon, found, begun, after)
     feeds.read_done(daemon.feed, now, stale, bool(found.changes))
 
 
@@ -121,8 +121,8 @@
     daemon: _state.Daemon, host: str, hold: float, within: float
 ) -> None:
     """Ask the daemon that is followed for what is new."""
-    told = _crash_updates.field(daemon, host)
-    sender = (_feed_wire.SENDER, daemon.process_mark)
+    told = _crash_updates.header(daemon, host)
+    sender = (_feed_wire.SENDER_HEADER, daemon.process_mark)
     after = daemon.view.revision
     head = _feed_wire.poll_head(host, after, hold, told, sender)
     asked_at = daemon.clock.monotonic()
@@ -134,7 +134,7 @@
     if result.status == _feed_wire.LOOP_STATUS:
         _adopt_own_address(daemon, host)
         return
-    field = result.found.get(_feed_wire.KEY)
+    field = result.found.get(_feed_wire.HEADER_LOWER)
     if result.status != 200 or field is None:
         # A daemon of the version before, which can't be waited at.
         _fell_silent(daemon, host, f"status {result.status}")
@@ -150,9 +150,11 @@
         daemon.feed, host, status, daemon.view.content, now, daemon.rng
     )
     if status.lost is None:
-        _learning.note_answer(daemon, now, status.age_seconds)
+        _learning.record_store_answer(daemon, now, status.age_seconds)
     elif feeds.without_store(daemon.feed, now):
-        _learning.note_failure(daemon, now - status.lost, "peers_lost", host)
+        _learning.record_store_failure(
+            daemon, now - status.lost, "peers_lost", host
+        )
     _learning.take_delta(daemon, status, delta, host)
     try:
         _confirmations.receive(daemon, result.found, asked_at)
--- a/src/sassafrasstair/metrics.py
+++ b/src/sassafrasstair/metrics.py
@@ -25,7 +25,7 @@
 OTHER = "other"
 """Stands for each name that the bundle in force does not have."""
 
-MAX_PAIRS = 256
+CALL_SERIES_MAX = 256
 """Histograms of class and tenant that one daemon keeps. Later tenants of
 a class go to ``other``, so that a bundle with thousands of tenants costs
 neither memory nor a long rendering."""
@@ -98,7 +98,7 @@
         default_factory=lambda: {count: {} for count in Count}
     )
 
-    def adopt(self, bundle: bundles.Bundle) -> None:
+    def apply_bundle(self, bundle: bundles.Bundle) -> None:
         """Take the names of a new bundle; series of other names go.
 
         Without this, names that change with each of 730 bundles a day
@@ -123,7 +123,7 @@
         self._keep(Count.RETRIES, "service", self._services)
         self._add(Count.BUNDLES_ADOPTED)
 
-    def answered(
+    def count_answer(
         self, request_class: str, tenant: str, seconds: float
     ) -> None:
         """Count a whole answer that a caller got from this entrance."""
@@ -136,13 +136,13 @@
             series = self._new_pair(pair)
         series.observe(seconds)
 
-    def ran(self, request_class: str, seconds: float) -> None:
+    def count_attempt(self, request_class: str, seconds: float) -> None:
         """Count an attempt that the upstream of this VM has ended."""
         name = _known(request_class, self._classes)
         series = self._upstream.setdefault(name, histograms.Series())
         series.observe(seconds)
 
-    def refused(
+    def count_refusal(
         self,
         request_class: str,
         outcome: outcomes.Outcome,
@@ -156,30 +156,30 @@
             ("reason", reason.value),
         )
 
-    def retried(self, service: str) -> None:
+    def count_retry(self, service: str) -> None:
         """Count an attempt after the first towards ``service``."""
         name = _known(service, self._services)
         self._add(Count.RETRIES, ("service", name))
 
-    def late_answer(self) -> None:
+    def count_late_answer(self) -> None:
         """Count an answer that nobody waits for."""
         self._add(Count.LATE_ANSWERS)
 
-    def bundle_refused(self, reason: bundles.Defect) -> None:
+    def count_refused_bundle(self, reason: bundles.Defect) -> None:
         """Count a bundle that was refused whole."""
         self._add(Count.BUNDLES_REFUSED, ("reason", reason.value))
 
-    def platform_read(self) -> None:
+    def count_platform_read(self) -> None:
         """Count one call to the platform."""
         self._add(Count.PLATFORM_READS)
 
-    def count(self, count: Count) -> int:
+    def total(self, count: Count) -> int:
         """Return the sum of one counter over all labels."""
         return sum(self._counts[count].values())
 
     def totals(self) -> dict[str, int]:
         """Return the sum of each counter, for the status of a daemon."""
-        return {count.name.lower(): self.count(count) for count in Count}
+        return {count.name.lower(): self.total(count) for count in Count}
 
     def render_parts(self) -> abc.Iterator[bytes]:
         """Yield the Prometheus text in parts of a millisecond or so."""
@@ -201,7 +201,7 @@
         )
 
     def _new_pair(self, pair: tuple[str, str]) -> histograms.Series:
-        if len(self._calls) >= MAX_PAIRS:
+        if len(self._calls) >= CALL_SERIES_MAX:
             pair = (pair[0], OTHER)
         return self._calls.setdefault(pair, histograms.Series())
 
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -128,7 +128,7 @@
 
 
 def _note_refused(control: Control, fields: dict[str, str]) -> None:
-    control.counts.bundle_refused(_defect(fields["reason"]))
+    control.counts.count_refused_bundle(_defect(fields["reason"]))
     now = control.clock.monotonic()
     shown = control.node.refusal_reasons
     control.refused = {
@@ -213,7 +213,10 @@
     while True:
         try:
             snapshot = await _watches.watch(
-                control.client, prefix, index, control.counts.platform_read
+                control.client,
+                prefix,
+                index,
+                control.counts.count_platform_read,
             )
             if snapshot.index != index:
                 took(control, snapshot)
@@ -237,9 +240,9 @@
 async def _read(control: Control, delay: float) -> None:
     await asyncio.sleep(delay)
     try:
-        control.counts.platform_read()
+        control.counts.count_platform_read()
         held = await control.client.read(configservice.BUNDLES_PREFIX)
-        control.counts.platform_read()
+        control.counts.count_platform_read()
         vms = await control.client.read(configservice.VMS_KEY)
     except configservice.PlatformError as error:
         effects = _failure(control, error)
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -341,7 +341,7 @@
 def _adopt(
     slot: _slots.Slot, counts: metrics.Metrics, bundle: bundles.Bundle
 ) -> None:
-    counts.adopt(bundle)
+    counts.apply_bundle(bundle)
     service = bundle.services.get(slot.service)
     if service is not None:
         _size(slot, service)
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -69,7 +69,9 @@
     if isinstance(reply, callers.Refusal):
         return _refused(entry, ready.call.request_class, reply)
     taken = entry.clock.monotonic() - began
-    entry.counts.answered(ready.call.request_class, ready.call.tenant, taken)
+    entry.counts.count_answer(
+        ready.call.request_class, ready.call.tenant, taken
+    )
     return reply
 
 
@@ -134,7 +136,7 @@
     progress: _Progress,
 ) -> calls.Effect:
     if progress.attempt_id:
-        entry.counts.retried(ready.call.service)
+        entry.counts.count_retry(ready.call.service)
     progress.attempt_id = send.attempt_id
     progress.vm = send.target.vm
     max_body = ready.bundle.classes[ready.call.request_class].max_body_bytes
@@ -160,7 +162,7 @@
         entry.rng,
     )
     if effect is None:
-        entry.counts.late_answer()
+        entry.counts.count_late_answer()
         return calls.Refuse(_Outcome.UNKNOWN, _Reason.PEER_LOST)
     return effect
 
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -121,7 +121,7 @@
     entry: Entry, request_class: str, refusal: callers.Refusal
 ) -> None:
     """Count and log a final refusal that a caller is given."""
-    entry.counts.refused(request_class, refusal.outcome, refusal.reason)
+    entry.counts.count_refusal(request_class, refusal.outcome, refusal.reason)
     logs.event(
         _LOG,
         logging.DEBUG,
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -118,7 +118,7 @@
         now = slot.clock.monotonic()
         attempt_id = attempt.run.attempt_id
         started = slot.guard.running.get(attempt_id, now)
-        slot.counts.ran(attempt.run.request_class, now - started)
+        slot.counts.count_attempt(attempt.run.request_class, now - started)
         apply(slot, load.finish(slot.guard, attempt_id, how, now))
 
 
--- a/tests/fleets/fleet.py
+++ b/tests/fleets/fleet.py
@@ -158,9 +158,9 @@
         self.daemons[host] = daemon
         self.network.serve[host] = functools.partial(_inbound.handle, daemon)
         work = (
-            _sync.follow(daemon),
-            _peers.ask_while_lost(daemon),
-            _peers.compare(daemon),
+            _sync.update_view_forever(daemon),
+            _peers.pull_while_store_lost(daemon),
+            _peers.compare_with_peers(daemon),
             _crash_broadcast.broadcast_forever(daemon),
             _tick(daemon),
         )
@@ -293,7 +293,7 @@
         _checks.tick(daemon, now)
         _quotas.tick(daemon, now)
         _crashes.tick(daemon, now)
-        _learning.learned(daemon, views.expire(daemon.view, now), "time")
+        _learning.apply_news(daemon, views.expire(daemon.view, now), "time")
 
 
 def _drop(data: bytes) -> int:
--- a/tests/forwarding/test_sync.py
+++ b/tests/forwarding/test_sync.py
@@ -123,9 +123,9 @@
         daemon = (await world.daemon(A, "front")).daemon
         for revision in (7, 7, 8):
             refusal = forwarding.RefusedItem("servers/x", revision, "state")
-            _learning.note_refused(daemon, [refusal])
+            _learning.log_refused_items(daemon, [refusal])
         unread = forwarding.RefusedItem("", 0, "not_an_object")
-        _learning.note_refused(daemon, [unread, unread])
+        _learning.log_refused_items(daemon, [unread, unread])
         assert daemon.counters.refused_items == {
             "state": 2,
             "not_an_object": 2,
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -164,7 +164,7 @@
     def again(data: bytes) -> bytes:
         head = data.split(b"\r\n")
         query = head[0].split(b" ")[1].partition(b"?")[2]
-        prefix = _feed_wire.FIELD + b": "
+        prefix = _feed_wire.HEADER + b": "
         (field,) = (
             line.removeprefix(prefix) for line in head if prefix in line
         )
@@ -179,9 +179,9 @@
 
 
 _POLL_FIELDS = (
-    (_feed_wire.SENDER, b"m"),
-    (_crash_wire.FIELD, b"0"),
-    (_confirmations.FIELD, b"3 0.5 0.25"),
+    (_feed_wire.SENDER_HEADER, b"m"),
+    (_crash_wire.HEADER, b"0"),
+    (_confirmations.HEADER, b"3 0.5 0.25"),
 )
 
 
@@ -314,13 +314,15 @@
 
     def encode() -> bytes:
         made = metrics.Metrics()
-        made.answered("c", "x", 0.5)
-        made.ran("c", 0.5)
-        made.refused("c", outcomes.Outcome.NOT_RUN, outcomes.Reason.LEAVING)
-        made.retried("s")
-        made.late_answer()
-        made.bundle_refused(bundles.Defect.UNSIGNED)
-        made.platform_read()
+        made.count_answer("c", "x", 0.5)
+        made.count_attempt("c", 0.5)
+        made.count_refusal(
+            "c", outcomes.Outcome.NOT_RUN, outcomes.Reason.LEAVING
+        )
+        made.count_retry("s")
+        made.count_late_answer()
+        made.count_refused_bundle(bundles.Defect.UNSIGNED)
+        made.count_platform_read()
         lines = [
             line
             for line in metrics.render(made).splitlines()
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -62,8 +62,8 @@
 
 def test_metrics() -> None:
     state = metrics.Metrics()
-    state.answered("c", "t", 1.0)
-    state.ran("c", 1.0)
+    state.count_answer("c", "t", 1.0)
+    state.count_attempt("c", 1.0)
     text = metrics.render(state).decode()
     names = set(re.findall(r"^# TYPE (\S+)", text, re.MULTILINE))
     assert rows("OPERATORS.md", "| Metric |").keys() == names
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -23,7 +23,7 @@
 
 def adopted(classes: int = 1, tenants: int = 1) -> metrics.Metrics:
     state = metrics.Metrics()
-    state.adopt(bundle(classes, tenants))
+    state.apply_bundle(bundle(classes, tenants))
     return state
 
 
@@ -34,14 +34,16 @@
 def test_render() -> None:
     state = adopted()
     state.gauges.limit = 12.5
-    state.answered("c-0", "t-0", 0.003)
-    state.answered("c-0", "t-0", 99.0)
-    state.ran("c-0", 0.002)
-    state.refused("c-0", outcomes.Outcome.NOT_RUN, outcomes.Reason.QUEUE_DELAY)
-    state.retried("s")
-    state.late_answer()
-    state.bundle_refused(bundles.Defect.UNSIGNED)
-    state.platform_read()
+    state.count_answer("c-0", "t-0", 0.003)
+    state.count_answer("c-0", "t-0", 99.0)
+    state.count_attempt("c-0", 0.002)
+    state.count_refusal(
+        "c-0", outcomes.Outcome.NOT_RUN, outcomes.Reason.QUEUE_DELAY
+    )
+    state.count_retry("s")
+    state.count_late_answer()
+    state.count_refused_bundle(bundles.Defect.UNSIGNED)
+    state.count_platform_read()
     name, tenant = 'class="c-0"', 'tenant="t-0"'
     bucket = f"sassafrasstair_call_seconds_bucket{{{name},le="
     wanted = {
@@ -72,8 +74,8 @@
     """
     state = adopted()
     for i in range(1_000):
-        state.answered("c-0", f"made-up-{i}", 0.1)
-        state.refused(
+        state.count_answer("c-0", f"made-up-{i}", 0.1)
+        state.count_refusal(
             f"made-up-{i}",
             outcomes.Outcome.NOT_RUN,
             outcomes.Reason.UNKNOWN_CLASS,
@@ -81,7 +83,7 @@
     text = "\n".join(lines(state))
     assert "made-up" not in text
     assert 'call_seconds_count{class="c-0",tenant="other"} 1000.0' in text
-    assert state.count(metrics.Count.REFUSALS) == 1_000
+    assert state.total(metrics.Count.REFUSALS) == 1_000
 
 
 @pytest.mark.parametrize(
@@ -91,21 +93,23 @@
     state = adopted(classes, tenants)
     for i in range(classes):
         for j in range(tenants):
-            state.answered(f"c-{i}", f"t-{j}", 0.1)
+            state.count_answer(f"c-{i}", f"t-{j}", 0.1)
     counts = [line for line in lines(state) if "call_seconds_count" in line]
-    assert len(counts) <= metrics.MAX_PAIRS + classes
+    assert len(counts) <= metrics.CALL_SERIES_MAX + classes
     total = sum(float(line.rpartition(" ")[2]) for line in counts)
     assert total == classes * tenants
 
 
 def test_series_of_names_that_left_the_bundle_go() -> None:
     state = adopted(classes=2, tenants=2)
-    state.answered("c-1", "t-0", 0.1)
-    state.answered("c-0", "t-1", 0.1)
-    state.answered("c-0", "t-0", 0.1)
-    state.ran("c-1", 0.1)
-    state.refused("c-1", outcomes.Outcome.UNKNOWN, outcomes.Reason.PEER_LOST)
-    state.adopt(bundle())
+    state.count_answer("c-1", "t-0", 0.1)
+    state.count_answer("c-0", "t-1", 0.1)
+    state.count_answer("c-0", "t-0", 0.1)
+    state.count_attempt("c-1", 0.1)
+    state.count_refusal(
+        "c-1", outcomes.Outcome.UNKNOWN, outcomes.Reason.PEER_LOST
+    )
+    state.apply_bundle(bundle())
     text = "\n".join(lines(state))
     assert 'class="c-0",tenant="t-0"' in text
     assert "c-1" not in text
@@ -115,6 +119,6 @@
 def test_help_is_given_once_for_each_metric() -> None:
     state = adopted(classes=9, tenants=9)
     for i in range(9):
-        state.answered(f"c-{i}", f"t-{i}", 0.1)
+        state.count_answer(f"c-{i}", f"t-{i}", 0.1)
     helps = [line for line in lines(state) if line.startswith("# HELP")]
     assert len(helps) == len(set(helps))
