--- a/src/sassafrasstair/decisions/quotas/__init__.py
+++ b/src/sassafrasstair/decisions/quotas/__init__.py
@@ -1,7 +1,8 @@
-"""Quotas of customers over all daemons, without a store of their own.
+"""Customer quotas that hold across all daemons, without a central store.
 
-Each daemon takes tokens ahead of need from the allocator of its failure
-domain, and the allocators lend each other shares of the limits.
+Each daemon prefetches tokens from the allocator of its failure domain. The
+allocators divide each limit into shares and transfer unused shares to each
+other.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/decisions/quotas/_allocators.py
+++ b/src/sassafrasstair/decisions/quotas/_allocators.py
@@ -1,8 +1,9 @@
-"""Handing out tokens to the daemons of one failure domain.
+"""Allocation of tokens to the daemons of one failure domain.
 
-Token buckets, filled at the domain's share of each limit. Tokens that were
-handed out and not used yet count as being in the bucket, so in no window more
-of them are used than it may hold and gains.
+The allocator keeps one token bucket for each customer and fills it at the
+domain's share of the customer's limit. Tokens that were granted and not used
+yet still count against the size of the bucket, so the tokens used in any
+window never exceed the size of the bucket plus the tokens added in the window.
 """
 
 from __future__ import annotations
@@ -20,24 +21,24 @@
 
     from sassafrasstair.decisions.quotas import _limits
 
-ASKER_SECONDS = 6.0
-"""A daemon that has not asked for so long has no demand here any more."""
-LASTING_DEMAND = 0.6
-LASTING_SECONDS = 20.0
-"""Up to so many requests a second a demand fades with this time constant: of a
-customer with one request now and then the last ones don't tell where the next
-one comes."""
-TOKEN_LEAST = 1e-3
-RATE_LEAST = 1e-3
-"""Tokens, and tokens a second, from which the wait for the next one is worked
-out."""
-WAIT_SECONDS = 0.3
-"""The wait that is told while the share of the domain is not known."""
+REQUESTER_TIMEOUT_SECONDS = 6.0
+"""After this time without a request the demand of a daemon is dropped."""
+SLOW_DEMAND_MAX = 0.6
+SLOW_DEMAND_SECONDS = 20.0
+"""The part of a demand up to ``SLOW_DEMAND_MAX`` requests a second decays with
+the time constant ``SLOW_DEMAND_SECONDS``. The last requests of a customer that
+rarely sends any do not show in which domain its next request arrives."""
+MIN_TOKENS = 1e-3
+MIN_RATE = 1e-3
+"""The wait for the next token ends when the bucket holds ``MIN_TOKENS``. It is
+computed from a rate of at least ``MIN_RATE`` tokens a second."""
+UNKNOWN_SHARE_WAIT_SECONDS = 0.3
+"""The wait that is reported while the share of the domain is unknown."""
 
 
 @dataclasses.dataclass(slots=True)
 class Bucket:
-    """Tokens of one customer as of an instant; below 0 after an overdraft."""
+    """Tokens of one customer at ``filled_at``; below 0 after an overdraft."""
 
     tokens: float
     filled_at: float
@@ -45,7 +46,7 @@
 
 @dataclasses.dataclass(slots=True)
 class OutstandingTokens:
-    """Tokens that a daemon may still use until ``expires``."""
+    """Tokens that a daemon may still use until ``expires_at``."""
 
     tokens: int
     expires_at: float
@@ -53,7 +54,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Requester:
-    """One daemon of the domain, and its demand by customer."""
+    """One daemon of the domain.
+
+    ``demands`` are its requests a second by customer, and ``last_request_at``
+    is when it last asked for tokens.
+    """
 
     last_request_at: float
     demands: _messages.Amounts = dataclasses.field(default_factory=dict)
@@ -63,10 +68,11 @@
 class Allocator:
     """State of the allocator of one failure domain.
 
-    ``customers`` are all that the policy names, ``limits`` those of the ones
-    that have a limit. ``lasting`` is the part of the demands that fades
-    slowly, as of ``faded``. ``out`` are tokens by customer and the host of the
-    daemon that has them.
+    ``customers`` are all customers of the policy, and ``limits`` holds the
+    limits of those that have one. ``requesters`` are the daemons by host.
+    ``slow_demands`` is the part of the demands that decays slowly, as of
+    ``slow_demands_at``. ``outstanding`` holds granted tokens that may still be
+    unused, by customer and the host of the daemon that holds them.
     """
 
     shares: _shares.Shares
@@ -82,7 +88,7 @@
 
 
 def new_allocator(shares: _shares.Shares) -> Allocator:
-    """Return an allocator that has handed out nothing."""
+    """Return an allocator that has not granted any tokens."""
     return Allocator(shares)
 
 
@@ -91,9 +97,9 @@
     limits: abc.Mapping[str, _limits.Limit | None],
     now: float,
 ) -> None:
-    """Take the limits of another policy, None for a customer without one.
+    """Apply the limits of a new policy; None means no limit.
 
-    A customer that is new begins with no tokens.
+    The bucket of a new customer starts empty.
     """
     fill_buckets(allocator, now)
     allocator.customers = frozenset(limits)
@@ -109,52 +115,53 @@
 
 
 def answer_request(
-    allocator: Allocator, asked: _messages.AllocationRequest, now: float
+    allocator: Allocator, request: _messages.AllocationRequest, now: float
 ) -> tuple[_messages.Grant, ...]:
-    """Hand out tokens, as far as there are any."""
-    demands = {need.customer: need.demand for need in asked.needs}
-    allocator.requesters[asked.host] = Requester(now, demands)
-    for need in asked.needs:
-        _note_out(allocator, asked.host, need, need.left, now)
+    """Grant as many of the requested tokens as are available."""
+    demands = {need.customer: need.demand for need in request.needs}
+    allocator.requesters[request.host] = Requester(now, demands)
+    for need in request.needs:
+        _set_outstanding(allocator, request.host, need, need.left, now)
     return tuple(
-        _grant(allocator, asked.host, need, now) for need in asked.needs
+        _grant(allocator, request.host, need, now) for need in request.needs
     )
 
 
 def tick(allocator: Allocator, now: float) -> None:
-    """Work out the demand of the domain, and its claims by that."""
-    for host, asker in list(allocator.requesters.items()):
-        if now - asker.last_request_at > ASKER_SECONDS:
+    """Update the demand of the domain, and its claims to match."""
+    for host, requester in list(allocator.requesters.items()):
+        if now - requester.last_request_at > REQUESTER_TIMEOUT_SECONDS:
             del allocator.requesters[host]
     demands: _messages.Amounts = {}
-    for asker in allocator.requesters.values():
-        for customer, rate in asker.demands.items():
+    for requester in allocator.requesters.values():
+        for customer, rate in requester.demands.items():
             demands[customer] = demands.get(customer, 0.0) + rate
-    _fade(allocator, demands, now)
+    _decay_demands(allocator, demands, now)
     fill_buckets(allocator, now)
     _shares.set_demands(allocator.shares, demands, allocator.limits)
 
 
-def _fade(
+def _decay_demands(
     allocator: Allocator, demands: _messages.Amounts, now: float
 ) -> None:
-    kept = math.exp(-(now - allocator.slow_demands_at) / LASTING_SECONDS)
-    lasting = {}
+    decay = math.exp(-(now - allocator.slow_demands_at) / SLOW_DEMAND_SECONDS)
+    slow_demands = {}
     for customer in allocator.limits:
-        before = kept * allocator.slow_demands.get(customer, 0.0)
-        rate = max(demands.get(customer, 0.0), before)
+        previous = decay * allocator.slow_demands.get(customer, 0.0)
+        rate = max(demands.get(customer, 0.0), previous)
         demands[customer] = rate
-        lasting[customer] = min(rate, LASTING_DEMAND)
-    allocator.slow_demands, allocator.slow_demands_at = lasting, now
+        slow_demands[customer] = min(rate, SLOW_DEMAND_MAX)
+    allocator.slow_demands, allocator.slow_demands_at = slow_demands, now
 
 
 def fill_buckets(allocator: Allocator, now: float) -> None:
-    """Fill the buckets at the shares until now; to be called before a change.
+    """Fill all buckets up to ``now`` at the current shares.
 
-    Otherwise a share that rises would count from the last time on.
+    Must be called before shares or limits change. Otherwise a raised share
+    would also apply to the time since the buckets were last filled.
     """
     for customer, bucket in allocator.buckets.items():
-        _fill(allocator, customer, bucket, now)
+        _fill_bucket(allocator, customer, bucket, now)
 
 
 def _grant(
@@ -165,29 +172,31 @@
     if limit is None and customer in allocator.customers:
         return _messages.Grant(customer, need.wanted, 0.0)
     if limit is None or allocator.shares.adopting:
-        return _messages.Grant(customer, 0, WAIT_SECONDS if need.wanted else 0)
+        return _messages.Grant(
+            customer, 0, UNKNOWN_SHARE_WAIT_SECONDS if need.wanted else 0
+        )
     bucket = allocator.buckets[customer]
-    _fill(allocator, customer, bucket, now)
-    tokens = min(need.wanted, _whole(bucket.tokens))
+    _fill_bucket(allocator, customer, bucket, now)
+    tokens = min(need.wanted, _grantable_tokens(bucket.tokens))
     if tokens:
         bucket.tokens -= tokens
-        _note_out(allocator, host, need, need.left + tokens, now)
+        _set_outstanding(allocator, host, need, need.left + tokens, now)
     if tokens or not need.wanted:
         return _messages.Grant(customer, tokens, 0.0)
     rate = limit.rate * _shares.share_available(allocator.shares, customer)
-    wait = (TOKEN_LEAST - bucket.tokens) / max(rate, RATE_LEAST)
+    wait = (MIN_TOKENS - bucket.tokens) / max(rate, MIN_RATE)
     return _messages.Grant(customer, 0, wait)
 
 
-def _whole(tokens: float) -> int:
-    """Return how many may be handed out: the last one may be overdrawn.
+def _grantable_tokens(tokens: float) -> int:
+    """Return how many tokens may be granted: the last may be overdrawn.
 
-    Otherwise a customer with little demand would wait for its first one.
+    Otherwise a customer with little demand would wait for its first token.
     """
     return 0 if tokens < 0.0 else max(1, math.ceil(tokens))
 
 
-def _note_out(
+def _set_outstanding(
     allocator: Allocator,
     host: str,
     need: _messages.Need,
@@ -201,14 +210,16 @@
         holders.pop(host, None)
 
 
-def _fill(
+def _fill_bucket(
     allocator: Allocator, customer: str, bucket: Bucket, now: float
 ) -> None:
     limit = allocator.limits[customer]
-    part = _shares.share_available(allocator.shares, customer)
-    out = _outstanding(allocator, customer, now)
-    gained = limit.rate * part * max(0.0, now - bucket.filled_at)
-    bucket.tokens = min(limit.burst * part - out, bucket.tokens + gained)
+    share = _shares.share_available(allocator.shares, customer)
+    outstanding = _outstanding(allocator, customer, now)
+    gained = limit.rate * share * max(0.0, now - bucket.filled_at)
+    bucket.tokens = min(
+        limit.burst * share - outstanding, bucket.tokens + gained
+    )
     bucket.filled_at = now
 
 
--- a/src/sassafrasstair/decisions/quotas/_limits.py
+++ b/src/sassafrasstair/decisions/quotas/_limits.py
@@ -1,4 +1,4 @@
-"""How many requests of a customer may run, over all daemons."""
+"""Limits on the requests of a customer across all daemons."""
 
 from __future__ import annotations
 
@@ -8,18 +8,19 @@
 if typing.TYPE_CHECKING:
     from sassafrasstair.decisions import policies
 
-TOLERANCE_USED = 0.7
-"""The part of the tolerance that is used, so that a customer within its limit
-is not refused for where its requests enter. The rest is for overdrafts, and
-for tokens that are handed out twice while a failure domain is split."""
+TOLERANCE_FRACTION = 0.7
+"""The part of the tolerance that is added to a limit, so that a customer
+within its limit is not refused because its requests arrive unevenly at the
+daemons. The rest allows for overdrafts, and for tokens that are granted twice
+while a failure domain is partitioned."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rules:
-    """What must hold in any ``window_seconds``.
+    """The guarantee that quotas give for any ``window_seconds``.
 
-    No more requests of a customer run than (rate x window + burst) x
-    (1 + ``over``) + ``slack``.
+    The requests of a customer that run do not exceed (rate x window + burst) x
+    (1 + ``relative_tolerance``) + ``absolute_tolerance``.
     """
 
     window_seconds: float = 5.0
@@ -29,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limit:
-    """Tokens a second, and as many as may be saved up."""
+    """A bucket that fills with ``rate`` tokens a second up to ``burst``."""
 
     rate: float
     burst: float
@@ -38,10 +39,11 @@
 def limit_with_tolerance(
     customer: policies.Customer, rules: Rules
 ) -> Limit | None:
-    """Return the limit that is enforced, None if there is none.
+    """Return the limit to enforce, or None if there is none.
 
-    A customer may send its rate and its burst in each window, so the rate is
-    that of a whole window, within the tolerance. The burst is what is left.
+    A customer may send its rate and its burst in every window. The returned
+    rate therefore spreads the whole allowance over the window, as far as the
+    relative tolerance permits. The burst is the rest of the allowance.
     """
     if customer.rate <= 0.0:
         return None
@@ -50,6 +52,6 @@
     rate = min(
         allowed / window, (1.0 + rules.relative_tolerance) * customer.rate
     )
-    most = allowed * (1.0 + TOLERANCE_USED * rules.relative_tolerance)
-    most += TOLERANCE_USED * rules.absolute_tolerance
+    most = allowed * (1.0 + TOLERANCE_FRACTION * rules.relative_tolerance)
+    most += TOLERANCE_FRACTION * rules.absolute_tolerance
     return Limit(rate, max(1.0, most - rate * window))
--- a/src/sassafrasstair/decisions/quotas/_messages.py
+++ b/src/sassafrasstair/decisions/quotas/_messages.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of quotas."""
+"""Messages about quotas between daemons."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 class Need:
     """What one daemon needs for one customer.
 
-    ``demand`` is in requests a second, ``left`` are the tokens that it still
-    has, and ``wanted`` those that it would have more.
+    ``demand`` is in requests a second. ``left`` is the number of tokens that
+    the daemon still holds, ``wanted`` the number that it asks for in addition.
     """
 
     customer: str
@@ -25,7 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AllocationRequest:
-    """A daemon asks the allocator of its failure domain for tokens."""
+    """A daemon's request for tokens from the allocator of its failure domain.
+
+    ``host`` is the host of the daemon.
+    """
 
     host: str
     needs: tuple[Need, ...]
@@ -33,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Tokens for one customer; ``wait`` is how many seconds the next take."""
+    """Tokens for one customer; ``wait`` is in seconds until the next token."""
 
     customer: str
     tokens: int
@@ -44,7 +47,8 @@
 class GrantResponse:
     """The answer to an ``Ask``.
 
-    ``redirect`` is the host to ask instead, '' if this is the right one.
+    ``redirect`` is the host to ask instead, or '' if the request went to the
+    right host.
     """
 
     redirect: str
@@ -53,13 +57,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Update:
-    """An allocator tells that of another failure domain what has changed.
+    """The changes that an allocator reports to that of another domain.
 
-    ``claims`` are the shares of the limits that it holds or wants, and
-    ``demands`` are in requests a second. ``mark`` names its process and
-    ``serial`` orders its updates. ``whole`` when customers that are not named
-    have their share by right and no demand. ``adopting`` before it holds any
-    share.
+    ``domain`` and ``host`` are those of the sender. ``mark`` identifies its
+    process and ``serial`` orders its updates. ``claims`` are the shares of the
+    limits that it holds or wants, and ``demands`` are in requests a second.
+    ``whole`` means that customers that are not listed have the equal share and
+    no demand. ``adopting`` is set until the sender holds its share.
     """
 
     domain: str
@@ -76,11 +80,11 @@
 class Acknowledgement:
     """The answer to an ``Update``.
 
-    ``redirect`` is the host that allocates for the domain that was asked, ''
-    if it is this one, and ``occupied`` the one that does for the domain that
-    asks, '' if it is the asking one. ``adopting`` as in ``Update``, of the
-    one that answers. ``yours`` are the shares that are reserved for the domain
-    that asks.
+    ``mark`` identifies the process that answers, and ``adopting`` is its state
+    as in ``Update``. ``redirect`` is the host that allocates for the domain of
+    the receiver, or '' if the receiver does. ``occupied`` is the host that
+    allocates for the domain of the sender, or '' if the sender does.
+    ``yours`` are the shares that are reserved for the domain of the sender.
     """
 
     mark: str
@@ -91,7 +95,7 @@
 
 
 def is_valid(message: object) -> bool:
-    """Return whether all amounts of a message can be reckoned with."""
+    """Return whether all amounts of a message are finite and not negative."""
     match message:
         case AllocationRequest():
             return all(
--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -1,14 +1,14 @@
 """The share of each limit that one failure domain may hand out.
 
-Escrow with lending: by right each domain has an equal share. What a domain
-has little demand for it gives up, and another claims it. A claim that is
-lowered holds at once, and one that is raised only when the allocators of all
-other domains have acknowledged it: they then reckon with it. So the shares in
-use never add up to more than the whole, whichever messages are lost, and a
-domain that is cut off goes on with the share that it has.
-
-After a long time without contact both sides go back to what is theirs by
-right.
+Each domain starts with an equal share of each limit. A domain lowers its
+claim to a limit when it has little demand, and another domain can then raise
+its own. A lowered claim takes effect at once, a raised one only when the
+allocators of all other domains have acknowledged it and count it as taken. So
+the shares in use never add up to more than the whole limit, whichever messages
+are lost, and a domain that is partitioned from the others continues with the
+share that it has.
+
+After a long time without contact both sides return to the equal share.
 """
 
 from __future__ import annotations
@@ -24,36 +24,39 @@
 
     from sassafrasstair.decisions.quotas import _limits
 
-STEP_SHARE = 0.03
-"""A share is left as it is when it would change by less."""
-DEMAND_FACTOR = 1.2
-DEMAND_STEP = 0.05
-"""A demand is told anew when it differs by the factor and by so many requests
-a second."""
-ADOPT_SECONDS = 1.2
-"""Without an update from the allocator of a domain for so long another one
-may take its place."""
-SILENT_SECONDS = 2.0
-"""After which a domain that gives no answer is not waited for when the share
-of the own domain is taken over."""
-GIVE_UP_SECONDS = 10.0
-RETURN_SECONDS = 50.0
-RELEASE_SECONDS = 60.0
-"""Without contact for so long a domain goes back to its share by right, and
-later the others take it to have done so."""
+MIN_SHARE_CHANGE = 0.03
+"""A share stays as it is if it would change by less than this."""
+DEMAND_CHANGE_FACTOR = 1.2
+MIN_DEMAND_CHANGE = 0.05
+"""A demand is sent again when it has changed by at least this factor and by at
+least ``MIN_DEMAND_CHANGE`` requests a second."""
+TAKEOVER_SECONDS = 1.2
+"""After this time without an update from the allocator of a domain another
+process may take over."""
+ADOPT_PARTIAL_SECONDS = 2.0
+"""After this time the share of the own domain is adopted without the domains
+that do not answer, if a domain that answered is not adopting itself."""
+ADOPT_ALONE_SECONDS = 10.0
+"""After this time the share is adopted whichever domains have answered."""
+REVERT_SECONDS = 50.0
+PEER_REVERT_SECONDS = 60.0
+"""After ``REVERT_SECONDS`` without contact a domain returns to the equal
+share. After ``PEER_REVERT_SECONDS`` the others assume that it has done so."""
 
 
 @dataclasses.dataclass(slots=True)
 class PeerDomain:
-    """What is known of another failure domain.
-
-    ``mark`` names the process that allocates there, and ``host`` its VM.
-    ``claims`` and ``demands`` are its own, as last told; ``acked`` are the
-    claims of this domain that it has acknowledged, ``told`` the demands, and
-    ``whole_acked`` says whether all of them. ``known`` once it has told all of
-    its claims; ``answered`` is when it last acknowledged anything, ``heard``
-    when it last told something. While the share of this domain is taken over,
-    ``reserved`` is what it has reserved for it.
+    """The known state of another failure domain.
+
+    ``mark`` identifies the process that allocates there, ``host`` is its VM,
+    and ``serial`` is that of its last update. ``claims`` and ``demands`` are
+    those that it last reported; ``claims_known`` is set once it has reported
+    all of its claims. ``acked_claims`` and ``acked_demands`` are those of the
+    own domain that it has acknowledged, and ``all_acked`` says whether it has
+    acknowledged all of them. It last sent an update at ``last_update_at`` and
+    an acknowledgement at ``last_ack_at``. While the own domain is adopting its
+    share, ``reserved_claims`` is what the other domain has reserved for it.
+    ``adopting`` is set while the other domain is adopting its own share.
     """
 
     mark: str = ""
@@ -75,9 +78,12 @@
 class Shares:
     """Shares of one failure domain, by customer.
 
-    ``by_right`` is the part that each domain has without a claim.
-    ``adopting`` until the share of the domain is taken over from whoever
-    allocated before, since ``began``.
+    ``mark`` identifies this process. ``equal_share`` is the part of a limit
+    that each domain has without a claim. ``adopting`` is set, since
+    ``adopting_since``, until the share of the domain is taken over from the
+    process that allocated before. ``other_allocator`` is the host of another
+    process that allocates for the domain, or ''. ``serial`` is that of the
+    last update sent.
     """
 
     domain: str
@@ -100,7 +106,7 @@
     domains: abc.Collection[str],
     now: float,
 ) -> Shares:
-    """Return the shares of a domain among ``domains``, which hold it too."""
+    """Return the shares of ``domain``, which is one of ``domains``."""
     others = {each: PeerDomain() for each in domains if each != domain}
     shares = Shares(domain, host, mark, 1.0 / (len(others) + 1), now, others)
     shares.adopting = bool(others)
@@ -108,18 +114,18 @@
 
 
 def share_available(shares: Shares, customer: str) -> float:
-    """Return the part of a customer's limit that may be handed out here."""
+    """Return the part of a customer's limit that may be granted here."""
     if shares.adopting:
         return 0.0
-    right = shares.equal_share
-    most = shares.claims.get(customer, right)
-    room = 1.0
+    equal = shares.equal_share
+    most = shares.claims.get(customer, equal)
+    available = 1.0
     known = True
     for peer in shares.peer_domains.values():
-        most = min(most, peer.acked_claims.get(customer, right))
-        room -= peer.claims.get(customer, right)
+        most = min(most, peer.acked_claims.get(customer, equal))
+        available -= peer.claims.get(customer, equal)
         known = known and peer.claims_known
-    return max(0.0, min(most, room) if known else most)
+    return max(0.0, min(most, available) if known else most)
 
 
 def set_demands(
@@ -127,7 +133,7 @@
     demands: abc.Mapping[str, float],
     limits: abc.Mapping[str, _limits.Limit],
 ) -> None:
-    """Take the demand of the own domain, and claim by it."""
+    """Set the demands of the own domain, and update its claims to match."""
     shares.demands = {
         customer: demands.get(customer, 0.0) for customer in limits
     }
@@ -136,51 +142,60 @@
     if shares.adopting:
         return
     for customer, limit in limits.items():
-        _claim(shares, customer, limit.rate)
+        _update_claim(shares, customer, limit.rate)
 
 
-def _claim(shares: Shares, customer: str, rate: float) -> None:
-    right = shares.equal_share
+def _update_claim(shares: Shares, customer: str, rate: float) -> None:
+    equal = shares.equal_share
     peers = shares.peer_domains.values()
     if not all(peer.claims_known for peer in peers):
         return
     own = shares.demands[customer]
     total = own + sum(peer.demands.get(customer, 0.0) for peer in peers)
-    taken = sum(peer.claims.get(customer, right) for peer in peers)
-    target = min(_part(own, total, rate, right), max(0.0, 1.0 - taken))
-    now = shares.claims.get(customer, right)
-    if abs(target - now) >= STEP_SHARE or (now + taken > 1.0 + 1e-9):
+    taken = sum(peer.claims.get(customer, equal) for peer in peers)
+    target = min(
+        _share_by_demand(own, total, rate, equal), max(0.0, 1.0 - taken)
+    )
+    current = shares.claims.get(customer, equal)
+    if abs(target - current) >= MIN_SHARE_CHANGE or (
+        current + taken > 1.0 + 1e-9
+    ):
         shares.claims[customer] = target
 
 
-def _part(own: float, total: float, rate: float, right: float) -> float:
-    """Return the share by demand; what nobody asks for is parted alike."""
+def _share_by_demand(
+    own: float, total: float, rate: float, equal: float
+) -> float:
+    """Return the share that is due by demand.
+
+    The part of the limit that no domain demands is divided equally.
+    """
     if total >= rate:
         return own / total
-    return (own + (rate - total) * right) / rate
+    return (own + (rate - total) * equal) / rate
 
 
 def update_for(shares: Shares, domain: str) -> _messages.Update:
-    """Return what to tell the allocator of another domain."""
+    """Return the update to send to the allocator of another domain."""
     peer = shares.peer_domains[domain]
-    right = shares.equal_share
+    equal = shares.equal_share
     whole = not peer.all_acked
-    acked = {} if whole else peer.acked_claims
-    told = {} if whole else peer.acked_demands
+    acked_claims = {} if whole else peer.acked_claims
+    acked_demands = {} if whole else peer.acked_demands
     claims = {
         customer: claim
         for customer, claim in shares.claims.items()
-        if claim != acked.get(customer, right)
+        if claim != acked_claims.get(customer, equal)
     }
     demands = {
         customer: rate
         for customer, rate in shares.demands.items()
-        if _differs(rate, told.get(customer, 0.0))
+        if _demand_changed(rate, acked_demands.get(customer, 0.0))
     }
     for customer, claim in claims.items():
-        # If the acknowledgement is lost the lower claim counts all the same.
-        before = peer.acked_claims.get(customer, right)
-        peer.acked_claims[customer] = min(before, claim)
+        # If the acknowledgement is lost the lower claim still counts.
+        previous = peer.acked_claims.get(customer, equal)
+        peer.acked_claims[customer] = min(previous, claim)
     shares.serial += 1
     return _messages.Update(
         shares.domain,
@@ -195,14 +210,14 @@
 
 
 def has_changes(shares: Shares, domain: str) -> bool:
-    """Return whether the allocator of a domain should be told at once."""
+    """Return whether an update to a domain should be sent at once."""
     peer = shares.peer_domains[domain]
-    right = shares.equal_share
+    equal = shares.equal_share
     return any(
-        claim != peer.acked_claims.get(customer, right)
+        claim != peer.acked_claims.get(customer, equal)
         for customer, claim in shares.claims.items()
     ) or any(
-        _differs(rate, peer.acked_demands.get(customer, 0.0))
+        _demand_changed(rate, peer.acked_demands.get(customer, 0.0))
         for customer, rate in shares.demands.items()
     )
 
@@ -210,21 +225,21 @@
 def receive_update(
     shares: Shares, update: _messages.Update, now: float
 ) -> _messages.Acknowledgement:
-    """Take an update of another domain's allocator, and acknowledge it."""
+    """Apply an update from another domain; return its acknowledgement."""
     peer = shares.peer_domains.get(update.domain)
     if peer is None:
         return _messages.Acknowledgement(
             shares.mark, "", "", shares.adopting, {}
         )
-    if peer.mark != update.mark and not _may_follow(peer, update, now):
+    if peer.mark != update.mark and not _may_take_over(peer, update, now):
         return _messages.Acknowledgement(
             shares.mark, "", peer.host, shares.adopting, {}
         )
     reserved = dict(peer.claims) if update.adopting else {}
     if peer.mark != update.mark:
-        # It knows nothing of what its predecessor was told.
+        # The new process has none of the state of its predecessor.
         peer.mark, peer.host, peer.serial = update.mark, update.host, -1
-        _forget_acked(peer)
+        _clear_acked(peer)
         peer.claims_known = False
     peer.last_update_at = now
     peer.adopting = update.adopting
@@ -248,12 +263,12 @@
     answer: _messages.Acknowledgement,
     now: float,
 ) -> None:
-    """Take the answer to an update."""
+    """Apply the acknowledgement of an update that was sent."""
     peer = shares.peer_domains[domain]
     peer.last_ack_at = now
     if answer.occupied:
         shares.other_allocator = answer.occupied
-        _lose(shares, now)
+        _restart_adoption(shares, now)
         return
     shares.other_allocator = ""
     if peer.mark and answer.mark != peer.mark:
@@ -270,32 +285,35 @@
 
 
 def adopt_share(shares: Shares, now: float) -> bool:
-    """Take over the share of the own domain if enough is known of it."""
+    """Take over the share of the own domain if enough domains answered.
+
+    Return whether the share was taken over in this call.
+    """
     if not shares.adopting:
         return False
     peers = list(shares.peer_domains.values())
-    told = [peer for peer in peers if peer.reserved_claims is not None]
+    replies = [peer for peer in peers if peer.reserved_claims is not None]
     waited = now - shares.adopting_since
-    knowing = any(not peer.adopting for peer in told)
+    any_settled = any(not peer.adopting for peer in replies)
     enough = (
-        len(told) == len(peers)
-        or (knowing and waited >= SILENT_SECONDS)
-        or waited >= GIVE_UP_SECONDS
+        len(replies) == len(peers)
+        or (any_settled and waited >= ADOPT_PARTIAL_SECONDS)
+        or waited >= ADOPT_ALONE_SECONDS
     )
     if not enough or shares.other_allocator:
         return False
     shares.adopting = False
-    right = shares.equal_share
+    equal = shares.equal_share
     claims: _messages.Amounts = {}
-    for peer in told:
+    for peer in replies:
         for customer, claim in (peer.reserved_claims or {}).items():
             claims[customer] = min(claims.get(customer, claim), claim)
     shares.claims = claims
     for peer in peers:
-        # What the others have reserved for the domain they reckon with.
+        # The other domains already count what they reserved as taken.
         peer.acked_claims = {
             customer: min(
-                claim, (peer.reserved_claims or {}).get(customer, right)
+                claim, (peer.reserved_claims or {}).get(customer, equal)
             )
             for customer, claim in claims.items()
         }
@@ -304,11 +322,11 @@
 
 
 def tick(shares: Shares, present: abc.Collection[str], now: float) -> None:
-    """Go back to shares by right after a long time without contact.
+    """Return to equal shares after a long time without contact.
 
-    ``present`` are the domains of which daemons are known.
+    ``present`` are the domains in which daemons are known.
     """
-    right = shares.equal_share
+    equal = shares.equal_share
     peers = shares.peer_domains
     contact = max(
         (
@@ -317,50 +335,52 @@
         ),
         default=now,
     )
-    alone = now - max(contact, shares.adopting_since) >= RETURN_SECONDS
-    if alone and not shares.adopting:
+    isolated = now - max(contact, shares.adopting_since) >= REVERT_SECONDS
+    if isolated and not shares.adopting:
         for customer, claim in shares.claims.items():
-            shares.claims[customer] = min(claim, right)
+            shares.claims[customer] = min(claim, equal)
     for domain, peer in peers.items():
         silent = (
             now - max(peer.last_update_at, shares.adopting_since)
-            >= RELEASE_SECONDS
+            >= PEER_REVERT_SECONDS
         )
         if not silent or domain in present:
             continue
         for customer, claim in peer.claims.items():
-            peer.claims[customer] = min(claim, right)
+            peer.claims[customer] = min(claim, equal)
 
 
-def _lose(shares: Shares, now: float) -> None:
-    """Begin anew: another process allocates for the own domain."""
+def _restart_adoption(shares: Shares, now: float) -> None:
+    """Start adopting again: another process allocates for the domain."""
     shares.adopting = True
     shares.adopting_since = now
     shares.claims = {}
     for peer in shares.peer_domains.values():
-        _forget_acked(peer)
+        _clear_acked(peer)
         peer.reserved_claims = None
 
 
-def _forget_acked(peer: PeerDomain) -> None:
+def _clear_acked(peer: PeerDomain) -> None:
     peer.acked_claims, peer.acked_demands = {}, {}
     peer.all_acked = False
 
 
-def _may_follow(
+def _may_take_over(
     peer: PeerDomain, update: _messages.Update, now: float
 ) -> bool:
-    """Return whether another process may allocate for a domain from now."""
+    """Return whether another process may now allocate for a domain."""
     if not peer.mark or peer.host == update.host:
         return True
-    if now - peer.last_update_at >= ADOPT_SECONDS:
+    if now - peer.last_update_at >= TAKEOVER_SECONDS:
         return True
     if not peer.adopting:
         return False
-    # Of two that begin at the same time one must win.
+    # Of two processes that start at the same time exactly one must win.
     return not update.adopting or update.host < peer.host
 
 
-def _differs(rate: float, told: float) -> bool:
-    low, high = min(rate, told), max(rate, told)
-    return high - low >= DEMAND_STEP and high >= DEMAND_FACTOR * low
+def _demand_changed(rate: float, acked: float) -> bool:
+    low, high = min(rate, acked), max(rate, acked)
+    return (
+        high - low >= MIN_DEMAND_CHANGE and high >= DEMAND_CHANGE_FACTOR * low
+    )
--- a/src/sassafrasstair/decisions/quotas/_stocks.py
+++ b/src/sassafrasstair/decisions/quotas/_stocks.py
@@ -1,8 +1,8 @@
-"""Tokens that one daemon has been granted ahead of need.
+"""Tokens that one daemon has prefetched from its allocator.
 
-Each request of a customer with a limit takes one, and gives it back when it
-certainly has not run. Tokens are used up or expire; a restarted daemon has
-none.
+Each request of a customer with a limit takes one token. The token is returned
+if the request certainly has not run. Tokens are used up or expire; a restarted
+daemon has none.
 """
 
 from __future__ import annotations
@@ -17,30 +17,33 @@
     from collections import abc
 
 TOKEN_SECONDS = 3.0
-"""After which a token may not be used any more."""
+"""The time after which a token may no longer be used."""
 DEMAND_SECONDS = 2.0
-"""Over so long the demand is averaged."""
+"""The time constant of the average that estimates the demand."""
 DEMAND_SECONDS_MIN = 1.0
-SERIES_FROM = 1.5
-"""A demand that is younger counts as if it were as old, and one request alone
-is no series that has just begun."""
-LOW_SHARE = 0.5
-"""With less of that left more are asked for."""
+MIN_SERIES_COUNT = 1.5
+"""The estimate assumes that a demand began at least ``DEMAND_SECONDS_MIN``
+ago. A decayed count below ``MIN_SERIES_COUNT``, as after a single request, is
+not taken as the start of a series."""
+REFILL_FRACTION = 0.5
+"""Below this part of the target number more tokens are requested."""
 IDLE_DEMAND = 0.02
-"""Requests a second below which a customer is forgotten."""
+"""The demand in requests a second below which a customer is removed."""
 RETRY_SECONDS = 0.25
-"""The allocator that had no token is asked again after this."""
+"""The longest time until an allocator without tokens is asked again."""
 WAIT_SECONDS_MAX = 5.0
-"""The longest time after which a client is told to come back."""
+"""The longest time after which a client is told to try again."""
 
 
 @dataclasses.dataclass(slots=True)
 class PrefetchedTokens:
-    """Tokens of one customer, and what is known of its demand.
+    """Tokens of one customer, and the estimate of its demand.
 
-    ``count`` decays with ``DEMAND_SECONDS``, from ``began`` on. The allocator
-    had none, is not asked again until ``empty_until``, and expects one at
-    ``token_at``. ``waiting`` requests need one now.
+    ``decayed_count`` counts requests since ``started_at``, last updated at
+    ``counted_at``, and decays with the time constant ``DEMAND_SECONDS``. When
+    the allocator has no tokens, it is not asked again until
+    ``exhausted_until``, and expects the next token at ``next_token_at``.
+    ``waiting`` is the number of requests that need a token now.
     """
 
     started_at: float
@@ -57,7 +60,7 @@
 class PrefetchStore:
     """The tokens of one daemon by customer.
 
-    For ``ahead`` seconds of demand tokens are asked for ahead of need.
+    The daemon keeps enough tokens for ``prefetch_seconds`` of demand.
     """
 
     prefetch_seconds: float = 0.7
@@ -66,115 +69,117 @@
     )
 
 
-def track_request(stocks: PrefetchStore, customer: str, now: float) -> None:
-    """Count one request of a customer, whether it will run or not."""
-    stock = stocks.by_customer.get(customer)
-    if stock is None:
-        stock = stocks.by_customer[customer] = PrefetchedTokens(now)
-    stock.decayed_count = _count(stock, now) + 1.0
-    stock.counted_at = now
+def track_request(store: PrefetchStore, customer: str, now: float) -> None:
+    """Count a request of a customer, whether or not it runs."""
+    entry = store.by_customer.get(customer)
+    if entry is None:
+        entry = store.by_customer[customer] = PrefetchedTokens(now)
+    entry.decayed_count = _current_count(entry, now) + 1.0
+    entry.counted_at = now
 
 
-def take_token(stocks: PrefetchStore, customer: str, now: float) -> bool:
-    """Take a token for one request; return whether there was one."""
-    stock = stocks.by_customer.get(customer)
-    if stock is None or _tokens(stock, now) < 1:
+def take_token(store: PrefetchStore, customer: str, now: float) -> bool:
+    """Take a token for one request; return whether one was available."""
+    entry = store.by_customer.get(customer)
+    if entry is None or _usable_tokens(entry, now) < 1:
         return False
-    stock.tokens -= 1
+    entry.tokens -= 1
     return True
 
 
-def give_back_token(stocks: PrefetchStore, customer: str, now: float) -> None:
-    """Return the token of a request that has not run and never will."""
-    stock = stocks.by_customer.get(customer)
-    if stock is not None and now < stock.expires_at:
-        stock.tokens += 1
+def give_back_token(store: PrefetchStore, customer: str, now: float) -> None:
+    """Put back the token of a request that has not run and never will."""
+    entry = store.by_customer.get(customer)
+    if entry is not None and now < entry.expires_at:
+        entry.tokens += 1
 
 
-def is_exhausted(stocks: PrefetchStore, customer: str, now: float) -> bool:
-    """Return whether it is known that there is no token to be had now."""
-    stock = stocks.by_customer.get(customer)
-    return stock is not None and now < stock.exhausted_until
+def is_exhausted(store: PrefetchStore, customer: str, now: float) -> bool:
+    """Return whether the allocator is known to have no token now."""
+    entry = store.by_customer.get(customer)
+    return entry is not None and now < entry.exhausted_until
 
 
 def token_wait_seconds(
-    stocks: PrefetchStore, customer: str, now: float
+    store: PrefetchStore, customer: str, now: float
 ) -> float:
-    """Return after how many seconds the allocator expects a token."""
-    stock = stocks.by_customer.get(customer)
-    wait = 0.0 if stock is None else stock.next_token_at - now
+    """Return the seconds until the allocator expects to have a token."""
+    entry = store.by_customer.get(customer)
+    wait = 0.0 if entry is None else entry.next_token_at - now
     return min(max(0.0, wait), WAIT_SECONDS_MAX)
 
 
-def demand_rate(stock: PrefetchedTokens, now: float) -> float:
-    """Return the requests a second of a customer."""
-    count = _count(stock, now)
-    if count < SERIES_FROM:
+def demand_rate(entry: PrefetchedTokens, now: float) -> float:
+    """Return the estimated demand of a customer in requests a second."""
+    count = _current_count(entry, now)
+    if count < MIN_SERIES_COUNT:
         return count / DEMAND_SECONDS
-    age = max(DEMAND_SECONDS_MIN, now - stock.started_at)
+    age = max(DEMAND_SECONDS_MIN, now - entry.started_at)
     seen = -math.expm1(-age / DEMAND_SECONDS)
     return count / (DEMAND_SECONDS * seen)
 
 
-def is_low(stocks: PrefetchStore, customer: str, now: float) -> bool:
-    """Return whether more tokens should be asked for."""
-    stock = stocks.by_customer.get(customer)
-    if stock is None or now < stock.exhausted_until:
+def is_low(store: PrefetchStore, customer: str, now: float) -> bool:
+    """Return whether more tokens should be requested."""
+    entry = store.by_customer.get(customer)
+    if entry is None or now < entry.exhausted_until:
         return False
-    return _tokens(stock, now) < LOW_SHARE * _target(stocks, stock, now)
+    return _usable_tokens(entry, now) < REFILL_FRACTION * _target_tokens(
+        store, entry, now
+    )
 
 
-def list_needs(
-    stocks: PrefetchStore, now: float
-) -> tuple[_messages.Need, ...]:
-    """Return what to ask for now; customers without demand are forgotten."""
+def list_needs(store: PrefetchStore, now: float) -> tuple[_messages.Need, ...]:
+    """Return the needs to send now, and remove customers without demand."""
     found = []
-    for customer, stock in list(stocks.by_customer.items()):
-        rate = demand_rate(stock, now)
-        left = _tokens(stock, now)
-        if rate < IDLE_DEMAND and not stock.waiting:
-            del stocks.by_customer[customer]
+    for customer, entry in list(store.by_customer.items()):
+        rate = demand_rate(entry, now)
+        left = _usable_tokens(entry, now)
+        if rate < IDLE_DEMAND and not entry.waiting:
+            del store.by_customer[customer]
             left, lacking = 0, 0
         else:
             lacking = max(
-                0, _target(stocks, stock, now) + stock.waiting - left
+                0, _target_tokens(store, entry, now) + entry.waiting - left
             )
         found.append(_messages.Need(customer, rate, left, lacking))
     return tuple(found)
 
 
 def handle_grants(
-    stocks: PrefetchStore,
+    store: PrefetchStore,
     grants: abc.Iterable[_messages.Grant],
     asked_at: float,
     now: float,
 ) -> None:
-    """Take the tokens that were asked for at an instant."""
+    """Add granted tokens; the request for them was sent at ``asked_at``."""
     for grant in grants:
-        stock = stocks.by_customer.get(grant.customer)
-        if stock is None:
+        entry = store.by_customer.get(grant.customer)
+        if entry is None:
             continue
-        stock.tokens = _tokens(stock, now) + grant.tokens
-        stock.expires_at = asked_at + TOKEN_SECONDS
-        stock.next_token_at = now + grant.wait
+        entry.tokens = _usable_tokens(entry, now) + grant.tokens
+        entry.expires_at = asked_at + TOKEN_SECONDS
+        entry.next_token_at = now + grant.wait
         retry = min(grant.wait, RETRY_SECONDS)
-        stock.exhausted_until = now + retry
+        entry.exhausted_until = now + retry
 
 
-def _target(stocks: PrefetchStore, stock: PrefetchedTokens, now: float) -> int:
-    # A token that lies at a daemon with one request now and then is missed
-    # elsewhere; there each request asks for its own.
-    if _count(stock, now) < SERIES_FROM:
+def _target_tokens(
+    store: PrefetchStore, entry: PrefetchedTokens, now: float
+) -> int:
+    # A token held by a daemon that rarely needs one is not available to
+    # other daemons. Such a daemon requests a token for each request.
+    if _current_count(entry, now) < MIN_SERIES_COUNT:
         return 0
-    return math.ceil(stocks.prefetch_seconds * demand_rate(stock, now))
+    return math.ceil(store.prefetch_seconds * demand_rate(entry, now))
 
 
-def _tokens(stock: PrefetchedTokens, now: float) -> int:
-    if now >= stock.expires_at:
-        stock.tokens = 0
-    return stock.tokens
+def _usable_tokens(entry: PrefetchedTokens, now: float) -> int:
+    if now >= entry.expires_at:
+        entry.tokens = 0
+    return entry.tokens
 
 
-def _count(stock: PrefetchedTokens, now: float) -> float:
-    passed = now - stock.counted_at
-    return stock.decayed_count * math.exp(-passed / DEMAND_SECONDS)
+def _current_count(entry: PrefetchedTokens, now: float) -> float:
+    passed = now - entry.counted_at
+    return entry.decayed_count * math.exp(-passed / DEMAND_SECONDS)
