--- a/src/sassafrasstair/decisions/crashes/__init__.py
+++ b/src/sassafrasstair/decisions/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that crash instances: told from the others, and kept apart."""
+"""Detection and isolation of requests that crash instances."""
 
 from __future__ import annotations
 
--- a/src/sassafrasstair/decisions/crashes/_fingerprints.py
+++ b/src/sassafrasstair/decisions/crashes/_fingerprints.py
@@ -1,4 +1,4 @@
-"""What names a request by its content, whichever client sends it."""
+"""Fingerprints that identify requests by content, not by client."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 def fingerprint(method: bytes, host: bytes, target: bytes, body: bytes) -> int:
     """Return the fingerprint of a request.
 
-    Of what an upstream works on, and not of what differs between two
-    attempts: the request's id, its deadline, the VM that it came from.
+    It covers what an upstream works on. It leaves out what differs between
+    two attempts: the request's id, its deadline, the VM that it came from.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in (method, host.lower(), target):
@@ -22,5 +22,5 @@
 
 
 def format_fingerprint(fingerprint: int) -> str:
-    """Return a fingerprint as logs and operators are told."""
+    """Return a fingerprint as shown in logs and to operators."""
     return f"{fingerprint:016x}"
--- a/src/sassafrasstair/decisions/crashes/_ledger.py
+++ b/src/sassafrasstair/decisions/crashes/_ledger.py
@@ -1,9 +1,9 @@
-"""What one daemon knows of crashes, from its own upstream and from peers.
+"""Records of crashes of the own upstream and of those that peers report.
 
-A crash says little of what ran there: many requests were under way, and at
-most one of them is to blame. What recurs is told from the rest by three
-things: it was under way in one crash after the other, no instance has
-completed it since, and the others have been.
+One crash alone does not identify its cause: many requests were under way, and
+at most one of them caused it. Three signs distinguish a request that causes
+crashes: it was under way in several crashes in sequence, no instance has
+completed it since, and the other requests have been completed.
 """
 
 from __future__ import annotations
@@ -18,27 +18,29 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-KEPT_SECONDS = 1_800.0
-"""Longer than any request is blocked for, so that it is still known when the
-request is tried again."""
-RUNS_KEPT = 1_200
-"""Requests of all records, about 14 KB as reports. One that crashes three
-instances with eight others in flight at each takes 27: 44 such requests are
-remembered, and one that is evicted may crash three more."""
-CRASHES_KEPT = 256
-DROPPED_KEPT = 1_000
-"""Records that were evicted and are not accepted from peers again."""
-SAME_MOMENT_SECONDS = 0.02
-"""By so much two daemons may differ on when a crash was."""
+RETENTION_SECONDS = 1_800.0
+"""A crash is kept for longer than any request is blocked, so that it is still
+known when the request is tried again."""
+MAX_KEPT_RUNS = 1_200
+"""The most requests in all records together, about 14 KB as reports. A request
+that crashes three instances with eight others in flight at each adds 27. So 44
+such requests are remembered, and an evicted one may crash three more
+instances."""
+MAX_KEPT_CRASHES = 256
+MAX_EVICTED_KEYS = 1_000
+"""The most keys of removed records; peers' reports of these are ignored."""
+CLOCK_TOLERANCE_SECONDS = 0.02
+"""How far the times of one crash may differ between two daemons."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evidence:
-    """What speaks against one request.
+    """The evidence that one request causes crashes.
 
-    ``strikes`` are the crashes that count, ``isolated`` those of them in which
-    it was the only suspect. ``familiar`` when an instance had completed it
-    before. ``last`` is the instant of the latest one.
+    ``strikes`` is the number of crashes that count against it, ``isolated``
+    the number of those in which it was the only suspect. ``familiar`` is set
+    if an instance had completed it before. ``crashes`` are all crashes that it
+    is not cleared of, the latest of them at ``last_crash_at``.
     """
 
     strikes: int
@@ -48,17 +50,21 @@
     crashes: tuple[_records.Crash, ...]
 
 
-_NOTHING = Evidence(0, 0, False, -math.inf, ())
+_NO_EVIDENCE = Evidence(0, 0, False, -math.inf, ())
 
 
 @dataclasses.dataclass(slots=True)
 class Ledger:
-    """Records of crashes by their keys, and by the requests under way.
-
-    ``version`` counts changes, ``digest`` is the same in all daemons that
-    know the same. ``found`` and ``explained`` were worked out since the last
-    change; the latter are the strikes of the proven request that was in a
-    crash.
+    """Records of crashes by key, and by the fingerprint of each request.
+
+    ``runs_by_request`` holds each crash of a request with the index of the
+    request in the runs of that crash. ``evicted_keys`` are those of removed
+    records, oldest first; reports of them are ignored. ``run_count`` is the
+    number of requests in all records.
+    ``version`` counts changes. ``digest`` is the same in all daemons that have
+    the same records. ``evidence_cache`` and ``explained_crashes`` are cleared
+    at each change. The latter holds the strikes of the proven request that was
+    in a crash.
     """
 
     crashes: dict[_records.CrashKey, _records.Crash] = dataclasses.field(
@@ -91,24 +97,24 @@
     familiar: abc.Container[int],
     now: float,
 ) -> bool:
-    """Note a crash of an instance; False if it is known already."""
-    kept = _distinct(ledger, runs)
+    """Record a crash of an instance; return False if it is not new."""
+    kept = _unique_runs(ledger, runs)
     bits = sum(
-        1 << place
-        for place, run in enumerate(kept)
+        1 << index
+        for index, run in enumerate(kept)
         if run.fingerprint in familiar
     )
     return _add(ledger, _records.Crash(key, now, kept, familiar_bits=bits))
 
 
 def clear_completed(ledger: Ledger, fingerprint: int) -> bool:
-    """Note that an instance ran a request to its end.
+    """Record that an instance completed a request.
 
-    Returns whether that clears it of a crash.
+    Return whether that clears the request of a crash.
     """
     cleared = False
-    for crash, place in ledger.runs_by_request.get(fingerprint, ()):
-        bits = crash.cleared_bits | 1 << place
+    for crash, index in ledger.runs_by_request.get(fingerprint, ()):
+        bits = crash.cleared_bits | 1 << index
         cleared = (
             _set_bits(ledger, crash, bits, crash.familiar_bits) or cleared
         )
@@ -118,10 +124,13 @@
 def merge_reports(
     ledger: Ledger, reports: abc.Iterable[_records.Report], now: float
 ) -> set[int]:
-    """Merge a peer's reports; return the requests that they changed."""
-    touched: set[int] = set()
+    """Merge a peer's reports; return the requests in changed records."""
+    changed_requests: set[int] = set()
     for report in reports:
-        if report.age >= KEPT_SECONDS or report.key in ledger.evicted_keys:
+        if (
+            report.age >= RETENTION_SECONDS
+            or report.key in ledger.evicted_keys
+        ):
             continue
         crash = ledger.crashes.get(report.key)
         if crash is None:
@@ -140,14 +149,14 @@
         else:
             changed = False
         if changed:
-            touched.update(run.fingerprint for run in crash.runs)
-    return touched
+            changed_requests.update(run.fingerprint for run in crash.runs)
+    return changed_requests
 
 
 def mark_familiar(ledger: Ledger, fingerprint: int) -> None:
-    """Note that an instance had completed a request before its crashes."""
-    for crash, place in ledger.runs_by_request.get(fingerprint, ()):
-        bits = crash.familiar_bits | 1 << place
+    """Record that an instance completed a request before its crashes."""
+    for crash, index in ledger.runs_by_request.get(fingerprint, ()):
+        bits = crash.familiar_bits | 1 << index
         _set_bits(ledger, crash, crash.cleared_bits, bits)
 
 
@@ -169,35 +178,37 @@
 
 
 def expire(ledger: Ledger, now: float) -> None:
-    """Forget crashes that are long past."""
+    """Remove the crashes that are older than ``RETENTION_SECONDS``."""
     for crash in list(ledger.crashes.values()):
-        if now - crash.crashed_at >= KEPT_SECONDS:
-            _drop(ledger, crash)
+        if now - crash.crashed_at >= RETENTION_SECONDS:
+            _evict(ledger, crash)
 
 
 def evidence_against(ledger: Ledger, fingerprint: int) -> Evidence:
-    """Return what speaks against a request, all crashes counted."""
+    """Return the evidence against a request from all crashes."""
     entries = ledger.runs_by_request.get(fingerprint)
     if not entries:
-        return _NOTHING
+        return _NO_EVIDENCE
     known = ledger.evidence_cache.get(fingerprint)
     if known is None:
-        known = ledger.evidence_cache[fingerprint] = _weigh(entries)
+        known = ledger.evidence_cache[fingerprint] = _summarize(entries)
     return known
 
 
-def evidence_without(
+def evidence_excluding(
     ledger: Ledger,
     fingerprint: int,
-    explained: abc.Container[_records.CrashKey],
+    excluded: abc.Container[_records.CrashKey],
 ) -> Evidence:
-    """Return the same without crashes that another request explains."""
+    """Return the evidence against a request without ``excluded`` crashes."""
     entries = ledger.runs_by_request.get(fingerprint, ())
-    return _weigh([each for each in entries if each[0].key not in explained])
+    return _summarize(
+        [each for each in entries if each[0].key not in excluded]
+    )
 
 
-def recurring(ledger: Ledger, count: int) -> list[Evidence]:
-    """Return the evidence of requests that were in so many crashes."""
+def recurring_evidence(ledger: Ledger, count: int) -> list[Evidence]:
+    """Return the evidence against requests with ``count`` strikes or more."""
     found = (
         evidence_against(ledger, fingerprint)
         for fingerprint, entries in ledger.runs_by_request.items()
@@ -206,20 +217,20 @@
     return [each for each in found if each.strikes >= count]
 
 
-def _weigh(
+def _summarize(
     entries: abc.Iterable[tuple[_records.Crash, int]],
 ) -> Evidence:
-    """Count the crashes in which the request was.
+    """Return the evidence from the crashes that a request was in.
 
-    A popular request is under way at many instances that crash at one moment.
-    So of a familiar one only crashes count that came one after the other, as
-    when it was sent again.
+    A popular request is under way at many instances that crash at the same
+    time. For a familiar request a crash therefore counts only if the request
+    started after the crash counted before, as when it is sent again.
     """
     counted = sorted(
         (
-            (crash, crash.runs[place], crash.familiar_bits >> place & 1)
-            for crash, place in entries
-            if not crash.cleared_bits >> place & 1
+            (crash, crash.runs[index], crash.familiar_bits >> index & 1)
+            for crash, index in entries
+            if not crash.cleared_bits >> index & 1
         ),
         key=lambda each: each[0].crashed_at,
     )
@@ -227,7 +238,7 @@
     strikes, isolated, last = 0, 0, -math.inf
     for crash, run, _ in counted:
         began = crash.crashed_at - run.elapsed_seconds
-        if familiar and began < last - SAME_MOMENT_SECONDS:
+        if familiar and began < last - CLOCK_TOLERANCE_SECONDS:
             continue
         strikes += 1
         isolated += run.isolated
@@ -241,10 +252,10 @@
     )
 
 
-def _distinct(
+def _unique_runs(
     ledger: Ledger, runs: abc.Iterable[_records.Run]
 ) -> tuple[_records.Run, ...]:
-    """Return one run of each request, the one that began first."""
+    """Return one run of each request, the one that started first."""
     found: dict[int, _records.Run] = {}
     for run in runs:
         other = found.get(run.fingerprint)
@@ -266,20 +277,23 @@
     if crash.key in ledger.crashes or crash.key in ledger.evicted_keys:
         return False
     ledger.crashes[crash.key] = crash
-    for place, run in enumerate(crash.runs):
+    for index, run in enumerate(crash.runs):
         ledger.runs_by_request.setdefault(run.fingerprint, []).append(
-            (crash, place)
+            (crash, index)
         )
     ledger.run_count += len(crash.runs)
-    _changed(ledger, crash)
-    ledger.digest ^= _mark(crash)
+    _mark_changed(ledger, crash)
+    ledger.digest ^= _crash_digest(crash)
     while _is_full(ledger) and len(ledger.crashes) > 1:
-        _drop(ledger, _least(ledger))
+        _evict(ledger, _least_informative(ledger))
     return crash.key in ledger.crashes
 
 
 def _is_full(ledger: Ledger) -> bool:
-    return ledger.run_count > RUNS_KEPT or len(ledger.crashes) > CRASHES_KEPT
+    return (
+        ledger.run_count > MAX_KEPT_RUNS
+        or len(ledger.crashes) > MAX_KEPT_CRASHES
+    )
 
 
 def _set_bits(
@@ -287,20 +301,20 @@
 ) -> bool:
     if (cleared, familiar) == (crash.cleared_bits, crash.familiar_bits):
         return False
-    ledger.digest ^= _mark(crash)
+    ledger.digest ^= _crash_digest(crash)
     crash.cleared_bits, crash.familiar_bits = cleared, familiar
-    ledger.digest ^= _mark(crash)
-    _changed(ledger, crash)
+    ledger.digest ^= _crash_digest(crash)
+    _mark_changed(ledger, crash)
     return True
 
 
-def _changed(ledger: Ledger, crash: _records.Crash) -> None:
+def _mark_changed(ledger: Ledger, crash: _records.Crash) -> None:
     ledger.version += 1
     crash.changed_version = ledger.version
-    _forget_found(ledger)
+    _clear_cache(ledger)
 
 
-def _drop(ledger: Ledger, crash: _records.Crash) -> None:
+def _evict(ledger: Ledger, crash: _records.Crash) -> None:
     del ledger.crashes[crash.key]
     for run in crash.runs:
         entries = ledger.runs_by_request[run.fingerprint]
@@ -308,33 +322,36 @@
         if not entries:
             del ledger.runs_by_request[run.fingerprint]
     ledger.run_count -= len(crash.runs)
-    ledger.digest ^= _mark(crash)
-    _forget_found(ledger)
+    ledger.digest ^= _crash_digest(crash)
+    _clear_cache(ledger)
     ledger.evicted_keys[crash.key] = None
-    if len(ledger.evicted_keys) > DROPPED_KEPT:
+    if len(ledger.evicted_keys) > MAX_EVICTED_KEYS:
         del ledger.evicted_keys[next(iter(ledger.evicted_keys))]
 
 
-def _forget_found(ledger: Ledger) -> None:
+def _clear_cache(ledger: Ledger) -> None:
     ledger.evidence_cache.clear()
     ledger.explained_crashes = None
 
 
-def _least(ledger: Ledger) -> _records.Crash:
-    """Return the record that tells least: no request recurs, then by age."""
+def _least_informative(ledger: Ledger) -> _records.Crash:
+    """Return the record to evict first.
+
+    Records in which no request recurs come first, the oldest of them first.
+    """
 
-    def worth(crash: _records.Crash) -> tuple[bool, float]:
+    def eviction_order(crash: _records.Crash) -> tuple[bool, float]:
         recurs = any(
             len(ledger.runs_by_request[run.fingerprint]) > 1
-            and not crash.cleared_bits >> place & 1
-            for place, run in enumerate(crash.runs)
+            and not crash.cleared_bits >> index & 1
+            for index, run in enumerate(crash.runs)
         )
         return recurs, crash.crashed_at
 
-    return min(ledger.crashes.values(), key=worth)
+    return min(ledger.crashes.values(), key=eviction_order)
 
 
-def _mark(crash: _records.Crash) -> int:
+def _crash_digest(crash: _records.Crash) -> int:
     instance, born = crash.key
     text = f"{instance} {born} {crash.cleared_bits:x} {crash.familiar_bits:x}"
     digest = hashlib.blake2b(text.encode(), digest_size=8)
--- a/src/sassafrasstair/decisions/crashes/_records.py
+++ b/src/sassafrasstair/decisions/crashes/_records.py
@@ -5,18 +5,18 @@
 import dataclasses
 
 RUNS_MAX = 256
-"""Requests of one record; an instance has fewer slots."""
+"""The most requests in one record; an instance has fewer slots."""
 
 CrashKey = tuple[str, int]
-"""The instance that crashed, and when its run started (0 if not known)."""
+"""The instance that crashed, and when it started (0 if not known)."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
     """A request that was under way when an instance crashed.
 
-    ``seconds`` is for how long it had run. ``isolated`` when it was the only
-    one there that had been in two crashes before.
+    ``elapsed_seconds`` is for how long it had run. ``isolated`` is set if it
+    was the only request there that had been in two crashes before.
     """
 
     fingerprint: int
@@ -26,12 +26,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Crash:
-    """One crash; ``at`` is an instant of this daemon's clock.
+    """One crash; ``crashed_at`` is an instant of this daemon's clock.
 
-    ``cleared`` and ``familiar`` are bits by the place in ``runs``: of
-    requests that an instance has completed since, and of those that one had
-    completed before. Bits are only ever set, so records of one crash can be
-    merged in any order. ``stamp`` is the ledger's version at the last change.
+    ``cleared_bits`` and ``familiar_bits`` hold one bit for each index in
+    ``runs``. The former marks requests that an instance has completed since
+    the crash, the latter those that one had completed before it. Bits are only
+    ever set, so records of one crash can be merged in any order.
+    ``changed_version`` is the version of the ledger at the last change.
     """
 
     key: CrashKey
@@ -44,7 +45,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """A record of a crash on its way to a peer; ``age`` in seconds."""
+    """A record of a crash as sent to a peer.
+
+    ``age`` is in seconds since the crash; the bits are as in ``Crash``.
+    """
 
     key: CrashKey
     age: float
