--- a/src/sassafrasstair/decisions/once/__init__.py
+++ b/src/sassafrasstair/decisions/once/__init__.py
@@ -1,6 +1,6 @@
 """At-most-once decisions: tickets, their owner's records, child tickets.
 
-The design and what was weighed against it stand in docs/design/ONCE.md.
+docs/design/ONCE.md describes the design and its alternatives.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/decisions/once/_children.py
+++ b/src/sassafrasstair/decisions/once/_children.py
@@ -1,9 +1,10 @@
-"""Child tickets: the same once-only call deeper down, on each repeat.
+"""Child tickets: nested at-most-once calls keep their ticket on a repeat.
 
-The upstream that executes ticket T may call further once-only services.
+The upstream that executes ticket T may call further at-most-once services.
 If it repeats such a call, the repeat must carry the same child ticket, or
-the child runs twice. The daemon in its slot is T's owner and remembers
-the child by its service and a key that the upstream chooses.
+the child runs twice. The daemon in front of the upstream owns T and stores
+each child ticket under the child's service and a key that the upstream
+chooses.
 """
 
 from __future__ import annotations
@@ -19,26 +20,27 @@
 
 MAX_CHILDREN = 16
 MAX_KEY_CHARS = 128
-"""With ``MAX_CHILDREN``, bounds the memory of one record's children."""
+"""Bounds, with ``MAX_CHILDREN``, the memory of one record's children."""
 
 
 def find_child(
     owner: _owners.Owner, parent_ticket: str, service: str, key: str
 ) -> str | _messages.Refused | None:
-    """Return the child ticket, or None: take one and ``adopt`` it.
+    """Return the child ticket, or None if there is none yet.
 
+    On None the caller takes a ticket and passes it to ``adopt_child``.
     Refused when the parent cannot have a new child: it has ended
     (PARENT_GONE, not run), its record is gone (PARENT_GONE, unknown), it
     has ``MAX_CHILDREN`` (TICKETS_FULL), or the key is too long.
     """
-    record = _owners.find(owner, parent_ticket)
+    record = _owners.find_record(owner, parent_ticket)
     if record is None:
-        # A child may have run while the record was here.
-        return _refused(outcomes.Outcome.UNKNOWN)
+        # A child may have run before the record was dropped.
+        return _parent_gone(outcomes.Outcome.UNKNOWN)
     known = record.children.get((service, key))
     if known is not None:
         return known
-    return _refusal(record, key)
+    return _refuse_new_child(record, key)
 
 
 def adopt_child(
@@ -48,30 +50,32 @@
     key: str,
     child_ticket: str,
 ) -> str | _messages.Refused:
-    """Remember a child ticket; return the one that must be used.
+    """Store a child ticket; return the one that must be used.
 
-    The first one stays: when two repeats each took a ticket at once, both
-    must send with the same. Refused as ``child`` is; the caller then
-    lets the ticket that it took expire unused.
+    The first ticket stays: when two repeats each took a ticket at the same
+    time, both must send the same one. Refused as by ``find_child``; the
+    caller then lets the ticket that it took expire unused.
     """
     known = find_child(owner, parent_ticket, service, key)
     if known is not None:
         return known
-    record = _owners.find(owner, parent_ticket)
+    record = _owners.find_record(owner, parent_ticket)
     assert record is not None
     record.children[service, key] = child_ticket
     return child_ticket
 
 
-def _refusal(record: _records.Record, key: str) -> _messages.Refused | None:
+def _refuse_new_child(
+    record: _records.Record, key: str
+) -> _messages.Refused | None:
     if len(key) > MAX_KEY_CHARS:
         return _messages.Refused(
             outcomes.Outcome.NOT_RUN, outcomes.Reason.MALFORMED
         )
     if record.result is not None:
-        # Nobody waits for the parent's work, or it was answered: a child
-        # started now would be work that no answer accounts for.
-        return _refused(outcomes.Outcome.NOT_RUN)
+        # The parent was answered, or no caller waits for it any more. The
+        # work of a child started now would not show in any answer.
+        return _parent_gone(outcomes.Outcome.NOT_RUN)
     if len(record.children) >= MAX_CHILDREN:
         return _messages.Refused(
             outcomes.Outcome.NOT_RUN, outcomes.Reason.TICKETS_FULL
@@ -79,5 +83,5 @@
     return None
 
 
-def _refused(outcome: outcomes.Outcome) -> _messages.Refused:
+def _parent_gone(outcome: outcomes.Outcome) -> _messages.Refused:
     return _messages.Refused(outcome, outcomes.Reason.PARENT_GONE)
--- a/src/sassafrasstair/decisions/once/_messages.py
+++ b/src/sassafrasstair/decisions/once/_messages.py
@@ -1,4 +1,4 @@
-"""What the owner of tickets decides with: results, arrivals, refusals.
+"""Inputs and decisions of the ticket owner: results, arrivals, refusals.
 
 All instants are float seconds of the owner's monotonic clock; durations
 are float seconds.
@@ -13,7 +13,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Done:
-    """The upstream's whole answer to the one execution of a ticket."""
+    """The upstream's complete answer to the one execution of a ticket."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -22,10 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """What is kept of a done execution whose answer was too large.
+    """The summary of an executed ticket whose answer was too large to keep.
 
-    ``digest`` is the BLAKE2b-256 of the body and ``length`` its bytes, so
-    that a caller can tell whether it already holds the whole answer.
+    ``digest`` is the BLAKE2b-256 of the body and ``length`` its size in
+    bytes, so that a caller can tell whether it already holds the answer.
     """
 
     status: int
@@ -36,14 +36,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The execution never began: the ticket is void from now on."""
+    """The execution never started: the ticket is void from now on."""
 
     reason: outcomes.Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The execution may have happened, in part or whole."""
+    """The request may have been executed, in part or as a whole."""
 
     reason: outcomes.Reason
 
@@ -62,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Nothing was started by this request; ``outcome`` is the ticket's."""
+    """The request started nothing; ``outcome`` is that of its ticket."""
 
     outcome: outcomes.Outcome
     reason: outcomes.Reason
@@ -70,20 +70,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """Execute the ticket now: no other arrival ever does."""
+    """Execute the ticket now: no other arrival is ever told to."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Join:
-    """The ticket is being executed: wait for that execution's end."""
+    """The ticket is being executed: wait for the end of that execution."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """The ticket was executed: this is its answer, or what is kept."""
+    """The ticket was executed: return its answer, or the summary of it."""
 
     result: Done | Summary
 
 
 Arrival = Run | Join | Replay | Refused
-"""What becomes of a request that arrived with a ticket."""
+"""The decision on a request that arrived with a ticket."""
--- a/src/sassafrasstair/decisions/once/_owners.py
+++ b/src/sassafrasstair/decisions/once/_owners.py
@@ -1,10 +1,10 @@
 """The owner of tickets: the one daemon incarnation that may execute them.
 
 A ticket names its owner, and only that process in that incarnation ever
-executes it, so the answer to "has it run?" is in one memory. That is why
-a pause of the process cannot make a ticket run twice: nobody takes its
-tickets over meanwhile, so when it wakes its records are still the truth.
-``arrive`` checks and records in one step without an await, so two
+executes it, so one process alone knows whether it has run. A pause of the
+process therefore cannot make a ticket run twice: no other process takes over
+its tickets in the meantime, so its records are still correct afterwards.
+``accept_arrival`` checks and records in one step without an await, so two
 arrivals cannot both find that there is no record.
 """
 
@@ -21,18 +21,23 @@
 MIN_SECRET_BYTES = 16
 _MILLISECONDS = 1000
 
-_SAID_BY_UPSTREAM = frozenset(
+_TRUSTED_NOT_RUN_REASONS = frozenset(
     {
         outcomes.Reason.UPSTREAM_REFUSED,
         outcomes.Reason.UPSTREAM_UNREACHABLE,
     }
 )
-"""After dispatch, "not run" is believed for these reasons only."""
+"""After the dispatch "not run" is accepted for these reasons only."""
 
 
 @dataclasses.dataclass(slots=True)
 class Counts:
-    """How often each decision was taken since the start."""
+    """How often each decision was taken since the start.
+
+    ``full`` counts tickets refused for lack of room. ``not_sent`` counts
+    refused dispatches, ``not_run_disbelieved`` results of "not run" that
+    became unknown, and ``ended_twice`` results after the first.
+    """
 
     issued: int = 0
     full: int = 0
@@ -44,7 +49,7 @@
     invalid: int = 0
     expired: int = 0
     owner_gone: int = 0
-    # Always 0 unless something else is broken.
+    # A value other than 0 shows a fault elsewhere.
     not_sent: int = 0
     not_run_disbelieved: int = 0
     ended_twice: int = 0
@@ -52,7 +57,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Owner:
-    """State of one incarnation; ``latest`` is the greatest instant seen."""
+    """State of one incarnation of the daemon.
+
+    ``last_serial`` is that of the last ticket issued, ``latest_instant`` the
+    greatest instant seen. ``leaving`` is set when the owner is about to stop.
+    """
 
     vm: str
     incarnation: str
@@ -74,11 +83,13 @@
     """Return an owner with no records.
 
     ``incarnation`` and ``secret`` must be fresh random values at each
-    start: an incarnation that came back with empty memory would execute
-    tickets again. Raises ``ValueError`` on names that cannot stand in a
-    ticket and on a short secret.
+    start: an incarnation that restarted with no records would execute
+    tickets again. Raises ``ValueError`` on names that a ticket cannot
+    contain and on a short secret.
     """
-    if not (_tickets.can_name(vm) and _tickets.can_name(incarnation)):
+    if not (
+        _tickets.is_valid_field(vm) and _tickets.is_valid_field(incarnation)
+    ):
         raise ValueError("vm and incarnation must be ASCII without '~'")
     if len(secret) < MIN_SECRET_BYTES:
         raise ValueError(f"secret needs {MIN_SECRET_BYTES} bytes or more")
@@ -95,8 +106,8 @@
 ) -> _messages.Issued | _messages.Refused:
     """Issue a ticket that can be executed within ``lifetime`` seconds.
 
-    Refused as NOT_RUN with TICKETS_FULL when the records could outgrow
-    their bound, and with LEAVING when the owner is about to stop.
+    Refused as NOT_RUN with TICKETS_FULL when the records could exceed
+    their limit, and with LEAVING when the owner is about to stop.
     """
     expire(owner, now)
     if owner.leaving:
@@ -108,48 +119,48 @@
     owner.counts.issued += 1
     expiry = int((owner.latest_instant + lifetime) * _MILLISECONDS)
     _records.count_issued(owner.records, expiry)
-    name = _tickets.TicketTarget(
+    target = _tickets.TicketTarget(
         owner.vm, owner.incarnation, service, request_class
     )
-    ticket = _tickets.Ticket(name, owner.last_serial, expiry)
+    ticket = _tickets.Ticket(target, owner.last_serial, expiry)
     return _messages.Issued(_tickets.encode(ticket, owner.secret), lifetime)
 
 
 def stop_issuing(owner: Owner) -> None:
-    """Issue no more tickets: the owner is about to stop."""
+    """Stop issuing tickets, because the owner is about to stop."""
     owner.leaving = True
 
 
 def accept_arrival(
     owner: Owner, ticket: str, request_class: str, now: float
 ) -> _messages.Arrival:
-    """Take a request that arrived with ``ticket`` and say what it does.
+    """Decide on a request that arrived with ``ticket``.
 
     ``Run`` is returned at most once for a ticket, and is recorded in the
     same step. The caller must not await between this and acting on it.
     """
-    _advance(owner, now)
-    read = _tickets.decode(ticket)
-    if read is None:
+    _advance_clock(owner, now)
+    decoded = _tickets.decode(ticket)
+    if decoded is None:
         owner.counts.invalid += 1
         return _not_run(outcomes.Reason.TICKET_INVALID)
-    if (read.target.vm, read.target.incarnation) != (
+    if (decoded.target.vm, decoded.target.incarnation) != (
         owner.vm,
         owner.incarnation,
     ):
-        # The incarnation that could know is gone, with its memory.
+        # The incarnation that knew is gone, and its records with it.
         owner.counts.owner_gone += 1
         return _unknown(outcomes.Reason.OWNER_GONE)
     if not _tickets.is_genuine(ticket, owner.secret):
         # Never issued, so never executed under this name.
         owner.counts.invalid += 1
         return _not_run(outcomes.Reason.TICKET_INVALID)
-    record = owner.records.by_serial.get(read.serial)
-    if read.target.request_class != request_class:
-        return _misused(owner, read, record)
+    record = owner.records.by_serial.get(decoded.serial)
+    if decoded.target.request_class != request_class:
+        return _reject_wrong_class(owner, decoded, record)
     if record is None:
-        return _first(owner, read)
-    return _again(owner, record)
+        return _accept_first(owner, decoded)
+    return _accept_repeat(owner, record)
 
 
 def refuse_arrival(
@@ -159,12 +170,12 @@
     reason: outcomes.Reason,
     now: float,
 ) -> _messages.Arrival:
-    """Take a request that this daemon will not run, for ``reason``.
+    """Refuse a request that this daemon will not run, for ``reason``.
 
-    Failure: the owner refuses a repeat as "not run" for want of memory,
-    while an earlier use of the ticket is executed. A ticket that was not
-    run before is void from now on; for any other one the result is what
-    ``arrive`` gives, and never ``Run``.
+    This prevents that the owner refuses a repeat as "not run" for lack of
+    memory while an earlier use of the ticket is executed. A ticket that was
+    not run before is void from now on. For any other ticket the result is
+    that of ``accept_arrival``, and never ``Run``.
     """
     arrival = accept_arrival(owner, ticket, request_class, now)
     if not isinstance(arrival, _messages.Run):
@@ -174,14 +185,14 @@
 
 
 def dispatched(owner: Owner, ticket: str, now: float) -> bool:
-    """Note that the first byte goes to the upstream next.
+    """Record that the first byte is about to be sent to the upstream.
 
     False means that it must not be sent: the ticket was voided since
-    (cancelled while it waited), or it was sent before. Called right
-    before the dispatch, without an await in between.
+    (cancelled while it waited), or it was sent before. Must be called
+    directly before the dispatch, without an await in between.
     """
-    _advance(owner, now)
-    record = find(owner, ticket)
+    _advance_clock(owner, now)
+    record = find_record(owner, ticket)
     if record is None or record.result is not None or record.dispatched:
         owner.counts.not_sent += 1
         return False
@@ -192,21 +203,21 @@
 def finish_execution(
     owner: Owner, ticket: str, result: _messages.Result, now: float
 ) -> _messages.Result:
-    """Note how the execution ended; return what callers must be told.
+    """Record how the execution ended; return the result for callers.
 
-    The first end counts. "Not run" after the dispatch becomes unknown
-    unless the upstream itself said so or was never reached.
+    The first result counts. "Not run" after the dispatch becomes unknown
+    unless the upstream itself reported it or was never reached.
     """
-    _advance(owner, now)
-    read = _tickets.decode(ticket)
-    record = find(owner, ticket)
-    if read is None or record is None:
+    _advance_clock(owner, now)
+    decoded = _tickets.decode(ticket)
+    record = find_record(owner, ticket)
+    if decoded is None or record is None:
         return _messages.Unknown(outcomes.Reason.TICKET_INVALID)
     if record.result is not None:
         owner.counts.ended_twice += 1
-        return _as_told(record.result, result)
-    result = _believe(owner, record, result)
-    _records.store(owner.records, read.serial, record, result)
+        return _result_to_report(record.result, result)
+    result = _correct_result(owner, record, result)
+    _records.store_result(owner.records, decoded.serial, record, result)
     if isinstance(result, _messages.NotRun):
         owner.counts.voided += 1
     if isinstance(result, _messages.Unknown):
@@ -215,51 +226,51 @@
 
 
 def expire(owner: Owner, now: float) -> None:
-    """Drop the records of expired tickets; cheap, called often."""
-    _advance(owner, now)
+    """Drop the records of expired tickets; cheap enough to call often."""
+    _advance_clock(owner, now)
     _records.drop_expired(owner.records, owner.latest_instant)
 
 
-def find(owner: Owner, ticket: str) -> _records.Record | None:
+def find_record(owner: Owner, ticket: str) -> _records.Record | None:
     """Return the record of a ticket of this owner, or None."""
-    read = _tickets.decode(ticket)
-    if read is None or read.target.incarnation != owner.incarnation:
+    decoded = _tickets.decode(ticket)
+    if decoded is None or decoded.target.incarnation != owner.incarnation:
         return None
     if not _tickets.is_genuine(ticket, owner.secret):
         return None
-    return owner.records.by_serial.get(read.serial)
+    return owner.records.by_serial.get(decoded.serial)
 
 
-def _advance(owner: Owner, now: float) -> None:
-    # Failure: a handler reads the clock, waits, and calls late with an
-    # instant from before an expiry that was already acted upon; the
-    # record is gone but the ticket looks valid, and it runs twice. Time
-    # therefore never goes back for an owner.
+def _advance_clock(owner: Owner, now: float) -> None:
+    # A handler may read the clock, wait, and pass an instant from before an
+    # expiry that was already processed. The record is then gone, but the
+    # ticket would look valid and run twice. The time of an owner therefore
+    # never goes back.
     owner.latest_instant = max(owner.latest_instant, now)
 
 
-def _is_expired(owner: Owner, read: _tickets.Ticket) -> bool:
-    return owner.latest_instant * _MILLISECONDS >= read.expiry
+def _is_expired(owner: Owner, decoded: _tickets.Ticket) -> bool:
+    return owner.latest_instant * _MILLISECONDS >= decoded.expiry
 
 
-def _first(owner: Owner, read: _tickets.Ticket) -> _messages.Arrival:
-    if _is_expired(owner, read):
-        # Its record may have been dropped, so nobody can say.
+def _accept_first(owner: Owner, decoded: _tickets.Ticket) -> _messages.Arrival:
+    if _is_expired(owner, decoded):
+        # Its record may have been dropped, so whether it ran is unknown.
         owner.counts.expired += 1
         return _unknown(outcomes.Reason.TICKET_EXPIRED)
-    _records.add(owner.records, read.serial, read.expiry)
+    _records.add_record(owner.records, decoded.serial, decoded.expiry)
     owner.counts.ran += 1
     return _messages.Run()
 
 
-def _again(owner: Owner, record: _records.Record) -> _messages.Arrival:
+def _accept_repeat(owner: Owner, record: _records.Record) -> _messages.Arrival:
     result = record.result
     if result is None:
         owner.counts.joined += 1
         return _messages.Join()
     if isinstance(result, _messages.NotRun):
-        # Failure: a copy of a refused request arrives late and runs,
-        # though its caller was told that it was not run.
+        # A late copy of a refused request must not run, because its caller
+        # was told that it was not run.
         return _not_run(outcomes.Reason.TICKET_VOID)
     if isinstance(result, _messages.Unknown):
         return _unknown(result.reason)
@@ -267,34 +278,36 @@
     return _messages.Replay(result)
 
 
-def _misused(
-    owner: Owner, read: _tickets.Ticket, record: _records.Record | None
+def _reject_wrong_class(
+    owner: Owner, decoded: _tickets.Ticket, record: _records.Record | None
 ) -> _messages.Refused:
-    # The ticket is for another class. "Not run" is true only if it is
-    # voided in the same step; otherwise another copy might still run.
+    # The ticket is for another class. "Not run" is correct only if the
+    # ticket is voided in the same step; otherwise another copy might run.
     owner.counts.invalid += 1
     reason = outcomes.Reason.TICKET_INVALID
-    if record is None and not _is_expired(owner, read):
-        record = _records.add(owner.records, read.serial, read.expiry)
+    if record is None and not _is_expired(owner, decoded):
+        record = _records.add_record(
+            owner.records, decoded.serial, decoded.expiry
+        )
         result = _messages.NotRun(reason)
-        _records.store(owner.records, read.serial, record, result)
+        _records.store_result(owner.records, decoded.serial, record, result)
     if record is not None and isinstance(record.result, _messages.NotRun):
         return _not_run(reason)
     return _unknown(reason)
 
 
-def _believe(
+def _correct_result(
     owner: Owner, record: _records.Record, result: _messages.Result
 ) -> _messages.Result:
     if not record.dispatched or not isinstance(result, _messages.NotRun):
         return result
-    if result.reason in _SAID_BY_UPSTREAM:
+    if result.reason in _TRUSTED_NOT_RUN_REASONS:
         return result
     owner.counts.not_run_disbelieved += 1
     return _messages.Unknown(result.reason)
 
 
-def _as_told(
+def _result_to_report(
     kept: _messages.Result | _messages.Summary, late: _messages.Result
 ) -> _messages.Result:
     if isinstance(kept, _messages.Summary):
--- a/src/sassafrasstair/decisions/once/_records.py
+++ b/src/sassafrasstair/decisions/once/_records.py
@@ -1,8 +1,9 @@
 """The records of tickets that arrived, and when each may be dropped.
 
-Memory: a record exists only for a ticket that was issued and has not
-expired, or that is still being executed, so the count of unexpired tickets
-bounds the records. Issued tickets are only counted, by second of expiry.
+A record exists only for a ticket that was issued and has not expired, or
+that is still being executed. The number of such tickets bounds the memory of
+the records. Tickets that have not arrived are only counted, by the second in
+which they expire.
 """
 
 from __future__ import annotations
@@ -21,6 +22,7 @@
 class Record:
     """One ticket that arrived; ``result`` is None while it is executed.
 
+    ``dispatched`` is set once the request is sent to the upstream.
     ``children`` holds the child tickets by service and the child's key.
     """
 
@@ -33,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class ExpiryBucket:
-    """Tickets that expire within the same second."""
+    """The number of tickets and the records that expire in one second."""
 
     issued_count: int = 0
     serials: list[int] = dataclasses.field(default_factory=list)
@@ -41,10 +43,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Records:
-    """All records by serial, with the buckets that say when to drop them.
+    """All records by serial, and buckets by the second of their expiry.
 
-    ``overdue`` holds the serials whose tickets expired while they were
-    being executed: their records go when the execution ends.
+    ``running_expired`` holds the serials whose tickets expired while they
+    were being executed: their records are dropped when the execution ends.
+    ``unexpired_count`` is the number of issued tickets that have not expired,
+    and ``stored_bytes`` the size of all answers kept. ``expiry_heap`` holds
+    the keys of ``buckets_by_second``.
     """
 
     max_records: int
@@ -68,12 +73,12 @@
 
 
 def count_issued(records: Records, expiry: int) -> None:
-    """Count a ticket that was issued, until its expiry."""
+    """Count an issued ticket until it expires."""
     _bucket(records, expiry).issued_count += 1
     records.unexpired_count += 1
 
 
-def add(records: Records, serial: int, expiry: int) -> Record:
+def add_record(records: Records, serial: int, expiry: int) -> Record:
     """Add the record of a ticket that is executed from now on."""
     record = Record()
     records.by_serial[serial] = record
@@ -81,21 +86,21 @@
     return record
 
 
-def store(
+def store_result(
     records: Records, serial: int, record: Record, result: _messages.Result
 ) -> None:
-    """Keep how the execution ended, the answer within the bounds."""
+    """Store the result of the execution, within the limits on answers."""
     if serial in records.running_expired:
         records.running_expired.discard(serial)
         record.result = result
         del records.by_serial[serial]
         return
-    record.result = _shorten(records, result)
-    records.stored_bytes += _size(record)
+    record.result = _limit_size(records, result)
+    records.stored_bytes += _stored_size(record)
 
 
 def drop_expired(records: Records, now: float) -> None:
-    """Drop what expired by ``now``: each record is touched once."""
+    """Drop the records that expired by ``now``, each handled once."""
     while records.expiry_heap and records.expiry_heap[0] <= now:
         bucket = records.buckets_by_second.pop(
             heapq.heappop(records.expiry_heap)
@@ -108,16 +113,16 @@
 def _drop(records: Records, serial: int) -> None:
     record = records.by_serial[serial]
     if record.result is None:
-        # Dropping the record of a running execution would lose its end:
-        # joined callers would wait for ever. It stays until that end.
+        # Without the record, the result of a running execution would be
+        # lost and joined callers would wait forever. It stays until then.
         records.running_expired.add(serial)
         return
-    records.stored_bytes -= _size(record)
+    records.stored_bytes -= _stored_size(record)
     del records.by_serial[serial]
 
 
 def _bucket(records: Records, expiry: int) -> ExpiryBucket:
-    # Rounded up: no record goes before its ticket expired.
+    # Rounded up, so that no record is dropped before its ticket expires.
     second = -(-expiry // _MILLISECONDS)
     bucket = records.buckets_by_second.get(second)
     if bucket is None:
@@ -127,20 +132,20 @@
     return bucket
 
 
-def _shorten(
+def _limit_size(
     records: Records, result: _messages.Result
 ) -> _messages.Result | _messages.Summary:
     if not isinstance(result, _messages.Done):
         return result
     size = _answer_bytes(result)
-    room = records.max_stored_bytes - records.stored_bytes
-    if size <= min(MAX_ANSWER_BYTES, room):
+    available_bytes = records.max_stored_bytes - records.stored_bytes
+    if size <= min(MAX_ANSWER_BYTES, available_bytes):
         return result
     digest = hashlib.blake2b(result.body, digest_size=32).digest()
     return _messages.Summary(result.status, digest, len(result.body))
 
 
-def _size(record: Record) -> int:
+def _stored_size(record: Record) -> int:
     if not isinstance(record.result, _messages.Done):
         return 0
     return _answer_bytes(record.result)
--- a/src/sassafrasstair/decisions/once/_refusals.py
+++ b/src/sassafrasstair/decisions/once/_refusals.py
@@ -1,4 +1,4 @@
-"""What an entrance may say of a ticket that it did not send on."""
+"""Refusals of an entrance for a ticket that it did not send on."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
     """Return the refusal of a ticketed call that was not dispatched.
 
     ``repeat`` is the caller's count of earlier uses of the same ticket.
-    Failure: a first attempt went through another entrance and is still on
-    its way to the owner; the caller repeats here, is told "not run", and
-    then the first attempt runs. Only the owner can void a ticket, so an
-    entrance says "not run" of a first use alone.
+    A first attempt may have gone through another entrance and still be on
+    its way to the owner. If the repeat were answered "not run" here, the
+    first attempt could run after that. Only the owner can void a ticket, so
+    an entrance answers "not run" for a first use only.
     """
     outcome = outcomes.Outcome.UNKNOWN
     if repeat == 0:
--- a/src/sassafrasstair/decisions/once/_tickets.py
+++ b/src/sassafrasstair/decisions/once/_tickets.py
@@ -1,8 +1,8 @@
-"""The text of a ticket, and the tag that only its owner can make.
+"""The text form of a ticket, with a tag that only its owner can make.
 
 ``vm~incarnation~serial~expiry~service~class~tag``: the expiry is in
 milliseconds of the owner's monotonic clock, the tag is a keyed BLAKE2b of
-all that stands before it.
+the text before it.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TicketTarget:
-    """What an entrance reads from a ticket: who owns it and what it is for.
+    """The owner of a ticket and its class, as an entrance reads them.
 
     None of it is verified: only the owner can check the tag.
     """
@@ -42,14 +42,14 @@
 
 def encode(ticket: Ticket, secret: bytes) -> str:
     """Return the text of ``ticket``, tagged with the owner's secret."""
-    name = ticket.target
+    target = ticket.target
     fields = (
-        name.vm,
-        name.incarnation,
+        target.vm,
+        target.incarnation,
         str(ticket.serial),
         str(ticket.expiry),
-        name.service,
-        name.request_class,
+        target.service,
+        target.request_class,
     )
     text = _SEPARATOR.join(fields)
     return f"{text}{_SEPARATOR}{_tag(text, secret)}"
@@ -65,12 +65,12 @@
     vm, incarnation, serial, expiry, service, request_class, _ = fields
     if not (_is_number(serial) and _is_number(expiry)):
         return None
-    name = TicketTarget(vm, incarnation, service, request_class)
-    return Ticket(name, int(serial), int(expiry))
+    target = TicketTarget(vm, incarnation, service, request_class)
+    return Ticket(target, int(serial), int(expiry))
 
 
 def parse_ticket(text: str) -> TicketTarget | None:
-    """Return the owner that a ticket names, or None if malformed."""
+    """Return the owner and class of a ticket, or None if malformed."""
     ticket = decode(text)
     return None if ticket is None else ticket.target
 
@@ -81,8 +81,8 @@
     return hmac.compare_digest(tag, _tag(signed, secret))
 
 
-def can_name(field: str) -> bool:
-    """Return whether ``field`` may stand in a ticket."""
+def is_valid_field(field: str) -> bool:
+    """Return whether ``field`` can be part of a ticket."""
     return bool(field) and field.isascii() and _SEPARATOR not in field
 
 
