--- a/tests/decisions/crashes/test_fingerprints.py
+++ b/tests/decisions/crashes/test_fingerprints.py
@@ -1,4 +1,4 @@
-"""What names a request by its content."""
+"""Fingerprints that identify requests by their content."""
 
 from __future__ import annotations
 
--- a/tests/decisions/crashes/test_ledger.py
+++ b/tests/decisions/crashes/test_ledger.py
@@ -1,4 +1,4 @@
-"""What is known of crashes, merged from several daemons."""
+"""Records of crashes, merged from several daemons."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Step:
-    """A crash at a second, with what ran there and for how long."""
+class CrashStep:
+    """One crash at ``at`` seconds.
+
+    ``ran`` holds the requests under way and for how many seconds each had run.
+    """
 
     at: float
     ran: dict[int, float]
     familiar: frozenset[int] = frozenset()
 
 
-def ledger_of(*steps: Step) -> crashes.Ledger:
-    """Return a ledger of crashes of as many instances."""
+def ledger_of(*steps: CrashStep) -> crashes.Ledger:
+    """Return a ledger with one crash of a separate instance per step."""
     ledger = crashes.new_ledger()
     for number, step in enumerate(steps):
         runs = [crashes.Run(*each) for each in step.ran.items()]
@@ -32,8 +35,8 @@
     return ledger
 
 
-SEQUENCE = (Step(1.0, {BAD: 0.1}), Step(2.0, {BAD: 0.1}))
-AT_ONCE = (Step(1.0, {BAD: 0.5}), Step(1.1, {BAD: 0.5}))
+SEQUENCE = (CrashStep(1.0, {BAD: 0.1}), CrashStep(2.0, {BAD: 0.1}))
+AT_ONCE = (CrashStep(1.0, {BAD: 0.5}), CrashStep(1.1, {BAD: 0.5}))
 FAMILIAR = frozenset({BAD})
 
 
@@ -41,23 +44,23 @@
     ("steps", "strikes"),
     [
         ((), 0),
-        ((Step(1.0, {OTHER: 0.1}),), 0),
+        ((CrashStep(1.0, {OTHER: 0.1}),), 0),
         (SEQUENCE, 2),
         (AT_ONCE, 2),
-        ((*SEQUENCE, Step(3.0, {BAD: 0.1}, FAMILIAR)), 3),
-        ((*AT_ONCE, Step(1.2, {BAD: 0.5}, FAMILIAR)), 1),
-        ((*AT_ONCE, Step(2.0, {BAD: 0.5}, FAMILIAR)), 2),
+        ((*SEQUENCE, CrashStep(3.0, {BAD: 0.1}, FAMILIAR)), 3),
+        ((*AT_ONCE, CrashStep(1.2, {BAD: 0.5}, FAMILIAR)), 1),
+        ((*AT_ONCE, CrashStep(2.0, {BAD: 0.5}, FAMILIAR)), 2),
     ],
 )
 def test_crashes_of_one_moment_count_once_against_a_familiar_request(
-    steps: tuple[Step, ...], strikes: int
+    steps: tuple[CrashStep, ...], strikes: int
 ) -> None:
     ledger = ledger_of(*steps)
     assert crashes.evidence_against(ledger, BAD).strikes == strikes
 
 
 def test_completed_request_is_cleared_of_the_crashes_before() -> None:
-    """What runs to its end is not to blame, and what it does later counts."""
+    """A completed request is cleared, but later crashes count again."""
     ledger = ledger_of(*SEQUENCE)
     assert crashes.clear_completed(ledger, BAD)
     assert not crashes.clear_completed(ledger, BAD)
@@ -67,15 +70,18 @@
 
 
 def test_crash_is_recorded_once() -> None:
-    """All connections of an instance break, one after the other."""
-    ledger = ledger_of(Step(1.0, {BAD: 0.1}))
+    """Guards against one record for each connection that breaks.
+
+    The connections of a crashed instance break one after the other.
+    """
+    ledger = ledger_of(CrashStep(1.0, {BAD: 0.1}))
     runs = [crashes.Run(OTHER, 0.1)]
     assert not crashes.record_crash(ledger, ("i-0", 0), runs, (), 1.1)
     assert crashes.evidence_against(ledger, OTHER).strikes == 0
 
 
 def test_several_runs_of_one_request_count_as_the_first() -> None:
-    """One instance has the same request three times when it crashes."""
+    """An instance runs the same request three times when it crashes."""
     ledger = crashes.new_ledger()
     runs = [crashes.Run(BAD, seconds, True) for seconds in (0.1, 0.3, 0.2)]
     crashes.record_crash(ledger, ("i", 0), runs, (), 1.0)
@@ -85,7 +91,11 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_daemons_come_to_know_the_same_in_any_order(seed: int) -> None:
-    """Crashes and completions at four daemons, told in any order, twice."""
+    """Four daemons agree when all of their records have been exchanged.
+
+    Crashes and completions at the daemons are reported in any order, and more
+    than once.
+    """
     rng = random.Random(seed)
     ledgers = [crashes.new_ledger() for _ in range(4)]
     for number in range(30):
@@ -115,29 +125,32 @@
 
 
 def test_only_changes_are_told_after_a_version() -> None:
-    """A daemon tells on what is new, and not all each time."""
+    """A daemon reports only records that changed since the version."""
     ledger = ledger_of(*SEQUENCE)
     version = ledger.version
     assert crashes.reports_since(ledger, 3.0, version) == []
     crashes.record_crash(
         ledger, ("i-9", 0), [crashes.Run(OTHER, 0.1)], (), 3.0
     )
-    (told,) = crashes.reports_since(ledger, 3.5, version)
-    assert (told.key, told.age) == (("i-9", 0), 0.5)
+    (report,) = crashes.reports_since(ledger, 3.5, version)
+    assert (report.key, report.age) == (("i-9", 0), 0.5)
 
 
 def test_old_crashes_are_forgotten_and_not_taken_again() -> None:
-    """A peer that forgets a moment later tells of it once more."""
+    """A peer that removes a record later may still report it once more."""
     ledger = ledger_of(*SEQUENCE)
-    told = crashes.reports_since(ledger, 2.0)
+    old_reports = crashes.reports_since(ledger, 2.0)
     crashes.expire(ledger, 1_900.0)
     assert ledger.crashes == {}
     assert (ledger.run_count, ledger.digest) == (0, 0)
-    assert crashes.merge_reports(ledger, told, 1_900.0) == set()
+    assert crashes.merge_reports(ledger, old_reports, 1_900.0) == set()
 
 
 def test_records_that_tell_least_are_pushed_out_first() -> None:
-    """More crashes than are kept: what was in several stays."""
+    """Guards against evicting a request that was in several crashes.
+
+    There are more crashes than the ledger keeps.
+    """
     ledger = ledger_of(*SEQUENCE)
     for number in range(300):
         runs = [
--- a/tests/decisions/crashes/test_standings.py
+++ b/tests/decisions/crashes/test_standings.py
@@ -1,4 +1,4 @@
-"""What follows from the evidence against a request."""
+"""Decisions from the evidence against a request."""
 
 from __future__ import annotations
 
@@ -14,9 +14,12 @@
 
 @dataclasses.dataclass(frozen=True)
 class Case:
-    """Requests under way at crashes a second apart, and what follows.
+    """Crashes one second apart, and the standing of ``BAD`` after them.
 
-    ``isolated`` are crashes in which the first one was the only suspect.
+    ``ran`` holds the requests under way at each crash, and ``isolated`` the
+    indexes of the crashes at which ``BAD`` was the only suspect. ``familiar``
+    is set if an instance had completed ``BAD`` before. ``after`` is in seconds
+    from the last crash to the decision.
     """
 
     ran: tuple[tuple[int, ...], ...]
@@ -66,7 +69,10 @@
 
 
 def test_daemons_try_a_blocked_request_at_different_times() -> None:
-    """All would try it at once, and lose an instance each."""
+    """Guards against a retry by all daemons at once.
+
+    Each daemon would lose an instance.
+    """
     ledger = crashes.new_ledger()
     for number in range(3):
         runs = [crashes.Run(BAD, 0.1)]
--- a/tests/decisions/once/test_owners.py
+++ b/tests/decisions/once/test_owners.py
@@ -6,8 +6,8 @@
 from sassafrasstair import outcomes
 
 DONE = once.Done(200, ((b"a", b"b"),), b"posted")
-LOST = once.Unknown(outcomes.Reason.UPSTREAM_LOST)
-SHED = once.NotRun(outcomes.Reason.QUEUE_FULL)
+UPSTREAM_LOST = once.Unknown(outcomes.Reason.UPSTREAM_LOST)
+QUEUE_FULL = once.NotRun(outcomes.Reason.QUEUE_FULL)
 NOT_RUN = outcomes.Outcome.NOT_RUN
 UNKNOWN = outcomes.Outcome.UNKNOWN
 Reason = outcomes.Reason
@@ -19,13 +19,15 @@
     return once.new_owner("vm-1", incarnation, b"s" * 16, records, stored)
 
 
-def take(owner: once.Owner, now: float = 0.0, lifetime: float = 60.0) -> str:
+def issue_ticket(
+    owner: once.Owner, now: float = 0.0, lifetime: float = 60.0
+) -> str:
     issued = once.issue_ticket(owner, "poster", "write-down", lifetime, now)
     assert isinstance(issued, once.Issued)
     return issued.ticket
 
 
-def use(owner: once.Owner, ticket: str, now: float = 1.0) -> once.Arrival:
+def arrive(owner: once.Owner, ticket: str, now: float = 1.0) -> once.Arrival:
     return once.accept_arrival(owner, ticket, "write-down", now)
 
 
@@ -34,36 +36,37 @@
     [
         (None, once.Join()),
         (DONE, once.Replay(DONE)),
-        (LOST, once.Refused(UNKNOWN, Reason.UPSTREAM_LOST)),
-        (SHED, once.Refused(NOT_RUN, Reason.TICKET_VOID)),
+        (UPSTREAM_LOST, once.Refused(UNKNOWN, Reason.UPSTREAM_LOST)),
+        (QUEUE_FULL, once.Refused(NOT_RUN, Reason.TICKET_VOID)),
     ],
 )
 def test_only_the_first_arrival_runs(
     end: once.Result | None, again: once.Arrival
 ) -> None:
-    """A shopkeeper's client repeats a write-down that was slow to answer.
+    """Guards against a second execution of one ticket.
 
-    The repeat arrives while the first is executed or after its end. It
-    must get the same end and never a second execution; after "not run" a
-    delayed copy must not run either.
+    A repeat arrives while the first request is executed or after that. It
+    must get the same result and never run; after "not run" a delayed copy
+    must not run either.
     """
     owner = make_owner()
-    ticket = take(owner)
-    assert use(owner, ticket) == once.Run()
+    ticket = issue_ticket(owner)
+    assert arrive(owner, ticket) == once.Run()
     if end is not None:
         assert once.finish_execution(owner, ticket, end, 2.0) == end
-    assert use(owner, ticket, 3.0) == again
-    assert use(owner, ticket, 4.0) == again
+    assert arrive(owner, ticket, 3.0) == again
+    assert arrive(owner, ticket, 4.0) == again
 
 
 def test_a_restarted_owner_runs_nothing_of_its_predecessor() -> None:
-    """A broker repeats a binding after the bindery's VM was replaced.
+    """Guards against a second execution after the owner restarted.
 
-    The first attempt ran, the daemon lost its memory, the repeat reaches
-    the new incarnation. It cannot know, so it must say unknown.
+    The first attempt ran, the daemon lost its records, and the repeat reaches
+    the new incarnation. It cannot tell whether the ticket ran, so it
+    must answer unknown.
     """
-    ticket = take(make_owner("i1"))
-    answer = use(make_owner("i2"), ticket)
+    ticket = issue_ticket(make_owner("i1"))
+    answer = arrive(make_owner("i2"), ticket)
     assert answer == once.Refused(UNKNOWN, Reason.OWNER_GONE)
 
 
@@ -80,64 +83,65 @@
 )
 def test_a_ticket_that_was_not_issued_is_not_run(forged: str) -> None:
     owner = make_owner()
-    answer = use(owner, forged)
+    answer = arrive(owner, forged)
     assert answer == once.Refused(NOT_RUN, Reason.TICKET_INVALID)
 
 
 def test_a_ticket_cannot_be_stretched() -> None:
     owner = make_owner()
-    ticket = take(owner)
+    ticket = issue_ticket(owner)
     stretched = ticket.replace("~60000~", "~90000~")
     assert stretched != ticket
-    answer = use(owner, stretched)
+    answer = arrive(owner, stretched)
     assert answer == once.Refused(NOT_RUN, Reason.TICKET_INVALID)
 
 
 def test_parse_names_the_owner() -> None:
-    name = once.parse_ticket(take(make_owner()))
+    name = once.parse_ticket(issue_ticket(make_owner()))
     assert name == once.TicketTarget("vm-1", "i1", "poster", "write-down")
     assert once.parse_ticket("vm-1~i1") is None
 
 
 def test_a_handler_that_wakes_late_does_not_run_an_expired_ticket() -> None:
-    """A repeat's handler read the clock, and its process then paused.
+    """Guards against a second execution with an outdated instant.
 
-    Meanwhile the ticket expired and its record was dropped. With the old
-    instant the ticket still looks valid and unused, and would run twice.
+    The process pauses after the handler of a repeat has read the clock. The
+    ticket then expires and its record is dropped. At the old instant the
+    ticket looks valid and unused, and would run twice.
     """
     owner = make_owner()
-    ticket = take(owner)
-    assert use(owner, ticket, 1.0) == once.Run()
+    ticket = issue_ticket(owner)
+    assert arrive(owner, ticket, 1.0) == once.Run()
     once.finish_execution(owner, ticket, DONE, 2.0)
     once.expire(owner, 61.0)
-    answer = use(owner, ticket, 59.0)
+    answer = arrive(owner, ticket, 59.0)
     assert answer == once.Refused(UNKNOWN, Reason.TICKET_EXPIRED)
 
 
 def test_an_execution_longer_than_its_ticket_keeps_its_record() -> None:
     owner = make_owner(records=1)
-    ticket = take(owner)
-    use(owner, ticket)
+    ticket = issue_ticket(owner)
+    arrive(owner, ticket)
     once.expire(owner, 100.0)
-    assert use(owner, ticket, 100.0) == once.Join()
+    assert arrive(owner, ticket, 100.0) == once.Join()
     full = once.issue_ticket(owner, "poster", "write-down", 60.0, 100.0)
     assert full == once.Refused(NOT_RUN, Reason.TICKETS_FULL)
     assert once.finish_execution(owner, ticket, DONE, 101.0) == DONE
-    answer = use(owner, ticket, 102.0)
+    answer = arrive(owner, ticket, 102.0)
     assert answer == once.Refused(UNKNOWN, Reason.TICKET_EXPIRED)
-    take(owner, 102.0)
+    issue_ticket(owner, 102.0)
 
 
 def test_issue_stops_at_the_bound_and_frees_with_expiry() -> None:
     owner = make_owner(records=3)
-    tickets = [take(owner) for _ in range(3)]
+    tickets = [issue_ticket(owner) for _ in range(3)]
     full = once.issue_ticket(owner, "poster", "write-down", 60.0, 1.0)
     assert full == once.Refused(NOT_RUN, Reason.TICKETS_FULL)
     for ticket in tickets:
-        use(owner, ticket)
+        arrive(owner, ticket)
         once.finish_execution(owner, ticket, DONE, 2.0)
     assert len(owner.records.by_serial) == 3
-    take(owner, 61.0)
+    issue_ticket(owner, 61.0)
     assert not owner.records.by_serial
     assert owner.records.stored_bytes == 0
 
@@ -154,55 +158,56 @@
 def test_not_run_after_dispatch_is_the_upstreams_word(
     reason: outcomes.Reason, told: outcomes.Outcome
 ) -> None:
-    """A caller goes away and its binding is cancelled after dispatch.
+    """Guards against "not run" for a request that may have run.
 
-    The upstream has the bytes and has not confirmed the cancellation.
-    "Not run" would make the broker bind again.
+    A request is cancelled after dispatch because its caller went away. The
+    upstream has the bytes and has not confirmed the cancellation. After "not
+    run" the caller would send the request again.
     """
     owner = make_owner()
-    ticket = take(owner)
-    use(owner, ticket)
+    ticket = issue_ticket(owner)
+    arrive(owner, ticket)
     assert once.dispatched(owner, ticket, 1.0)
     once.finish_execution(owner, ticket, once.NotRun(reason), 2.0)
-    answer = use(owner, ticket, 3.0)
+    answer = arrive(owner, ticket, 3.0)
     assert isinstance(answer, once.Refused)
     assert answer.outcome is told
 
 
 def test_what_was_voided_or_sent_is_not_sent() -> None:
-    """A binding waits in the queue, is cancelled, and its turn comes.
+    """Guards against sending a cancelled request, or one request twice.
 
-    Its caller was told "not run" on the cancellation; the effect that
-    starts it was already on its way when the process paused.
+    A request is cancelled in the queue and its caller is told "not run". The
+    effect that starts it may already be under way when the process pauses.
     """
     owner = make_owner()
-    voided, sent = take(owner), take(owner)
-    use(owner, voided)
+    voided, sent = issue_ticket(owner), issue_ticket(owner)
+    arrive(owner, voided)
     once.finish_execution(owner, voided, once.NotRun(Reason.CANCELLED), 1.0)
     assert not once.dispatched(owner, voided, 2.0)
-    use(owner, sent)
+    arrive(owner, sent)
     assert once.dispatched(owner, sent, 2.0)
     assert not once.dispatched(owner, sent, 2.0)
-    assert not once.dispatched(owner, take(owner), 2.0)
+    assert not once.dispatched(owner, issue_ticket(owner), 2.0)
 
 
 def test_the_first_end_counts() -> None:
     owner = make_owner()
-    ticket = take(owner)
-    use(owner, ticket)
-    once.finish_execution(owner, ticket, LOST, 2.0)
-    assert once.finish_execution(owner, ticket, DONE, 3.0) == LOST
+    ticket = issue_ticket(owner)
+    arrive(owner, ticket)
+    once.finish_execution(owner, ticket, UPSTREAM_LOST, 2.0)
+    assert once.finish_execution(owner, ticket, DONE, 3.0) == UPSTREAM_LOST
     assert once.finish_execution(owner, "none", DONE, 3.0) != DONE
 
 
 @pytest.mark.parametrize("stored", [100_000, 10])
 def test_a_large_answer_is_kept_as_its_digest(stored: int) -> None:
     owner = make_owner(stored=stored)
-    ticket = take(owner)
-    use(owner, ticket)
+    ticket = issue_ticket(owner)
+    arrive(owner, ticket)
     body = b"x" * (20_000 if stored > 10 else 20)
     assert once.finish_execution(owner, ticket, once.Done(201, (), body), 2.0)
-    answer = use(owner, ticket, 3.0)
+    answer = arrive(owner, ticket, 3.0)
     assert isinstance(answer, once.Replay)
     assert isinstance(answer.result, once.Summary)
     assert (answer.result.status, answer.result.length) == (201, len(body))
@@ -211,20 +216,20 @@
 
 @pytest.mark.parametrize(
     ("before", "told"),
-    [(None, NOT_RUN), (DONE, UNKNOWN), (SHED, NOT_RUN)],
+    [(None, NOT_RUN), (DONE, UNKNOWN), (QUEUE_FULL, NOT_RUN)],
 )
 def test_a_ticket_of_another_class_is_settled_without_running(
     before: once.Result | None, told: outcomes.Outcome
 ) -> None:
     owner = make_owner()
-    ticket = take(owner)
+    ticket = issue_ticket(owner)
     if before is not None:
-        use(owner, ticket)
+        arrive(owner, ticket)
         once.finish_execution(owner, ticket, before, 1.0)
     answer = once.accept_arrival(owner, ticket, "upload", 2.0)
     assert answer == once.Refused(told, Reason.TICKET_INVALID)
     if told is NOT_RUN:
-        late = use(owner, ticket, 3.0)
+        late = arrive(owner, ticket, 3.0)
         assert late == once.Refused(NOT_RUN, Reason.TICKET_VOID)
 
 
@@ -249,26 +254,28 @@
 def test_an_entrance_says_not_run_of_a_first_use_alone(
     repeat: int, told: outcomes.Outcome
 ) -> None:
-    """A broker repeats through a second entrance, which is cut off.
+    """Guards against "not run" for a ticket that runs afterwards.
 
-    The first attempt, through the first entrance, is still on its way to
-    the owner and runs after the second entrance's refusal.
+    A caller repeats through a second entrance, which cannot reach the owner.
+    The first attempt, through another entrance, is still on its way to the
+    owner and runs after the refusal by the second entrance.
     """
     refused = once.entrance_refusal(repeat, Reason.PEER_UNREACHABLE)
     assert refused == once.Refused(told, Reason.PEER_UNREACHABLE)
 
 
 def test_a_record_stays_until_its_ticket_expires() -> None:
-    """A repeat arrives in the last half second of its ticket.
+    """Guards against a record that is dropped before its ticket expires.
 
-    A record dropped with the whole second before would let it run again.
+    Expiry is counted in whole seconds. If it were rounded down, a repeat in
+    the last half second of the ticket would run again.
     """
     owner = make_owner()
-    ticket = take(owner, lifetime=60.5)
-    use(owner, ticket)
+    ticket = issue_ticket(owner, lifetime=60.5)
+    arrive(owner, ticket)
     once.finish_execution(owner, ticket, DONE, 2.0)
     once.expire(owner, 60.2)
-    assert use(owner, ticket, 60.3) == once.Replay(DONE)
+    assert arrive(owner, ticket, 60.3) == once.Replay(DONE)
 
 
 @pytest.mark.parametrize("before", [None, DONE])
@@ -276,15 +283,15 @@
     before: once.Result | None,
 ) -> None:
     owner = make_owner()
-    ticket = take(owner)
+    ticket = issue_ticket(owner)
     expected: once.Arrival = once.Refused(NOT_RUN, Reason.BODY_MEMORY)
     later: once.Arrival = once.Refused(NOT_RUN, Reason.TICKET_VOID)
     if before is not None:
-        use(owner, ticket)
+        arrive(owner, ticket)
         once.finish_execution(owner, ticket, before, 1.0)
         expected = later = once.Replay(DONE)
     answer = once.refuse_arrival(
         owner, ticket, "write-down", Reason.BODY_MEMORY, 1.0
     )
     assert answer == expected
-    assert use(owner, ticket) == later
+    assert arrive(owner, ticket) == later
--- a/tests/decisions/quotas/test_shares.py
+++ b/tests/decisions/quotas/test_shares.py
@@ -1,4 +1,4 @@
-"""Shares that failure domains lend each other."""
+"""Shares of customer limits that failure domains transfer."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 from sassafrasstair.decisions import quotas
 
 DOMAINS = ("a", "b", "c")
-NAME = "one"
-LIMITS = {NAME: quotas.Limit(10.0, 10.0)}
+CUSTOMER = "one"
+LIMITS = {CUSTOMER: quotas.Limit(10.0, 10.0)}
 
 
-def _all() -> dict[str, quotas.Shares]:
+def _new_shares() -> dict[str, quotas.Shares]:
     return {
         domain: quotas.new_shares(domain, domain, f"m-{domain}", DOMAINS, 0.0)
         for domain in DOMAINS
     }
 
 
-def _tell(
+def _send_update(
     shares: dict[str, quotas.Shares], one: str, other: str, now: float
 ) -> None:
     update = quotas.update_for(shares[one], other)
@@ -28,22 +28,24 @@
     quotas.adopt_share(shares[one], now)
 
 
-def _tell_all(
+def _exchange_all(
     shares: dict[str, quotas.Shares], now: float, cut: frozenset[str]
 ) -> None:
     for one in shares:
         for other in shares:
             if one != other and (one in cut) == (other in cut):
-                _tell(shares, one, other, now)
+                _send_update(shares, one, other, now)
 
 
-def _total(shares: dict[str, quotas.Shares]) -> float:
-    return sum(quotas.share_available(each, NAME) for each in shares.values())
+def _total_share(shares: dict[str, quotas.Shares]) -> float:
+    return sum(
+        quotas.share_available(each, CUSTOMER) for each in shares.values()
+    )
 
 
-def _demand(shares: dict[str, quotas.Shares], *rates: float) -> None:
+def _set_demands(shares: dict[str, quotas.Shares], *rates: float) -> None:
     for each, rate in zip(shares.values(), rates, strict=True):
-        quotas.set_demands(each, {NAME: rate}, LIMITS)
+        quotas.set_demands(each, {CUSTOMER: rate}, LIMITS)
 
 
 @pytest.mark.parametrize(
@@ -58,47 +60,57 @@
 def test_shares_follow_the_demand(
     rates: tuple[float, ...], expected: tuple[float, ...]
 ) -> None:
-    """A domain with all of a customer's requests kept an equal share."""
-    shares = _all()
+    """Guards against equal shares where one domain has all the requests."""
+    shares = _new_shares()
     for step in range(8):
-        _tell_all(shares, 0.1 * step, frozenset())
-        _demand(shares, *rates)
-        assert _total(shares) <= 1.0 + 1e-9
-    found = [quotas.share_available(each, NAME) for each in shares.values()]
+        _exchange_all(shares, 0.1 * step, frozenset())
+        _set_demands(shares, *rates)
+        assert _total_share(shares) <= 1.0 + 1e-9
+    found = [
+        quotas.share_available(each, CUSTOMER) for each in shares.values()
+    ]
     assert found == pytest.approx(expected, abs=0.04)
 
 
 def test_domain_that_is_cut_off_keeps_its_share_and_no_more() -> None:
-    """Both sides of a cut claimed what the other seemed to give up."""
-    shares = _all()
+    """Guards against shares that add up to more than the whole limit.
+
+    Both sides of a partition could claim the share that the other side
+    appeared to give up.
+    """
+    shares = _new_shares()
     for step in range(8):
-        _tell_all(shares, 0.1 * step, frozenset())
-        _demand(shares, 20.0, 20.0, 20.0)
+        _exchange_all(shares, 0.1 * step, frozenset())
+        _set_demands(shares, 20.0, 20.0, 20.0)
     for step in range(20):
-        _tell_all(shares, 1.0 + 0.1 * step, frozenset("c"))
-        _demand(shares, 0.0, 0.0, 90.0)
-        assert _total(shares) <= 1.0 + 1e-9
-    assert quotas.share_available(shares["c"], NAME) == pytest.approx(
+        _exchange_all(shares, 1.0 + 0.1 * step, frozenset("c"))
+        _set_demands(shares, 0.0, 0.0, 90.0)
+        assert _total_share(shares) <= 1.0 + 1e-9
+    assert quotas.share_available(shares["c"], CUSTOMER) == pytest.approx(
         0.33, abs=0.04
     )
 
 
 def test_two_domains_do_not_claim_the_same_room() -> None:
-    """Each raised its share by what a third had given up, at the same time."""
-    shares = _all()
+    """Guards against shares that add up to more than the whole limit.
+
+    Two domains could raise their shares at the same time by what a third
+    domain had given up.
+    """
+    shares = _new_shares()
     for step in range(8):
-        _tell_all(shares, 0.1 * step, frozenset())
-        _demand(shares, 20.0, 20.0, 20.0)
-    _demand(shares, 20.0, 0.0, 20.0)
+        _exchange_all(shares, 0.1 * step, frozenset())
+        _set_demands(shares, 20.0, 20.0, 20.0)
+    _set_demands(shares, 20.0, 0.0, 20.0)
     for one in ("a", "c"):
-        _tell(shares, "b", one, 1.0)
-    _demand(shares, 40.0, 0.0, 40.0)
-    assert _total(shares) <= 1.0 + 1e-9
+        _send_update(shares, "b", one, 1.0)
+    _set_demands(shares, 40.0, 0.0, 40.0)
+    assert _total_share(shares) <= 1.0 + 1e-9
     for one, other in (("a", "c"), ("c", "a"), ("a", "b"), ("c", "b")):
-        _tell(shares, one, other, 1.1)
-        assert _total(shares) <= 1.0 + 1e-9
-        _demand(shares, 40.0, 0.0, 40.0)
-        assert _total(shares) <= 1.0 + 1e-9
+        _send_update(shares, one, other, 1.1)
+        assert _total_share(shares) <= 1.0 + 1e-9
+        _set_demands(shares, 40.0, 0.0, 40.0)
+        assert _total_share(shares) <= 1.0 + 1e-9
 
 
 @pytest.mark.parametrize(
@@ -108,14 +120,14 @@
 def test_another_process_takes_over_a_domain(
     pause: float, host: str, taken: bool
 ) -> None:
-    """Two processes handed out the tokens of one domain."""
-    shares = _all()
+    """Guards against two processes that grant tokens of one domain."""
+    shares = _new_shares()
     for step in range(4):
-        _tell_all(shares, 0.1 * step, frozenset())
+        _exchange_all(shares, 0.1 * step, frozenset())
     shares["a"] = quotas.new_shares("a", host, "m-new", DOMAINS, 1.0)
     for one in ("b", "c"):
-        _tell(shares, "a", one, 0.3 + pause)
-    assert (quotas.share_available(shares["a"], NAME) > 0.0) is taken
+        _send_update(shares, "a", one, 0.3 + pause)
+    assert (quotas.share_available(shares["a"], CUSTOMER) > 0.0) is taken
     assert bool(shares["a"].other_allocator) is not taken
 
 
@@ -126,9 +138,9 @@
 def test_limit_is_that_of_a_whole_window(
     rate: float, burst: float, sustained: float, most: float
 ) -> None:
-    """A customer that sent its rate and burst in each window was refused."""
+    """Guards against refusing rate and burst together in each window."""
     rules = quotas.Rules(5.0, 0.25, 20.0)
-    customer = policies.Customer(NAME, (), rate, burst)
+    customer = policies.Customer(CUSTOMER, (), rate, burst)
     limit = quotas.limit_with_tolerance(customer, rules)
     assert limit is not None
     assert limit.rate == pytest.approx(sustained)
@@ -138,5 +150,5 @@
 
 
 def test_customer_without_a_rate_has_no_limit() -> None:
-    customer = policies.Customer(NAME, (), 0.0, 5.0)
+    customer = policies.Customer(CUSTOMER, (), 0.0, 5.0)
     assert quotas.limit_with_tolerance(customer, quotas.Rules()) is None
