--- a/src/sassafrasstair/decisions/crashes/_ledger.py
+++ b/src/sassafrasstair/decisions/crashes/_ledger.py
@@ -60,11 +60,12 @@
     ``runs_by_request`` holds each crash of a request with the index of the
     request in the runs of that crash. ``evicted_keys`` are those of removed
     records, oldest first; reports of them are ignored. ``run_count`` is the
-    number of requests in all records.
-    ``version`` counts changes. ``digest`` is the same in all daemons that have
-    the same records. ``evidence_cache`` and ``explained_crashes`` are cleared
-    at each change. The latter holds the strikes of the proven request that was
-    in a crash.
+    number of requests in all records. ``version`` counts changes. ``digest``
+    is the same in all daemons that have the same records.
+
+    ``evidence_cache`` and ``explained_crashes`` are cleared at each change.
+    The latter holds, for each crash that a proven request was in, the strikes
+    of that request.
     """
 
     crashes: dict[_records.CrashKey, _records.Crash] = dataclasses.field(
--- a/src/sassafrasstair/decisions/crashes/_standings.py
+++ b/src/sassafrasstair/decisions/crashes/_standings.py
@@ -53,13 +53,13 @@
     """Return how a request may be run now by the daemon at ``own_host``."""
     found = _ledger.evidence_against(ledger, fingerprint)
     if found.strikes >= ISOLATE_FROM_STRIKES:
-        by_others = {
+        excluded = {
             key
             for key, strikes in _explained_crashes(ledger).items()
             if strikes > found.strikes
         }
-        if any(crash.key in by_others for crash in found.crashes):
-            found = _ledger.evidence_excluding(ledger, fingerprint, by_others)
+        if any(crash.key in excluded for crash in found.crashes):
+            found = _ledger.evidence_excluding(ledger, fingerprint, excluded)
     if found.strikes < ISOLATE_FROM_STRIKES:
         return Verdict(Standing.FREE, found)
     if not _is_proven(found):
--- a/src/sassafrasstair/decisions/once/_owners.py
+++ b/src/sassafrasstair/decisions/once/_owners.py
@@ -172,10 +172,10 @@
 ) -> _messages.Arrival:
     """Refuse a request that this daemon will not run, for ``reason``.
 
-    This prevents that the owner refuses a repeat as "not run" for lack of
-    memory while an earlier use of the ticket is executed. A ticket that was
-    not run before is void from now on. For any other ticket the result is
-    that of ``accept_arrival``, and never ``Run``.
+    A ticket that was not run before is void from now on. For any other
+    ticket the result is that of ``accept_arrival``, and never ``Run``.
+    Otherwise the owner could refuse a repeat as "not run" for lack of memory
+    while an earlier use of the ticket is executed.
     """
     arrival = accept_arrival(owner, ticket, request_class, now)
     if not isinstance(arrival, _messages.Run):
--- a/src/sassafrasstair/decisions/once/_records.py
+++ b/src/sassafrasstair/decisions/once/_records.py
@@ -2,8 +2,8 @@
 
 A record exists only for a ticket that was issued and has not expired, or
 that is still being executed. The number of such tickets bounds the memory of
-the records. Tickets that have not arrived are only counted, by the second in
-which they expire.
+the records. Issued tickets are only counted, by the second in which they
+expire.
 """
 
 from __future__ import annotations
@@ -114,7 +114,8 @@
     record = records.by_serial[serial]
     if record.result is None:
         # Without the record, the result of a running execution would be
-        # lost and joined callers would wait forever. It stays until then.
+        # lost and joined callers would wait forever. The record stays until
+        # the execution ends.
         records.running_expired.add(serial)
         return
     records.stored_bytes -= _stored_size(record)
--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -52,9 +52,11 @@
     and ``serial`` is that of its last update. ``claims`` and ``demands`` are
     those that it last reported; ``claims_known`` is set once it has reported
     all of its claims. ``acked_claims`` and ``acked_demands`` are those of the
-    own domain that it has acknowledged, and ``all_acked`` says whether it has
-    acknowledged all of them. It last sent an update at ``last_update_at`` and
-    an acknowledgement at ``last_ack_at``. While the own domain is adopting its
+    own domain that it has acknowledged; a lowered claim is entered as soon as
+    it is sent. ``all_acked`` says whether it has acknowledged all of them.
+
+    The other domain last sent an update at ``last_update_at`` and an
+    acknowledgement at ``last_ack_at``. While the own domain is adopting its
     share, ``reserved_claims`` is what the other domain has reserved for it.
     ``adopting`` is set while the other domain is adopting its own share.
     """
