--- a/src/sassafrasstair/daemons/__init__.py
+++ b/src/sassafrasstair/daemons/__init__.py
@@ -8,10 +8,10 @@
 from sassafrasstair.daemons._errors import PeerUnreachable
 from sassafrasstair.daemons._links import close
 from sassafrasstair.daemons._links import close_idle
-from sassafrasstair.daemons._links import drop
+from sassafrasstair.daemons._links import disconnect
 from sassafrasstair.daemons._links import exchange
 from sassafrasstair.daemons._links import Links
-from sassafrasstair.daemons._messages import AnswerNext
+from sassafrasstair.daemons._messages import AnswerFetch
 from sassafrasstair.daemons._messages import AnswerPart
 from sassafrasstair.daemons._messages import BodyPart
 from sassafrasstair.daemons._messages import Cancel
@@ -20,29 +20,29 @@
 from sassafrasstair.daemons._messages import decode
 from sassafrasstair.daemons._messages import encode
 from sassafrasstair.daemons._messages import Message
-from sassafrasstair.daemons._messages import Nothing
-from sassafrasstair.daemons._messages import PartTaken
+from sassafrasstair.daemons._messages import NoContent
+from sassafrasstair.daemons._messages import PartReply
 from sassafrasstair.daemons._messages import Ping
 from sassafrasstair.daemons._messages import Pong
 from sassafrasstair.daemons._messages import Run
 from sassafrasstair.daemons._messages import RunAnswer
-from sassafrasstair.daemons._messages import TicketAsk
-from sassafrasstair.daemons._messages import TicketGiven
+from sassafrasstair.daemons._messages import TicketRequest
+from sassafrasstair.daemons._messages import TicketResponse
 from sassafrasstair.daemons._server import close as close_server
 from sassafrasstair.daemons._server import listen
 from sassafrasstair.daemons._server import Server
 
 __all__ = [
     "CHUNK_BYTES",
-    "AnswerNext",
+    "AnswerFetch",
     "AnswerPart",
     "BodyPart",
     "Cancel",
     "Control",
     "Links",
     "Message",
-    "Nothing",
-    "PartTaken",
+    "NoContent",
+    "PartReply",
     "PeerError",
     "PeerLost",
     "PeerTimeout",
@@ -52,13 +52,13 @@
     "Run",
     "RunAnswer",
     "Server",
-    "TicketAsk",
-    "TicketGiven",
+    "TicketRequest",
+    "TicketResponse",
     "close",
     "close_idle",
     "close_server",
     "decode",
-    "drop",
+    "disconnect",
     "encode",
     "exchange",
     "listen",
--- a/src/sassafrasstair/daemons/_links.py
+++ b/src/sassafrasstair/daemons/_links.py
@@ -29,8 +29,8 @@
     """``used`` is the last begin or end, ``busy`` the exchanges under way."""
 
     socket: pynng.Req0
-    used: float
-    busy: int = 0
+    last_used_at: float
+    in_flight: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -50,9 +50,9 @@
     ``timeout`` is in seconds and covers both ways. Raises
     ``PeerUnreachable`` when nothing was sent, ``PeerLost`` otherwise.
     """
-    link = _link(links, address)
+    link = _link_to(links, address)
     data = _messages.encode(message)
-    link.busy += 1
+    link.in_flight += 1
     try:
         async with asyncio.timeout(timeout):
             reply = await _exchange(link.socket, data)
@@ -61,8 +61,8 @@
     except pynng.NNGException as error:
         raise _errors.PeerLost(str(error)) from error
     finally:
-        link.busy -= 1
-        link.used = time.monotonic()
+        link.in_flight -= 1
+        link.last_used_at = time.monotonic()
     links.bytes_sent += len(data)
     links.bytes_received += len(reply)
     try:
@@ -79,12 +79,12 @@
     """
     oldest = time.monotonic() - KEEP_IDLE_SECONDS
     for address, link in list(links.by_address.items()):
-        if not link.busy and link.used < oldest:
+        if not link.in_flight and link.last_used_at < oldest:
             link.socket.close()
             del links.by_address[address]
 
 
-def drop(links: Links, address: str) -> None:
+def disconnect(links: Links, address: str) -> None:
     """Close one link; its exchanges under way end with ``PeerLost``."""
     link = links.by_address.pop(address, None)
     if link is not None:
@@ -98,12 +98,12 @@
     links.by_address.clear()
 
 
-def _link(links: Links, address: str) -> _Link:
+def _link_to(links: Links, address: str) -> _Link:
     link = links.by_address.get(address)
     if link is None:
         link = _Link(_dial(address), 0.0)
         links.by_address[address] = link
-    link.used = time.monotonic()
+    link.last_used_at = time.monotonic()
     return link
 
 
--- a/src/sassafrasstair/daemons/_messages.py
+++ b/src/sassafrasstair/daemons/_messages.py
@@ -56,7 +56,7 @@
     outcome: str
     reason: str
     retry_after_ms: int = 0
-    spent: int = 0
+    retries_spent: int = 0
     busy: float = 0.0
     floor: float = 0.0
     status: int = 0
@@ -81,13 +81,13 @@
     digest: bytes = b""
 
 
-class PartTaken(msgspec.Struct, frozen=True, tag="taken", array_like=True):
+class PartReply(msgspec.Struct, frozen=True, tag="taken", array_like=True):
     """Reply to ``BodyPart``: whether the attempt still wants parts."""
 
     wanted: bool
 
 
-class AnswerNext(msgspec.Struct, frozen=True, tag="next", array_like=True):
+class AnswerFetch(msgspec.Struct, frozen=True, tag="next", array_like=True):
     """Ask for part ``sequence`` of an answer's body, from 1."""
 
     attempt_id: str
@@ -109,7 +109,9 @@
     attempt_id: str
 
 
-class TicketAsk(msgspec.Struct, frozen=True, tag="ticket", array_like=True):
+class TicketRequest(
+    msgspec.Struct, frozen=True, tag="ticket", array_like=True
+):
     """Ask a callee's daemon for a ticket of its own incarnation."""
 
     service: str
@@ -118,7 +120,9 @@
     tenant: str
 
 
-class TicketGiven(msgspec.Struct, frozen=True, tag="given", array_like=True):
+class TicketResponse(
+    msgspec.Struct, frozen=True, tag="given", array_like=True
+):
     """A ticket, or a refusal where ``ticket`` is empty."""
 
     ticket: str
@@ -148,7 +152,7 @@
     body: bytes
 
 
-class Nothing(msgspec.Struct, frozen=True, tag="nothing", array_like=True):
+class NoContent(msgspec.Struct, frozen=True, tag="nothing", array_like=True):
     """Reply that only says that the message came."""
 
 
@@ -156,16 +160,16 @@
     Run
     | RunAnswer
     | BodyPart
-    | PartTaken
-    | AnswerNext
+    | PartReply
+    | AnswerFetch
     | AnswerPart
     | Cancel
-    | TicketAsk
-    | TicketGiven
+    | TicketRequest
+    | TicketResponse
     | Ping
     | Pong
     | Control
-    | Nothing
+    | NoContent
 )
 
 _encoder = msgspec.msgpack.Encoder()
--- a/src/sassafrasstair/daemons/_server.py
+++ b/src/sassafrasstair/daemons/_server.py
@@ -37,9 +37,9 @@
 
     socket: pynng.Rep0
     handler: Handler
-    idle: int = 0
+    idle_receivers: int = 0
     tasks: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
-    unreadable: int = 0
+    unreadable_messages: int = 0
     bytes_received: int = 0
     bytes_sent: int = 0
     closing: bool = False
@@ -58,7 +58,7 @@
         socket.close()
         raise OSError(f"cannot listen at {address}: {error}") from error
     server = Server(socket, handler)
-    _grow(server)
+    _add_receivers(server)
     return server
 
 
@@ -76,10 +76,13 @@
     server.socket.close()
 
 
-def _grow(server: Server) -> None:
-    while server.idle < IDLE_RECEIVERS and len(server.tasks) < MAX_RECEIVERS:
+def _add_receivers(server: Server) -> None:
+    while (
+        server.idle_receivers < IDLE_RECEIVERS
+        and len(server.tasks) < MAX_RECEIVERS
+    ):
         task = asyncio.get_running_loop().create_task(_receive(server))
-        server.idle += 1
+        server.idle_receivers += 1
         server.tasks.add(task)
         task.add_done_callback(server.tasks.discard)
 
@@ -90,25 +93,28 @@
     # waits for its timeout. So the count goes down however it ends.
     try:
         with server.socket.new_context() as context:
-            while not server.closing and server.idle <= 2 * IDLE_RECEIVERS:
+            while (
+                not server.closing
+                and server.idle_receivers <= 2 * IDLE_RECEIVERS
+            ):
                 data = await context.arecv()
                 if server.closing:
                     break
-                server.idle -= 1
+                server.idle_receivers -= 1
                 try:
                     server.bytes_received += len(data)
-                    _grow(server)
+                    _add_receivers(server)
                     await _reply(server, context, data)
                 finally:
-                    server.idle += 1
+                    server.idle_receivers += 1
     except pynng.NNGException as error:
         _LOG.warning("event=receiver_ended detail=%r", str(error))
     finally:
-        server.idle -= 1
+        server.idle_receivers -= 1
 
 
 async def _reply(server: Server, context: pynng.Context, data: bytes) -> None:
-    encoded = _messages.encode(await _handled(server, data))
+    encoded = _messages.encode(await _handle_message(server, data))
     server.bytes_sent += len(encoded)
     try:
         await context.asend(encoded)
@@ -117,16 +123,16 @@
         return
 
 
-async def _handled(server: Server, data: bytes) -> _messages.Message:
+async def _handle_message(server: Server, data: bytes) -> _messages.Message:
     try:
         message = _messages.decode(data)
     except msgspec.DecodeError:
-        server.unreadable += 1
-        return _messages.Nothing()
+        server.unreadable_messages += 1
+        return _messages.NoContent()
     try:
         return await server.handler(message)
     except Exception:
         # A fault of ours: the peer is told at once that there is no answer,
         # which it takes for unknown, instead of waiting for its timeout.
         _LOG.exception("event=handler_fault kind=%s", type(message).__name__)
-        return _messages.Nothing()
+        return _messages.NoContent()
--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -17,7 +17,7 @@
 _Outcome = outcomes.Outcome
 
 
-def done(
+def upstream_answer(
     slot: _slots.Slot,
     attempt: _attempts.Attempt,
     response: upstreams.Response,
@@ -31,18 +31,18 @@
         incarnation=slot.incarnation,
         outcome=_Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
-        spent=attempt.spent,
+        retries_spent=attempt.retries_spent,
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
         service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.floor(
+        floor=_slots.shed_floor(
             slot, attempt.run.request_class, attempt.run.tenant
         ),
         status=response.status,
         headers=response.headers,
         body=body,
         more=more,
-        digest=attempt.rest_digest.digest(),
+        digest=attempt.answer_digest.digest(),
     )
 
 
@@ -62,15 +62,15 @@
         outcome=outcome.value,
         reason=reason.value,
         retry_after_ms=int(after * 1000),
-        spent=spent,
+        retries_spent=spent,
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
         service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.floor(slot, message.request_class, message.tenant),
+        floor=_slots.shed_floor(slot, message.request_class, message.tenant),
     )
 
 
-def told(
+def failure_answer(
     slot: _slots.Slot,
     attempt: _attempts.Attempt,
     result: once.Result,
@@ -84,11 +84,16 @@
     if isinstance(result, once.NotRun | once.Unknown):
         reason = result.reason
     return refusal(
-        slot, attempt.run, outcome, reason, spent=attempt.spent, after=after
+        slot,
+        attempt.run,
+        outcome,
+        reason,
+        spent=attempt.retries_spent,
+        after=after,
     )
 
 
-def replay(
+def stored_answer(
     slot: _slots.Slot, message: daemons.Run, result: once.Done | once.Summary
 ) -> daemons.RunAnswer:
     """Return the stored answer of a ticket that was run before."""
@@ -102,7 +107,7 @@
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
         service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.floor(slot, message.request_class, message.tenant),
+        floor=_slots.shed_floor(slot, message.request_class, message.tenant),
         status=result.status,
         headers=tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
--- a/src/sassafrasstair/runtime/_attempts.py
+++ b/src/sassafrasstair/runtime/_attempts.py
@@ -15,7 +15,7 @@
     from sassafrasstair.decisions import load
 
 DIGEST_BYTES = 16
-PART_QUEUE = 2
+PART_QUEUE_SIZE = 2
 
 _NO_MORE = daemons.BodyPart("", -1, b"")
 
@@ -38,37 +38,37 @@
 
     run: daemons.Run
     deadline: float
-    verdict: asyncio.Future[load.Start | load.TurnAway]
-    parts: asyncio.Queue[daemons.BodyPart]
-    spent: int = 0
+    admission: asyncio.Future[load.Start | load.TurnAway]
+    request_parts: asyncio.Queue[daemons.BodyPart]
+    retries_spent: int = 0
     child_retry_after: float = 0.0
     child_refused: bool = False
     task: asyncio.Task[daemons.RunAnswer] | None = None
-    next_part: int = 1
+    next_request_part: int = 1
     status: int = 0
-    rest: abc.AsyncGenerator[bytes, None] | None = None
-    rest_digest: hashlib.blake2b = dataclasses.field(
+    answer_chunks: abc.AsyncGenerator[bytes, None] | None = None
+    answer_digest: hashlib.blake2b = dataclasses.field(
         default_factory=new_digest
     )
-    rest_length: int = 0
-    rest_parts: int = 0
-    reading: asyncio.Future[bytes] | None = None
-    body_taken: bool = False
+    answer_length: int = 0
+    answer_parts_sent: int = 0
+    pending_read: asyncio.Future[bytes] | None = None
+    body_received: bool = False
     ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
     @property
-    def body_is_whole(self) -> bool:
+    def body_is_complete(self) -> bool:
         """Whether all of the request's body is here or at the upstream."""
-        return self.body_taken or not self.run.more
+        return self.body_received or not self.run.more
 
-    def stop_parts(self) -> None:
+    def unblock_body_reader(self) -> None:
         """Let whoever waits for a part of the body see that none comes."""
-        while not self.parts.empty():
-            self.parts.get_nowait()
-        self.parts.put_nowait(_NO_MORE)
+        while not self.request_parts.empty():
+            self.request_parts.get_nowait()
+        self.request_parts.put_nowait(_NO_MORE)
 
 
 def new_attempt(run: daemons.Run, deadline: float) -> Attempt:
     """Return an attempt that the guard has not decided on yet."""
     verdict = asyncio.get_running_loop().create_future()
-    return Attempt(run, deadline, verdict, asyncio.Queue(PART_QUEUE))
+    return Attempt(run, deadline, verdict, asyncio.Queue(PART_QUEUE_SIZE))
--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -48,7 +48,7 @@
     yield attempt.run.body
     last = False
     while not last:
-        part = await attempt.parts.get()
+        part = await attempt.request_parts.get()
         if attempt.ended.is_set():
             raise BodyBroken("the attempt has ended")
         digest.update(part.data)
@@ -62,54 +62,54 @@
         raise BodyBroken("length differs")
 
 
-async def take_part(
+async def receive_part(
     slot: _slots.Slot, part: daemons.BodyPart
-) -> daemons.PartTaken:
+) -> daemons.PartReply:
     """Take one part of a request's body; the reply waits for room."""
     attempt = slot.attempts.get(part.attempt_id)
     if attempt is None and part.sequence == 0:
         attempt = await _arrival(slot, part.attempt_id)
     if attempt is None:
-        return daemons.PartTaken(False)
+        return daemons.PartReply(False)
     if part.sequence == 0:
         return await _admitted(attempt)
-    if part.sequence != attempt.next_part:
-        return daemons.PartTaken(False)
-    attempt.next_part += 1
-    attempt.body_taken = part.last
-    if not attempt.parts.full():
-        attempt.parts.put_nowait(part)
-        return daemons.PartTaken(True)
-    putting = asyncio.ensure_future(attempt.parts.put(part))
-    return daemons.PartTaken(await _unless_ended(attempt, putting))
-
-
-async def next_part(
-    slot: _slots.Slot, message: daemons.AnswerNext
+    if part.sequence != attempt.next_request_part:
+        return daemons.PartReply(False)
+    attempt.next_request_part += 1
+    attempt.body_received = part.last
+    if not attempt.request_parts.full():
+        attempt.request_parts.put_nowait(part)
+        return daemons.PartReply(True)
+    putting = asyncio.ensure_future(attempt.request_parts.put(part))
+    return daemons.PartReply(await _unless_ended(attempt, putting))
+
+
+async def read_answer_part(
+    slot: _slots.Slot, message: daemons.AnswerFetch
 ) -> daemons.AnswerPart:
     """Return the next part of an answer that is still coming."""
     attempt = slot.attempts.get(message.attempt_id)
-    if attempt is None or attempt.rest is None:
+    if attempt is None or attempt.answer_chunks is None:
         return _GONE
-    attempt.rest_parts += 1
-    if message.sequence != attempt.rest_parts:
-        _slots.fail_rest(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
+    attempt.answer_parts_sent += 1
+    if message.sequence != attempt.answer_parts_sent:
+        _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
         return _GONE
     try:
-        data = await _read(slot, attempt, attempt.rest)
+        data = await _read(slot, attempt, attempt.answer_chunks)
     except (upstreams.UpstreamError, TimeoutError):
-        _slots.fail_rest(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
+        _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
         return _GONE
-    note_answered(attempt, data)
+    record_answer_part(attempt, data)
     if data:
         return daemons.AnswerPart(data)
     return _last_part(slot, attempt)
 
 
-def note_answered(attempt: _attempts.Attempt, data: bytes) -> None:
+def record_answer_part(attempt: _attempts.Attempt, data: bytes) -> None:
     """Count a part of the answer's body into its digest and length."""
-    attempt.rest_digest.update(data)
-    attempt.rest_length += len(data)
+    attempt.answer_digest.update(data)
+    attempt.answer_length += len(data)
 
 
 async def _read(
@@ -123,7 +123,7 @@
     the upstream sees that at once, and not at the deadline.
     """
     reading = asyncio.ensure_future(_next(rest))
-    attempt.reading = reading
+    attempt.pending_read = reading
     left = max(0.0, _slots.remaining(slot, attempt))
     try:
         await asyncio.wait({reading}, timeout=left)
@@ -161,21 +161,23 @@
     # whether a body is wanted may be handled before its request. Told no,
     # the entrance sends nothing, and the request waits for its body until
     # its deadline.
-    arrived = slot.arrivals.setdefault(attempt_id, asyncio.Event())
+    arrived = slot.arrival_events.setdefault(attempt_id, asyncio.Event())
     try:
         async with asyncio.timeout(ARRIVAL_SECONDS):
             await arrived.wait()
     except TimeoutError:
         return None
     finally:
-        slot.arrivals.pop(attempt_id, None)
+        slot.arrival_events.pop(attempt_id, None)
     return slot.attempts.get(attempt_id)
 
 
-async def _admitted(attempt: _attempts.Attempt) -> daemons.PartTaken:
-    if not await _unless_ended(attempt, asyncio.shield(attempt.verdict)):
-        return daemons.PartTaken(False)
-    return daemons.PartTaken(isinstance(attempt.verdict.result(), load.Start))
+async def _admitted(attempt: _attempts.Attempt) -> daemons.PartReply:
+    if not await _unless_ended(attempt, asyncio.shield(attempt.admission)):
+        return daemons.PartReply(False)
+    return daemons.PartReply(
+        isinstance(attempt.admission.result(), load.Start)
+    )
 
 
 async def _unless_ended(
@@ -195,8 +197,8 @@
 def _last_part(
     slot: _slots.Slot, attempt: _attempts.Attempt
 ) -> daemons.AnswerPart:
-    digest = attempt.rest_digest.digest()
-    summary = once.Summary(attempt.status, digest, attempt.rest_length)
+    digest = attempt.answer_digest.digest()
+    summary = once.Summary(attempt.status, digest, attempt.answer_length)
     _slots.end_ticket(slot, attempt, summary)
-    _slots.end(slot, attempt, load.End.DONE)
+    _slots.end_attempt(slot, attempt, load.End.DONE)
     return daemons.AnswerPart(b"", last=True, digest=digest)
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -19,13 +19,13 @@
 TICKET_TIMEOUT = 1.0
 
 
-async def take(
+async def take_ticket(
     entry: _entries.Entry, service: str, fields: callers.Fields
 ) -> callers.TicketReply | callers.Refusal:
     """Take a ticket for a caller of once-only work."""
     reply = await _take_for_caller(entry, service, fields)
     if isinstance(reply, callers.Refusal):
-        _entries.note_refusal(entry, fields.request_class, reply)
+        _entries.record_refusal(entry, fields.request_class, reply)
     return reply
 
 
@@ -48,15 +48,17 @@
             0.0,
             f"class {fields.request_class!r} needs no ticket",
         )
-    ask = daemons.TicketAsk(
+    ask = daemons.TicketRequest(
         service, fields.request_class, fields.caller, fields.tenant
     )
     return await _take(entry, bundle, ask)
 
 
-async def with_ticket(
-    entry: _entries.Entry, ready: _entries.Ready, request: callers.Request
-) -> _entries.Ready | callers.Refusal:
+async def attach_child_ticket(
+    entry: _entries.Entry,
+    ready: _entries.PreparedCall,
+    request: callers.Request,
+) -> _entries.PreparedCall | callers.Refusal:
     """Return a child call of once-only work with its ticket.
 
     The parent's owner is this daemon: it remembers the child's ticket, so
@@ -70,7 +72,7 @@
     known = once.find_child(owner, parent_ticket, service, key)
     first_use = known is None
     if known is None:
-        ask = daemons.TicketAsk(
+        ask = daemons.TicketRequest(
             service,
             ready.call.request_class,
             ready.call.caller,
@@ -89,7 +91,7 @@
 
 
 async def _take(
-    entry: _entries.Entry, bundle: bundles.Bundle, ask: daemons.TicketAsk
+    entry: _entries.Entry, bundle: bundles.Bundle, ask: daemons.TicketRequest
 ) -> callers.TicketReply | callers.Refusal:
     """Ask instances for a ticket; asking again elsewhere runs nothing."""
     tried: list[str] = []
@@ -109,7 +111,7 @@
             refusal = _refusal(outcomes.Reason.PEER_UNREACHABLE, 1.0)
             fleet.observe_call(entry.node, target.vm, False, "", now)
             continue
-        if not isinstance(given, daemons.TicketGiven):
+        if not isinstance(given, daemons.TicketResponse):
             continue
         if given.ticket:
             expires_in = given.expires_in_ms / 1000
@@ -123,8 +125,8 @@
 def _given_refusal(
     entry: _entries.Entry,
     bundle: bundles.Bundle,
-    ask: daemons.TicketAsk,
-    given: daemons.TicketGiven,
+    ask: daemons.TicketRequest,
+    given: daemons.TicketResponse,
 ) -> callers.Refusal:
     rules = bundle.classes[ask.request_class].refusal
     low = max(rules.retry_after_min_ms, given.retry_after_ms) / 1000
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -48,15 +48,15 @@
     node: fleet.Node
     links: daemons.Links
     client: configservice.Client
-    adopted: abc.Callable[[bundles.Bundle], None]
+    on_adopted: abc.Callable[[bundles.Bundle], None]
     counts: metrics.Metrics
     approvals: dict[bytes, tuple[str, ...]]
-    heard: float | None = None
+    platform_heard_at: float | None = None
     adopted_at: float = 0.0
-    refused: dict[str, tuple[str, float]] = dataclasses.field(
+    refused_bundles: dict[str, tuple[str, float]] = dataclasses.field(
         default_factory=dict
     )
-    kept: dict[str, str] = dataclasses.field(default_factory=dict)
+    conflict_winners: dict[str, str] = dataclasses.field(default_factory=dict)
     watches: list[asyncio.Task[None]] = dataclasses.field(default_factory=list)
     tasks: set[asyncio.Task[None]] = dataclasses.field(default_factory=set)
 
@@ -64,13 +64,13 @@
 def tick(control: Control) -> None:
     """Let the fleet decisions do what is due."""
     now = control.clock.monotonic()
-    apply(control, fleet.tick(control.node, now, control.rng))
+    apply_effects(control, fleet.tick(control.node, now, control.rng))
 
 
 def leave(control: Control) -> None:
     """Tell the others that this VM takes no new work."""
     now = control.clock.monotonic()
-    apply(control, fleet.set_leaving(control.node, now, control.rng))
+    apply_effects(control, fleet.set_leaving(control.node, now, control.rng))
 
 
 def handle(control: Control, message: daemons.Control) -> daemons.Message:
@@ -79,14 +79,14 @@
         decoded = fleet.decode(message.body)
     except fleet.BadMessage as error:
         logs.event(_LOG, logging.WARNING, "bad_message", detail=str(error))
-        return daemons.Nothing()
+        return daemons.NoContent()
     now = control.clock.monotonic()
     reply, effects = fleet.handle_request(
         control.node, decoded, now, control.rng
     )
-    apply(control, effects)
+    apply_effects(control, effects)
     if reply is None:
-        return daemons.Nothing()
+        return daemons.NoContent()
     return daemons.Control(fleet.encode(reply))
 
 
@@ -99,7 +99,7 @@
     await control.client.close()
 
 
-def apply(control: Control, effects: list[fleet.Effect]) -> None:
+def apply_effects(control: Control, effects: list[fleet.Effect]) -> None:
     """Carry out what the fleet decisions ask."""
     for effect in effects:
         if isinstance(effect, fleet.Exchange):
@@ -111,7 +111,7 @@
                 _start(control, _read(control, effect.delay))
         elif isinstance(effect, fleet.InForce):
             control.adopted_at = control.clock.monotonic()
-            control.adopted(effect.bundle)
+            control.on_adopted(effect.bundle)
         else:
             _report(control, effect)
 
@@ -123,7 +123,9 @@
     if effect.event == "bundle_refused":
         _note_refused(control, effect.fields)
     elif effect.event == "bundle_conflict":
-        control.kept[effect.fields["version"]] = effect.fields["kept"]
+        control.conflict_winners[effect.fields["version"]] = effect.fields[
+            "kept"
+        ]
     logs.event(_LOG, level, effect.event, **effect.fields)
 
 
@@ -131,12 +133,12 @@
     control.counts.count_refused_bundle(_defect(fields["reason"]))
     now = control.clock.monotonic()
     shown = control.node.refusal_reasons
-    control.refused = {
+    control.refused_bundles = {
         digest: finding
-        for digest, finding in control.refused.items()
+        for digest, finding in control.refused_bundles.items()
         if digest in shown
     }
-    control.refused[fields["digest"]] = (fields["source"], now)
+    control.refused_bundles[fields["digest"]] = (fields["source"], now)
 
 
 def _defect(reason: str) -> bundles.Defect:
@@ -178,7 +180,7 @@
             control.clock.monotonic(),
             control.rng,
         )
-    apply(control, effects)
+    apply_effects(control, effects)
 
 
 def _decoded(reply: daemons.Message) -> fleet.Message:
@@ -233,7 +235,7 @@
             index = 0
             await asyncio.sleep(WATCH_FAULT_SECONDS)
             continue
-        control.heard = control.clock.monotonic()
+        control.platform_heard_at = control.clock.monotonic()
         index = snapshot.index
 
 
@@ -246,9 +248,9 @@
         vms = await control.client.read(configservice.VMS_KEY)
     except configservice.PlatformError as error:
         effects = _failure(control, error)
-        apply(control, effects)
+        apply_effects(control, effects)
         return
-    control.heard = control.clock.monotonic()
+    control.platform_heard_at = control.clock.monotonic()
     _took_vms(control, vms)
     _took_bundles(control, held)
 
@@ -256,7 +258,7 @@
 def _took_bundles(control: Control, snapshot: configservice.Snapshot) -> None:
     envelopes = list(snapshot.values.values())
     now = control.clock.monotonic()
-    apply(
+    apply_effects(
         control,
         fleet.process_platform_bundles(
             control.node, envelopes, snapshot.index, now, control.rng
@@ -285,7 +287,7 @@
         for entry in entries
     ]
     now = control.clock.monotonic()
-    apply(
+    apply_effects(
         control,
         fleet.process_platform_vms(
             control.node, records, snapshot.index, now, control.rng
@@ -308,5 +310,5 @@
         if isinstance(effect, fleet.ReadPlatform):
             delay = max(delay, effect.delay)
         else:
-            apply(control, [effect])
+            apply_effects(control, [effect])
     return delay
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -40,9 +40,9 @@
 
     from sassafrasstair import settings
 
-ACCEPT_SECONDS = 2.0
+ACCEPT_WHILE_LEAVING_SECONDS = 2.0
 LEAVE_SECONDS = 2.5
-LINK_REVIEW_SECONDS = 10.0
+IDLE_LINK_CHECK_SECONDS = 10.0
 PING_SECONDS = 1.0
 
 _LOG = logging.getLogger(__name__)
@@ -103,7 +103,7 @@
         node=node,
         links=links,
         client=configservice.open_client(settings_.platform.urls),
-        adopted=functools.partial(_adopt, slot, counts),
+        on_adopted=functools.partial(_adopt, slot, counts),
         counts=counts,
         approvals=approvals,
     )
@@ -164,7 +164,7 @@
         (functools.partial(_tick, daemon), _control.TICK_SECONDS),
         (
             functools.partial(daemons.close_idle, daemon.links),
-            LINK_REVIEW_SECONDS,
+            IDLE_LINK_CHECK_SECONDS,
         ),
     )
     return [
@@ -215,7 +215,7 @@
     if calls.note_beat(daemon.slot.pauses, now):
         gap = daemon.slot.pauses.last_pause
         logs.event(_LOG, logging.WARNING, "woke_late", seconds=gap)
-    _slots.tick(daemon.slot)
+    _slots.check_deadlines(daemon.slot)
     _ping_ejected(daemon, now)
 
 
@@ -244,7 +244,7 @@
         return
     once.stop_issuing(daemon.slot.owner)
     loop = asyncio.get_running_loop()
-    loop.call_later(ACCEPT_SECONDS, _refuse_work, daemon.slot)
+    loop.call_later(ACCEPT_WHILE_LEAVING_SECONDS, _refuse_work, daemon.slot)
 
 
 def _refuse_work(slot: _slots.Slot) -> None:
@@ -281,7 +281,7 @@
     node = daemon.control.node
     address = fleet.address_of(node, vm)
     if address is not None and not fleet.is_serving(node, vm):
-        daemons.drop(daemon.links, address)
+        daemons.disconnect(daemon.links, address)
 
 
 async def _handle(daemon: Daemon, message: daemons.Message) -> daemons.Message:
@@ -296,17 +296,17 @@
     if isinstance(message, daemons.Run):
         return await _execution.run(slot, message)
     if isinstance(message, daemons.BodyPart):
-        return await _bodies.take_part(slot, message)
-    if isinstance(message, daemons.AnswerNext):
-        return await _bodies.next_part(slot, message)
-    if isinstance(message, daemons.TicketAsk):
+        return await _bodies.receive_part(slot, message)
+    if isinstance(message, daemons.AnswerFetch):
+        return await _bodies.read_answer_part(slot, message)
+    if isinstance(message, daemons.TicketRequest):
         return _tickets.issue(slot, message)
     if isinstance(message, daemons.Cancel):
-        _slots.cancel(slot, message.attempt_id)
+        _slots.cancel_attempt(slot, message.attempt_id)
     if isinstance(message, daemons.Ping):
         serving = slot.bundle() is not None and not slot.owner.leaving
         return daemons.Pong(slot.incarnation, serving)
-    return daemons.Nothing()
+    return daemons.NoContent()
 
 
 async def _ask(
@@ -355,11 +355,11 @@
 
 
 def _size(slot: _slots.Slot, service: bundles.Service) -> None:
-    if slot.sized:
+    if slot.guard_sized:
         load.resize(slot.guard, service.slots)
         return
     # The first bundle: nothing can have run before it.
-    slot.sized = True
+    slot.guard_sized = True
     leaving = slot.guard.leaving
     slot.guard = load.new_guard(
         service.slots,
@@ -373,9 +373,9 @@
 def _callers_app(daemon: Daemon) -> typing.Any:
     return callers.create_app(
         functools.partial(_entrance.call, daemon.entry),
-        functools.partial(_children.take, daemon.entry),
+        functools.partial(_children.take_ticket, daemon.entry),
         lambda: daemon.entry.leaving,
-        functools.partial(_entries.note_refusal, daemon.entry, ""),
+        functools.partial(_entries.record_refusal, daemon.entry, ""),
     )
 
 
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -61,7 +61,7 @@
     try:
         ready = await _prepare(entry, request)
         if isinstance(ready, callers.Refusal):
-            refusal = _entries.true_refusal(request.fields, ready)
+            refusal = _entries.correct_refusal(request.fields, ready)
             return _refused(entry, request.fields.request_class, refusal)
         reply = await _drive(entry, ready, request)
     finally:
@@ -77,27 +77,27 @@
 
 async def _prepare(
     entry: _entries.Entry, request: callers.Request
-) -> _entries.Ready | callers.Refusal:
+) -> _entries.PreparedCall | callers.Refusal:
     ready = _entries.prepare(entry, request)
-    if isinstance(ready, _entries.Ready) and _needs_child_ticket(ready):
-        return await _children.with_ticket(entry, ready, request)
+    if isinstance(ready, _entries.PreparedCall) and _needs_child_ticket(ready):
+        return await _children.attach_child_ticket(entry, ready, request)
     return ready
 
 
 def _refused(
     entry: _entries.Entry, request_class: str, refusal: callers.Refusal
 ) -> callers.Refusal:
-    _entries.note_refusal(entry, request_class, refusal)
+    _entries.record_refusal(entry, request_class, refusal)
     return refusal
 
 
-def _needs_child_ticket(ready: _entries.Ready) -> bool:
+def _needs_child_ticket(ready: _entries.PreparedCall) -> bool:
     rules = ready.bundle.classes[ready.call.request_class]
     return rules.once and ready.parent is not None
 
 
 def targets(
-    entry: _entries.Entry, ready: _entries.Ready
+    entry: _entries.Entry, ready: _entries.PreparedCall
 ) -> abc.Sequence[calls.Target]:
     """Return the instances that may run the call."""
     if ready.owner is None:
@@ -107,7 +107,9 @@
 
 
 async def _drive(
-    entry: _entries.Entry, ready: _entries.Ready, request: callers.Request
+    entry: _entries.Entry,
+    ready: _entries.PreparedCall,
+    request: callers.Request,
 ) -> callers.Reply | callers.Refusal:
     key, effect = calls.begin_call(
         entry.entrance,
@@ -130,7 +132,7 @@
 
 async def _attempt(
     entry: _entries.Entry,
-    ready: _entries.Ready,
+    ready: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
     progress: _Progress,
@@ -147,7 +149,7 @@
     now = entry.clock.monotonic()
     _observe(entry, send.target.vm, answer, now)
     usable = targets(entry, ready)
-    if transfer.body_used:
+    if transfer.body_consumed:
         # The rest of the body was passed on once and is not kept, so no
         # other instance could get the whole of it.
         usable = ()
@@ -169,7 +171,7 @@
 
 def _to_run(
     entry: _entries.Entry,
-    ready: _entries.Ready,
+    ready: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
 ) -> daemons.Run:
@@ -197,7 +199,7 @@
 
 def _finish(
     entry: _entries.Entry,
-    ready: _entries.Ready,
+    ready: _entries.PreparedCall,
     effect: calls.Effect,
     progress: _Progress,
 ) -> callers.Reply | callers.Refusal:
@@ -218,7 +220,7 @@
 
 def _come_back(
     entry: _entries.Entry,
-    ready: _entries.Ready,
+    ready: _entries.PreparedCall,
     reason: outcomes.Reason,
     after: float,
 ) -> float:
@@ -239,7 +241,7 @@
 def _tell_parent(
     parent: _attempts.Attempt, effect: calls.Refuse | calls.Deliver
 ) -> None:
-    parent.spent += effect.retries_spent
+    parent.retries_spent += effect.retries_spent
     if isinstance(effect, calls.Refuse):
         parent.child_refused = True
         parent.child_retry_after = max(
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -54,7 +54,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ready:
+class PreparedCall:
     """A call that the entrance can begin.
 
     ``parent`` is the attempt whose upstream made the call, if any.
@@ -67,7 +67,9 @@
     owner: once.TicketTarget | None
 
 
-def prepare(entry: Entry, request: callers.Request) -> Ready | callers.Refusal:
+def prepare(
+    entry: Entry, request: callers.Request
+) -> PreparedCall | callers.Refusal:
     """Check a request and make it a call; nothing is dispatched here."""
     bundle = entry.bundle()
     if bundle is None:
@@ -100,7 +102,7 @@
     return None
 
 
-def true_refusal(
+def correct_refusal(
     fields: callers.Fields, refusal: callers.Refusal
 ) -> callers.Refusal:
     """Return ``refusal`` with what may be said of an earlier use.
@@ -117,7 +119,7 @@
     return dataclasses.replace(refusal, outcome=told)
 
 
-def note_refusal(
+def record_refusal(
     entry: Entry, request_class: str, refusal: callers.Refusal
 ) -> None:
     """Count and log a final refusal that a caller is given."""
@@ -135,7 +137,7 @@
 
 def _prepare_root(
     entry: Entry, bundle: bundles.Bundle, request: callers.Request
-) -> Ready | callers.Refusal:
+) -> PreparedCall | callers.Refusal:
     fields = request.fields
     length = max(request.length, len(request.body))
     refusal = check_class(
@@ -164,13 +166,13 @@
         ticket=fields.ticket if rules.once else "",
     )
     if not rules.once:
-        return Ready(call, bundle, None, None)
+        return PreparedCall(call, bundle, None, None)
     return _with_owner(call, bundle, None)
 
 
 def _prepare_child(
     entry: Entry, bundle: bundles.Bundle, request: callers.Request
-) -> Ready | callers.Refusal:
+) -> PreparedCall | callers.Refusal:
     parent = entry.slot.attempts.get(request.fields.context)
     if parent is None:
         # Nobody waits for the parent's work any more, so its upstream's
@@ -194,15 +196,15 @@
         tenant=run.tenant,
         caller=run.caller,
         deadline=parent.deadline,
-        retries=max(0, run.retries - parent.spent),
+        retries=max(0, run.retries - parent.retries_spent),
         depth=run.depth + 1,
     )
-    return Ready(call, bundle, parent, None)
+    return PreparedCall(call, bundle, parent, None)
 
 
 def with_child_ticket(
-    ready: Ready, ticket: str, first_use: bool
-) -> Ready | callers.Refusal:
+    ready: PreparedCall, ticket: str, first_use: bool
+) -> PreparedCall | callers.Refusal:
     """Return a child call of once-only work with its own ticket.
 
     ``first_use`` is false where the ticket was sent before: then only the
@@ -217,7 +219,7 @@
     call: calls.Call,
     bundle: bundles.Bundle,
     parent: _attempts.Attempt | None,
-) -> Ready | callers.Refusal:
+) -> PreparedCall | callers.Refusal:
     if not call.ticket:
         return _refuse(
             _Reason.TICKET_MISSING,
@@ -236,7 +238,7 @@
             _Reason.TICKET_INVALID,
             f"the ticket is for {name.service}/{name.request_class}",
         )
-    return Ready(call, bundle, parent, name)
+    return PreparedCall(call, bundle, parent, name)
 
 
 def _refuse(
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -38,7 +38,7 @@
     if known is not None and known.task is not None:
         # Failure: the link delivers a request twice. Were the second one
         # refused as not run, its answer could come first and be believed.
-        slot.doubled += 1
+        slot.duplicate_requests += 1
         return await asyncio.shield(known.task)
     reason = _unfit(slot, message)
     if message.ticket:
@@ -59,8 +59,8 @@
         return _Reason.UNKNOWN_CLASS
     if rules.once and not message.ticket:
         return _Reason.TICKET_MISSING
-    if message.attempt_id in slot.cancelled:
-        del slot.cancelled[message.attempt_id]
+    if message.attempt_id in slot.cancelled_early:
+        del slot.cancelled_early[message.attempt_id]
         return _Reason.CANCELLED
     if message.more and slot.large_bodies >= MAX_LARGE_BODIES:
         return _Reason.BODY_MEMORY
@@ -75,14 +75,14 @@
 ) -> daemons.RunAnswer:
     arrival = _arrive(slot, message, unfit, now)
     if isinstance(arrival, once.Run):
-        slot.joins[message.ticket] = asyncio.Event()
+        slot.ticket_end_events[message.ticket] = asyncio.Event()
         return await _run(slot, message, now)
     if isinstance(arrival, once.Join):
         await _wait_for_end(slot, message)
         now = slot.clock.monotonic()
         arrival = _arrive(slot, message, unfit, now)
     if isinstance(arrival, once.Replay):
-        return _answers.replay(slot, message, arrival.result)
+        return _answers.stored_answer(slot, message, arrival.result)
     if isinstance(arrival, once.Refused):
         return _answers.refusal(slot, message, arrival.outcome, arrival.reason)
     reason = _Reason.DEADLINE_PASSED
@@ -103,19 +103,19 @@
 
 async def _wait_for_end(slot: _slots.Slot, message: daemons.Run) -> None:
     ticket = message.ticket
-    event = slot.joins.get(ticket)
+    event = slot.ticket_end_events.get(ticket)
     if event is None:
         return
-    slot.joined[ticket] = slot.joined.get(ticket, 0) + 1
+    slot.ticket_joiners[ticket] = slot.ticket_joiners.get(ticket, 0) + 1
     try:
         async with asyncio.timeout(message.remaining_ms / 1000):
             await event.wait()
     except TimeoutError:
         return
     finally:
-        slot.joined[ticket] -= 1
-        if not slot.joined[ticket]:
-            del slot.joined[ticket]
+        slot.ticket_joiners[ticket] -= 1
+        if not slot.ticket_joiners[ticket]:
+            del slot.ticket_joiners[ticket]
 
 
 async def _run(
@@ -124,7 +124,7 @@
     late = calls.max_message_age(slot.pauses, now)
     deadline = now + message.remaining_ms / 1000 - late
     attempt = _attempts.new_attempt(message, deadline)
-    _slots.arrived(slot, attempt)
+    _slots.add_attempt(slot, attempt)
     slot.large_bodies += message.more
     # A task of its own: the guard aborts it, and a caller that goes away
     # while others have joined the same ticket does not end it.
@@ -141,9 +141,9 @@
         if isinstance(verdict, load.TurnAway):
             result = once.NotRun(verdict.reason)
             result = _slots.end_ticket(slot, attempt, result)
-            _slots.forget(slot, attempt)
+            _slots.forget_attempt(slot, attempt)
             after = verdict.retry_after
-            return _answers.told(slot, attempt, result, after)
+            return _answers.failure_answer(slot, attempt, result, after)
         return await _dispatch(slot, attempt)
     except upstreams.UpstreamError as error:
         return _failed(slot, attempt, error)
@@ -154,8 +154,8 @@
         _LOG.exception("event=attempt_fault id=%s", attempt.run.attempt_id)
         result = once.Unknown(_Reason.UPSTREAM_LOST)
     result = _slots.end_ticket(slot, attempt, result)
-    _slots.end(slot, attempt, load.End.CANCELLED)
-    return _answers.told(slot, attempt, result)
+    _slots.end_attempt(slot, attempt, load.End.CANCELLED)
+    return _answers.failure_answer(slot, attempt, result)
 
 
 async def _admit(
@@ -163,8 +163,8 @@
 ) -> load.Start | load.TurnAway:
     now = slot.clock.monotonic()
     work = _to_work(slot, attempt)
-    _slots.apply(slot, load.offer(slot.guard, work, now))
-    return await attempt.verdict
+    _slots.apply_effects(slot, load.offer(slot.guard, work, now))
+    return await attempt.admission
 
 
 async def _dispatch(
@@ -199,18 +199,22 @@
     attempt.status = response.status
     chunks = _bodies.rechunk(response.chunks)
     first = await anext(chunks, b"")
-    _bodies.note_answered(attempt, first)
+    _bodies.record_answer_part(attempt, first)
     if len(first) >= daemons.CHUNK_BYTES:
-        attempt.rest = chunks
-        return _answers.done(slot, attempt, response, first, more=True)
-    answer = _answers.done(slot, attempt, response, first, more=False)
+        attempt.answer_chunks = chunks
+        return _answers.upstream_answer(
+            slot, attempt, response, first, more=True
+        )
+    answer = _answers.upstream_answer(
+        slot, attempt, response, first, more=False
+    )
     headers = tuple(
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in response.headers
     )
     stored = once.Done(response.status, headers, first)
     _slots.end_ticket(slot, attempt, stored)
-    _slots.end(slot, attempt, load.End.DONE)
+    _slots.end_attempt(slot, attempt, load.End.DONE)
     return answer
 
 
@@ -256,8 +260,10 @@
     if error.reason is _Reason.DEADLINE_PASSED:
         how = load.End.CANCELLED
     result = _slots.end_ticket(slot, attempt, result)
-    _slots.end(slot, attempt, how)
-    return _answers.told(slot, attempt, result, attempt.child_retry_after)
+    _slots.end_attempt(slot, attempt, how)
+    return _answers.failure_answer(
+        slot, attempt, result, attempt.child_retry_after
+    )
 
 
 def _to_work(slot: _slots.Slot, attempt: _attempts.Attempt) -> load.Work:
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -96,7 +96,7 @@
         owner=owner,
         upstream=upstreams.connect(settings_.upstream.url),
         bundle=bundle,
-        floor_below=functools.partial(
+        max_callee_floor=functools.partial(
             _floor_below, settings_.service, entrance, bundle, clock
         ),
         pauses=calls.Pauses(now),
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -44,24 +44,26 @@
     owner: once.Owner
     upstream: upstreams.Upstream
     bundle: abc.Callable[[], bundles.Bundle | None]
-    floor_below: abc.Callable[[str, str], float]
+    max_callee_floor: abc.Callable[[str, str], float]
     pauses: calls.Pauses
     counts: metrics.Metrics
     attempts: dict[str, _attempts.Attempt] = dataclasses.field(
         default_factory=dict
     )
-    joins: dict[str, asyncio.Event] = dataclasses.field(default_factory=dict)
-    joined: dict[str, int] = dataclasses.field(default_factory=dict)
-    arrivals: dict[str, asyncio.Event] = dataclasses.field(
+    ticket_end_events: dict[str, asyncio.Event] = dataclasses.field(
         default_factory=dict
     )
-    cancelled: dict[str, None] = dataclasses.field(default_factory=dict)
+    ticket_joiners: dict[str, int] = dataclasses.field(default_factory=dict)
+    arrival_events: dict[str, asyncio.Event] = dataclasses.field(
+        default_factory=dict
+    )
+    cancelled_early: dict[str, None] = dataclasses.field(default_factory=dict)
     large_bodies: int = 0
-    sized: bool = False
-    doubled: int = 0
+    guard_sized: bool = False
+    duplicate_requests: int = 0
 
 
-def apply(slot: Slot, effects: list[load.Effect]) -> None:
+def apply_effects(slot: Slot, effects: list[load.Effect]) -> None:
     """Carry out what the guard decided."""
     for effect in effects:
         attempt = slot.attempts.get(effect.attempt_id)
@@ -69,60 +71,60 @@
             continue
         if isinstance(effect, load.Abort):
             _abort(attempt)
-        elif not attempt.verdict.done():
-            attempt.verdict.set_result(effect)
+        elif not attempt.admission.done():
+            attempt.admission.set_result(effect)
 
 
-def arrived(slot: Slot, attempt: _attempts.Attempt) -> None:
+def add_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
     """Make the attempt known, also to a body that came before it."""
     attempt_id = attempt.run.attempt_id
     slot.attempts[attempt_id] = attempt
-    waiting = slot.arrivals.get(attempt_id)
+    waiting = slot.arrival_events.get(attempt_id)
     if waiting is not None:
         waiting.set()
 
 
-def cancel(slot: Slot, attempt_id: str) -> None:
+def cancel_attempt(slot: Slot, attempt_id: str) -> None:
     """Drop an attempt that nobody waits for any more."""
     attempt = slot.attempts.get(attempt_id)
     if attempt is None:
         _note_cancelled(slot, attempt_id)
-    elif attempt.rest is not None:
-        fail_rest(slot, attempt, outcomes.Reason.CANCELLED)
+    elif attempt.answer_chunks is not None:
+        fail_answer(slot, attempt, outcomes.Reason.CANCELLED)
     elif not _must_go_on(slot, attempt):
         _drop(slot, attempt)
 
 
-def tick(slot: Slot) -> None:
+def check_deadlines(slot: Slot) -> None:
     """Look again at every deadline; called at each beat of the loop."""
     now = slot.clock.monotonic()
-    apply(slot, load.tick(slot.guard, now))
+    apply_effects(slot, load.tick(slot.guard, now))
     once.expire(slot.owner, now)
     for attempt in list(slot.attempts.values()):
-        if attempt.rest is not None and now >= attempt.deadline:
-            fail_rest(slot, attempt, outcomes.Reason.DEADLINE_PASSED)
+        if attempt.answer_chunks is not None and now >= attempt.deadline:
+            fail_answer(slot, attempt, outcomes.Reason.DEADLINE_PASSED)
 
 
-def fail_rest(
+def fail_answer(
     slot: Slot, attempt: _attempts.Attempt, reason: outcomes.Reason
 ) -> None:
     """Give up on an answer whose body has not been passed on whole."""
     if attempt.run.attempt_id in slot.attempts:
         end_ticket(slot, attempt, once.Unknown(reason))
-        end(slot, attempt, load.End.FAILED)
+        end_attempt(slot, attempt, load.End.FAILED)
 
 
-def end(slot: Slot, attempt: _attempts.Attempt, how: load.End) -> None:
+def end_attempt(slot: Slot, attempt: _attempts.Attempt, how: load.End) -> None:
     """Forget the attempt and tell the guard how it ended."""
-    if forget(slot, attempt):
+    if forget_attempt(slot, attempt):
         now = slot.clock.monotonic()
         attempt_id = attempt.run.attempt_id
         started = slot.guard.running.get(attempt_id, now)
         slot.counts.count_attempt(attempt.run.request_class, now - started)
-        apply(slot, load.finish(slot.guard, attempt_id, how, now))
+        apply_effects(slot, load.finish(slot.guard, attempt_id, how, now))
 
 
-def forget(slot: Slot, attempt: _attempts.Attempt) -> bool:
+def forget_attempt(slot: Slot, attempt: _attempts.Attempt) -> bool:
     """Forget the attempt; False if that was done before."""
     known = slot.attempts.pop(attempt.run.attempt_id, None)
     if known is None:
@@ -130,11 +132,11 @@
     slot.large_bodies -= attempt.run.more
     attempt.ended.set()
     if attempt.run.more:
-        attempt.stop_parts()
-    if attempt.reading is not None:
-        attempt.reading.cancel()
-    if attempt.rest is not None:
-        _close(attempt.rest)
+        attempt.unblock_body_reader()
+    if attempt.pending_read is not None:
+        attempt.pending_read.cancel()
+    if attempt.answer_chunks is not None:
+        _close(attempt.answer_chunks)
     return True
 
 
@@ -148,16 +150,16 @@
     told = once.finish_execution(
         slot.owner, ticket, result, slot.clock.monotonic()
     )
-    event = slot.joins.pop(ticket, None)
+    event = slot.ticket_end_events.pop(ticket, None)
     if event is not None:
         event.set()
     return told
 
 
-def floor(slot: Slot, request_class: str, tenant: str) -> float:
+def shed_floor(slot: Slot, request_class: str, tenant: str) -> float:
     """Return the shed floor that answers for the class carry now."""
     own = load.floor(slot.guard, slot.clock.monotonic(), tenant)
-    return max(own, slot.floor_below(request_class, tenant))
+    return max(own, slot.max_callee_floor(request_class, tenant))
 
 
 def remaining(slot: Slot, attempt: _attempts.Attempt) -> float:
@@ -168,9 +170,9 @@
 def _note_cancelled(slot: Slot, attempt_id: str) -> None:
     # Failure: each message has an exchange of its own, so a cancellation may
     # be handled before its request, which then runs with nobody waiting.
-    slot.cancelled[attempt_id] = None
-    if len(slot.cancelled) > MAX_CANCELLED:
-        del slot.cancelled[next(iter(slot.cancelled))]
+    slot.cancelled_early[attempt_id] = None
+    if len(slot.cancelled_early) > MAX_CANCELLED:
+        del slot.cancelled_early[next(iter(slot.cancelled_early))]
 
 
 def _must_go_on(slot: Slot, attempt: _attempts.Attempt) -> bool:
@@ -181,22 +183,22 @@
     A body that has not come whole can't end, so it is cancelled.
     """
     ticket = attempt.run.ticket
-    if not ticket or not attempt.body_is_whole:
+    if not ticket or not attempt.body_is_complete:
         return False
     started = attempt.run.attempt_id in slot.guard.running
-    return started or slot.joined.get(ticket, 0) > 0
+    return started or slot.ticket_joiners.get(ticket, 0) > 0
 
 
 def _drop(slot: Slot, attempt: _attempts.Attempt) -> None:
     attempt_id = attempt.run.attempt_id
     now = slot.clock.monotonic()
-    apply(slot, load.cancel(slot.guard, attempt_id, now))
-    if attempt_id not in slot.guard.running and not attempt.verdict.done():
+    apply_effects(slot, load.cancel(slot.guard, attempt_id, now))
+    if attempt_id not in slot.guard.running and not attempt.admission.done():
         # Failure: a cancelled attempt waits for the guard's verdict, which
         # has forgotten it: it stays here for ever, a planned stop waits for
         # it without end, and so do the callers that joined its ticket.
         reason = outcomes.Reason.CANCELLED
-        attempt.verdict.set_result(load.TurnAway(attempt_id, reason, 0.0))
+        attempt.admission.set_result(load.TurnAway(attempt_id, reason, 0.0))
 
 
 def _abort(attempt: _attempts.Attempt) -> None:
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -41,7 +41,9 @@
         ),
         conflicts=tuple(
             operators.Conflict(
-                int(version), control.kept.get(version, ""), dropped
+                int(version),
+                control.conflict_winners.get(version, ""),
+                dropped,
             )
             for version, dropped in shown["conflicts"].items()
         ),
@@ -50,7 +52,7 @@
         platform=operators.Platform(
             watching=shown["watching"],
             reachable=shown["platform_failures"] == 0,
-            heard_seconds=_age(control, control.heard),
+            heard_seconds=_age(control, control.platform_heard_at),
         ),
         instance=_instance(entry.slot),
         entrance=_entrance(entry),
@@ -99,7 +101,7 @@
 def _refused(
     control: _control.Control, digest: str, text: str
 ) -> operators.Refused:
-    source, since = control.refused.get(digest, ("", None))
+    source, since = control.refused_bundles.get(digest, ("", None))
     reason, _, detail = text.partition(": ")
     return operators.Refused(source, reason, detail, _age(control, since))
 
@@ -152,7 +154,7 @@
     counts = entry.slot.owner.counts
     return {
         **entry.counts.totals(),
-        "doubled_attempts": entry.slot.doubled,
+        "doubled_attempts": entry.slot.duplicate_requests,
         "pauses": entry.slot.pauses.count,
         "tickets_issued": counts.issued,
         "tickets_run": counts.ran,
--- a/src/sassafrasstair/runtime/_tickets.py
+++ b/src/sassafrasstair/runtime/_tickets.py
@@ -16,17 +16,19 @@
 _NO_RULES_RETRY_AFTER_MS = 1_000
 
 
-def issue(slot: _slots.Slot, ask: daemons.TicketAsk) -> daemons.TicketGiven:
+def issue(
+    slot: _slots.Slot, ask: daemons.TicketRequest
+) -> daemons.TicketResponse:
     """Issue a ticket of this incarnation, or refuse.
 
     Overload is met here, before the caller depends on a ticket: a request
     that holds one is not shed at an entrance.
     """
-    floor = _slots.floor(slot, ask.request_class, ask.tenant)
+    floor = _slots.shed_floor(slot, ask.request_class, ask.tenant)
     answer = _decide(slot, ask, floor)
     if isinstance(answer, once.Issued):
         return _given(slot, answer, floor)
-    return daemons.TicketGiven(
+    return daemons.TicketResponse(
         ticket="",
         expires_in_ms=0,
         outcome=answer.outcome.value,
@@ -40,8 +42,8 @@
 
 def _given(
     slot: _slots.Slot, issued: once.Issued, floor: float
-) -> daemons.TicketGiven:
-    return daemons.TicketGiven(
+) -> daemons.TicketResponse:
+    return daemons.TicketResponse(
         ticket=issued.ticket,
         expires_in_ms=int(issued.expires_in * 1000),
         outcome=outcomes.Outcome.DONE.value,
@@ -53,7 +55,7 @@
 
 
 def _decide(
-    slot: _slots.Slot, ask: daemons.TicketAsk, floor: float
+    slot: _slots.Slot, ask: daemons.TicketRequest, floor: float
 ) -> once.Issued | once.Refused:
     bundle = slot.bundle()
     if bundle is None:
@@ -79,7 +81,7 @@
 
 
 def _retry_after_ms(
-    bundle: bundles.Bundle | None, ask: daemons.TicketAsk
+    bundle: bundles.Bundle | None, ask: daemons.TicketRequest
 ) -> int:
     rules = bundle.classes.get(ask.request_class) if bundle else None
     if rules is None:
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -43,7 +43,7 @@
     attempt_id: str
     vm: str
     max_body: int
-    body_used: bool = False
+    body_consumed: bool = False
 
 
 async def send(
@@ -115,7 +115,7 @@
         load=calls.LoadReport(
             reply.busy, reply.floor, reply.limit, reply.service_seconds
         ),
-        retries_spent=reply.spent,
+        retries_spent=reply.retries_spent,
         retry_after=reply.retry_after_ms / 1000,
         incarnation=reply.incarnation,
     )
@@ -136,7 +136,7 @@
     begin = daemons.BodyPart(transfer.attempt_id, 0, b"")
     if not await _wanted(entry, transfer, begin, timeout):
         return
-    transfer.body_used = True
+    transfer.body_consumed = True
     digest = _attempts.new_digest(request.body)
     length = len(request.body)
     sequence = 0
@@ -178,7 +178,7 @@
         reply = await entry.ask(transfer.vm, part, timeout)
     except daemons.PeerError:
         return False
-    return isinstance(reply, daemons.PartTaken) and reply.wanted
+    return isinstance(reply, daemons.PartReply) and reply.wanted
 
 
 def to_reply(
@@ -220,7 +220,7 @@
     try:
         while not whole:
             sequence += 1
-            ask = daemons.AnswerNext(answer.attempt_id, sequence)
+            ask = daemons.AnswerFetch(answer.attempt_id, sequence)
             left = max(0.0, deadline - entry.clock.monotonic())
             part = await entry.ask(vm, ask, left)
             if not isinstance(part, daemons.AnswerPart) or part.gone:
--- a/src/sassafrasstair/runtime/_watches.py
+++ b/src/sassafrasstair/runtime/_watches.py
@@ -14,7 +14,7 @@
 CHECK_SECONDS = 2.0
 """Between two checks: a bundle is in force everywhere within 6 s, of which
 its way to all daemons may take 2."""
-AGAIN_SECONDS = 0.5
+RECHECK_SECONDS = 0.5
 """The same after one without an answer."""
 
 
@@ -22,7 +22,7 @@
     client: configservice.Client,
     prefix: str,
     index: int,
-    counted: abc.Callable[[], None],
+    count_call: abc.Callable[[], None],
 ) -> configservice.Snapshot:
     """Return what stands under ``prefix`` once its index has changed.
 
@@ -33,16 +33,16 @@
     check that is answered after one that was not, or with another index
     than the watch began at, shows it, and the whole is read.
     """
-    counted()
+    count_call()
     waiting = asyncio.ensure_future(client.watch(prefix, index, WATCH_SECONDS))
     missed = False
     try:
         while not waiting.done():
-            pause = AGAIN_SECONDS if missed else CHECK_SECONDS
+            pause = RECHECK_SECONDS if missed else CHECK_SECONDS
             await asyncio.wait((waiting,), timeout=pause)
             if waiting.done():
                 break
-            counted()
+            count_call()
             try:
                 seen = await client.read_index(prefix)
             except configservice.PlatformError:
@@ -51,7 +51,7 @@
             if waiting.done():
                 break
             if missed or seen != index:
-                counted()
+                count_call()
                 return await client.read(prefix)
         return waiting.result()
     finally:
--- a/tests/daemons/test_close.py
+++ b/tests/daemons/test_close.py
@@ -20,7 +20,7 @@
     async def handle(message: daemons.Message) -> daemons.Message:
         handled.release()
         await asyncio.sleep(HANDLE_SECONDS)
-        return daemons.Nothing()
+        return daemons.NoContent()
 
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
--- a/tests/daemons/test_links.py
+++ b/tests/daemons/test_links.py
@@ -21,7 +21,7 @@
 async def pong(message: daemons.Message) -> daemons.Message:
     if isinstance(message, daemons.Cancel):
         raise RuntimeError("fault")
-    if isinstance(message, daemons.AnswerNext):
+    if isinstance(message, daemons.AnswerFetch):
         await asyncio.sleep(WAIT)
     return daemons.Pong("1", True)
 
@@ -30,7 +30,7 @@
     ("listens", "message", "timeout", "error"),
     [
         (False, daemons.Ping(), WAIT, daemons.PeerUnreachable),
-        (True, daemons.AnswerNext("a", 1), 0.1, daemons.PeerTimeout),
+        (True, daemons.AnswerFetch("a", 1), 0.1, daemons.PeerTimeout),
         (False, daemons.Ping(), 0.1, daemons.PeerTimeout),
     ],
     ids=["not sent", "no reply", "may be sent"],
@@ -70,7 +70,7 @@
             reply = await daemons.exchange(
                 links, address, daemons.Cancel("a"), WAIT
             )
-            assert reply == daemons.Nothing()
+            assert reply == daemons.NoContent()
         reply = await daemons.exchange(links, address, daemons.Ping(), WAIT)
         assert reply == daemons.Pong("1", True)
         daemons.close(links)
@@ -95,17 +95,17 @@
 
         async def slow(_: daemons.Message) -> daemons.Message:
             await go.wait()
-            return daemons.Nothing()
+            return daemons.NoContent()
 
         server = daemons.listen(address, slow)
         links = daemons.Links()
         waiting = asyncio.create_task(
             daemons.exchange(links, address, daemons.Ping(), WAIT)
         )
-        await meshes.until(lambda: server.idle < len(server.tasks))
+        await meshes.until(lambda: server.idle_receivers < len(server.tasks))
         daemons.close_idle(links)
         go.set()
-        assert await waiting == daemons.Nothing()
+        assert await waiting == daemons.NoContent()
         time.sleep(0.001)
         daemons.close_idle(links)
         assert links.by_address == {}
@@ -135,7 +135,7 @@
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
-        message = daemons.AnswerNext("a", 1)
+        message = daemons.AnswerFetch("a", 1)
         began = time.monotonic()
         with pytest.raises(daemons.PeerTimeout):
             await daemons.exchange(links, address, message, 0.05)
@@ -158,10 +158,10 @@
         server = daemons.listen(address, pong)
         links = daemons.Links()
         call = asyncio.create_task(
-            daemons.exchange(links, address, daemons.AnswerNext("a", 1), 60)
+            daemons.exchange(links, address, daemons.AnswerFetch("a", 1), 60)
         )
         assert await daemons.exchange(links, address, daemons.Ping(), WAIT)
-        daemons.drop(links, address)
+        daemons.disconnect(links, address)
         with pytest.raises(daemons.PeerLost):
             await asyncio.wait_for(call, WAIT)
         daemons.close(links)
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -411,20 +411,22 @@
     "body part": _between_daemons(
         _messages.BodyPart("a1", 2, b"data", True, b"digest")
     ),
-    "part taken": _between_daemons(_messages.PartTaken(True)),
-    "answer next": _between_daemons(_messages.AnswerNext("a1", 2)),
+    "part taken": _between_daemons(_messages.PartReply(True)),
+    "answer next": _between_daemons(_messages.AnswerFetch("a1", 2)),
     "answer part": _between_daemons(
         _messages.AnswerPart(b"data", True, b"digest", True)
     ),
     "cancel": _between_daemons(_messages.Cancel("a1")),
-    "ticket ask": _between_daemons(_messages.TicketAsk("s", "c", "me", "x")),
+    "ticket ask": _between_daemons(
+        _messages.TicketRequest("s", "c", "me", "x")
+    ),
     "ticket given": _between_daemons(
-        _messages.TicketGiven("t", 900, "done", "none", 5, "i1", 0.5, 1.25)
+        _messages.TicketResponse("t", 900, "done", "none", 5, "i1", 0.5, 1.25)
     ),
     "ping": _between_daemons(_messages.Ping()),
     "pong": _between_daemons(_messages.Pong("i1", True)),
     "control": _between_daemons(_messages.Control(b"body")),
-    "nothing": _between_daemons(_messages.Nothing()),
+    "nothing": _between_daemons(_messages.NoContent()),
     "gossip": _fleet(fleet_messages.Gossip(*_SUMMARY)),
     "gossip reply": _fleet(fleet_messages.GossipReply(*_SUMMARY)),
     "bundle fetch": _fleet(fleet_messages.BundleFetch(_BUNDLE_ID)),
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -119,7 +119,7 @@
             slot = mesh.back.slot
 
             def taken() -> bool:
-                return all(a.body_is_whole for a in slot.attempts.values())
+                return all(a.body_is_complete for a in slot.attempts.values())
 
             request = mesh.call("back", data=bytes(size))
             await leave(request, lambda: upstream.began and taken())
--- a/tests/runtime/test_child_repeat.py
+++ b/tests/runtime/test_child_repeat.py
@@ -29,15 +29,15 @@
         run=types.SimpleNamespace(ticket=parent.ticket)
     )
     call = calls.Call("1", "ledger", "write-down", "t", "c", 9.0)
-    ready = _entries.Ready(
+    ready = _entries.PreparedCall(
         call, typing.cast("typing.Any", None), _any(attempt), None
     )
     entry = types.SimpleNamespace(slot=types.SimpleNamespace(owner=owner))
     request = types.SimpleNamespace(fields=types.SimpleNamespace(child_key=""))
     used = asyncio.run(
-        _children.with_ticket(_any(entry), ready, _any(request))
+        _children.attach_child_ticket(_any(entry), ready, _any(request))
     )
-    assert isinstance(used, _entries.Ready)
+    assert isinstance(used, _entries.PreparedCall)
     assert (used.call.ticket, used.call.repeat) == (child.ticket, 1)
 
 
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -51,7 +51,7 @@
         owner=once.new_owner("intake-1", "i", bytes(32), 1),
         upstream=upstreams.connect("http://127.0.0.1:1"),
         bundle=lambda: None,
-        floor_below=lambda _class, _tenant: 0.0,
+        max_callee_floor=lambda _class, _tenant: 0.0,
         pauses=calls.Pauses(0.0),
         counts=metrics.Metrics(),
     )
@@ -68,14 +68,14 @@
     async def story() -> None:
         slot = _new_slot()
         early = asyncio.create_task(
-            _bodies.take_part(slot, daemons.BodyPart("a.1", 0, b""))
+            _bodies.receive_part(slot, daemons.BodyPart("a.1", 0, b""))
         )
         await asyncio.sleep(0)
         attempt = _attempts.new_attempt(RUN, slot.clock.monotonic() + 60)
-        _slots.arrived(slot, attempt)
-        attempt.verdict.set_result(load.Start("a.1"))
-        assert await early == daemons.PartTaken(True)
-        assert slot.arrivals == {}
+        _slots.add_attempt(slot, attempt)
+        attempt.admission.set_result(load.Start("a.1"))
+        assert await early == daemons.PartReply(True)
+        assert slot.arrival_events == {}
 
     asyncio.run(story())
 
@@ -115,7 +115,7 @@
     async def story() -> None:
         async with meshes.started(upstream) as mesh:
             slot = mesh.back.slot
-            _slots.cancel(slot, SHORT.attempt_id)
+            _slots.cancel_attempt(slot, SHORT.attempt_id)
             answer = await _execution.run(slot, SHORT)
             told = (answer.outcome, answer.reason)
             assert told == ("not run", outcomes.Reason.CANCELLED.value)
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -80,10 +80,10 @@
         first = await arrived(slot, "", "1.1")
         second = await arrived(slot, "", "1.1")
         assert not second.done()
-        _slots.cancel(slot, "1.1")
+        _slots.cancel_attempt(slot, "1.1")
         assert (await first).reason == Reason.CANCELLED.value
         assert (await second) == (await first)
-        assert slot.doubled == 1
+        assert slot.duplicate_requests == 1
 
     asyncio.run(asyncio.wait_for(story(), WAIT))
 
@@ -108,7 +108,7 @@
         late = await (await arrived(slot, unused, "2.2"))
         assert late.reason == Reason.TICKET_VOID.value
         turn = load.TurnAway("1.1", Reason.QUEUE_FULL, 1.0)
-        slot.attempts["1.1"].verdict.set_result(turn)
+        slot.attempts["1.1"].admission.set_result(turn)
         assert (await first).outcome == (await again).outcome == "not run"
 
     asyncio.run(asyncio.wait_for(story(), WAIT))
@@ -126,14 +126,14 @@
         ticket = ticket_of(slot)
         first = await arrived(slot, ticket, "1.1")
         again = await arrived(slot, ticket, "1.2")
-        _slots.cancel(slot, "1.1")
+        _slots.cancel_attempt(slot, "1.1")
         await asyncio.wait({first}, timeout=0.01)
         assert not first.done()
         again.cancel()
         await asyncio.wait({again})
-        _slots.cancel(slot, "1.1")
+        _slots.cancel_attempt(slot, "1.1")
         assert (await first).outcome == "not run"
-        assert not slot.joined
+        assert not slot.ticket_joiners
 
     asyncio.run(asyncio.wait_for(story(), WAIT))
 
@@ -155,4 +155,4 @@
 ) -> None:
     fields = callers.Fields("c", "t", "c", 0.0, repeat, ticket, "", "")
     refusal = callers.Refusal(outcomes.Outcome.NOT_RUN, reason)
-    assert _entries.true_refusal(fields, refusal).outcome is told
+    assert _entries.correct_refusal(fields, refusal).outcome is told
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -63,7 +63,7 @@
             [daemons.AnswerPart(b"re"), daemons.AnswerPart(b"", gone=True)],
             False,
         ),
-        ([daemons.Nothing()], False),
+        ([daemons.NoContent()], False),
     ],
 )
 def test_a_long_answer_that_is_cut_short_raises(
@@ -73,9 +73,9 @@
     left = list(parts)
 
     async def ask(vm: str, message: daemons.Message, _: float) -> typing.Any:
-        if isinstance(message, daemons.AnswerNext):
+        if isinstance(message, daemons.AnswerFetch):
             return left.pop(0)
-        return daemons.Nothing()
+        return daemons.NoContent()
 
     clock = clocks.SystemClock()
     entry = typing.cast("typing.Any", types.SimpleNamespace())
