--- a/src/sassafrasstair/decisions/feeds/__init__.py
+++ b/src/sassafrasstair/decisions/feeds/__init__.py
@@ -8,7 +8,7 @@
 from sassafrasstair.decisions.feeds._feeds import check_due
 from sassafrasstair.decisions.feeds._feeds import check_sent
 from sassafrasstair.decisions.feeds._feeds import choose_parent
-from sassafrasstair.decisions.feeds._feeds import expedite_read
+from sassafrasstair.decisions.feeds._feeds import expedite_recheck
 from sassafrasstair.decisions.feeds._feeds import Feed
 from sassafrasstair.decisions.feeds._feeds import is_stalled
 from sassafrasstair.decisions.feeds._feeds import learn_hosts
@@ -25,7 +25,7 @@
 from sassafrasstair.decisions.feeds._feeds import reads_store
 from sassafrasstair.decisions.feeds._feeds import request_full_read
 from sassafrasstair.decisions.feeds._feeds import STORE
-from sassafrasstair.decisions.feeds._feeds import without_store
+from sassafrasstair.decisions.feeds._feeds import upcoming_parent_lost_store
 from sassafrasstair.decisions.feeds._orders import earlier_hosts
 from sassafrasstair.decisions.feeds._orders import FANOUT
 from sassafrasstair.decisions.feeds._orders import is_first
@@ -57,7 +57,7 @@
     "check_sent",
     "choose_parent",
     "earlier_hosts",
-    "expedite_read",
+    "expedite_recheck",
     "is_first",
     "is_stalled",
     "learn_hosts",
@@ -75,5 +75,5 @@
     "request_full_read",
     "select_parent",
     "timing_for_bound",
-    "without_store",
+    "upcoming_parent_lost_store",
 ]
--- a/src/sassafrasstair/decisions/feeds/_checks.py
+++ b/src/sassafrasstair/decisions/feeds/_checks.py
@@ -144,7 +144,7 @@
     return now >= checks.recheck_allowed_from
 
 
-def record_store_answer(checks: Checks, now: float, news: bool) -> None:
+def record_store_answer(checks: Checks, now: float, has_changes: bool) -> None:
     """Record an answer of the store to a read or watch.
 
     ``news`` is whether it brought changes. The store's revision also rises
@@ -154,7 +154,7 @@
     if not checks.recheck_pending:
         return
     checks.recheck_pending = False
-    if news:
+    if has_changes:
         checks.recheck_backoff = RECHECK_BACKOFF_SECONDS
         return
     checks.recheck_allowed_from = now + checks.recheck_backoff
--- a/src/sassafrasstair/decisions/feeds/_feeds.py
+++ b/src/sassafrasstair/decisions/feeds/_feeds.py
@@ -218,20 +218,24 @@
     return _orders.select_parent(available)
 
 
-def read_done(feed: Feed, now: float, stale: bool, news: bool = True) -> None:
+def read_done(
+    feed: Feed, now: float, answer_may_be_stale: bool, has_changes: bool = True
+) -> None:
     """Record an answer of the store, with changes if ``news`` is True."""
-    is_stale = stale or feed.has_stale_view
+    uses_start_interval = answer_may_be_stale or feed.has_stale_view
     interval = (
-        START_READ_INTERVAL_SECONDS if is_stale else feed.timing.watch_interval
+        START_READ_INTERVAL_SECONDS
+        if uses_start_interval
+        else feed.timing.watch_interval
     )
     feed.next_read_at = now + interval
-    if stale and not _is_starting(feed, now):
+    if answer_may_be_stale and not _is_starting(feed, now):
         feed.next_read_at = now
     feed.retry_delay = RETRY_SECONDS
     feed.needs_full_read = False
-    feed.has_stale_view = stale
+    feed.has_stale_view = answer_may_be_stale
     feed.recheck_due = False
-    _checks.record_store_answer(feed.checks, now, news)
+    _checks.record_store_answer(feed.checks, now, has_changes)
 
 
 def read_failed(
@@ -256,7 +260,7 @@
     feed: Feed,
     host: str,
     status: _types.PeerStatus,
-    own_content: int,
+    own_content_revision: int,
     now: float,
     rng: random.Random,
 ) -> None:
@@ -276,7 +280,9 @@
         feed.avoided_until[host] = now + _jitter(AVOID_SECONDS, rng)
     if status.lost is not None or status.age_seconds > PEER_AGE_SECONDS_MAX:
         feed.without_store_until[host] = now + _jitter(AVOID_SECONDS, rng)
-    _avoid_if_behind(feed, host, status.revision < own_content, now, rng)
+    _avoid_if_behind(
+        feed, host, status.revision < own_content_revision, now, rng
+    )
 
 
 def peer_failed(feed: Feed, host: str, now: float, rng: random.Random) -> None:
@@ -292,7 +298,7 @@
         )
 
 
-def expedite_read(feed: Feed, now: float) -> None:
+def expedite_recheck(feed: Feed, now: float) -> None:
     """Call the store at once, as a peer reported newer changes."""
     feed.next_read_at = min(feed.next_read_at, now)
     feed.recheck_due = True
@@ -357,7 +363,7 @@
 
     During a short outage a watch event may get lost even if no check does.
     """
-    expedite_read(feed, now)
+    expedite_recheck(feed, now)
     feed.checks.recheck_pending = True
 
 
@@ -405,7 +411,7 @@
     return not feed.parent
 
 
-def without_store(feed: Feed, now: float) -> bool:
+def upcoming_parent_lost_store(feed: Feed, now: float) -> bool:
     """Return whether the daemon to follow has lost the store."""
     parent = choose_parent(feed, now)
     return parent != STORE and not _has_expired(
@@ -414,10 +420,10 @@
 
 
 def _avoid_if_behind(
-    feed: Feed, host: str, behind: bool, now: float, rng: random.Random
+    feed: Feed, host: str, is_behind: bool, now: float, rng: random.Random
 ) -> None:
     """Avoid a parent whose view stays behind that of this daemon."""
-    if not behind:
+    if not is_behind:
         feed.parent_behind_since = math.inf
         return
     feed.parent_behind_since = min(feed.parent_behind_since, now)
--- a/src/sassafrasstair/decisions/feeds/_orders.py
+++ b/src/sassafrasstair/decisions/feeds/_orders.py
@@ -46,15 +46,17 @@
     return tuple(sorted(hosts, key=sort_key)[:count])
 
 
-def is_first(own: abc.Iterable[str], others: abc.Iterable[str]) -> bool:
+def is_first(
+    own_hosts: abc.Iterable[str], other_hosts: abc.Iterable[str]
+) -> bool:
     """Return whether the first host of ``own`` precedes all others."""
-    first_own_key = min(map(sort_key, own), default=b"")
-    return all(first_own_key <= sort_key(host) for host in others)
+    first_own_key = min(map(sort_key, own_hosts), default=b"")
+    return all(first_own_key <= sort_key(host) for host in other_hosts)
 
 
-def select_parent(before: abc.Sequence[str]) -> str:
+def select_parent(earlier: abc.Sequence[str]) -> str:
     """Return which of the hosts ``before`` a daemon the daemon follows.
 
     The ordered hosts form a heap in which each has ``FANOUT`` children.
     """
-    return before[(len(before) - 1) // FANOUT]
+    return earlier[(len(earlier) - 1) // FANOUT]
--- a/src/sassafrasstair/decisions/feeds/_types.py
+++ b/src/sassafrasstair/decisions/feeds/_types.py
@@ -155,6 +155,6 @@
 
     revision: int
     lost: float | None
-    unsteady_seconds: float
+    recovering_seconds: float
     leaving: bool
     age_seconds: float = 0.0
--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -13,7 +13,7 @@
 
 SECONDS_MAX = 86_400.0
 """No client waits for a day, so a greater value is invalid."""
-_CUSTOMER = re.compile(r"[!-~]{1,200}")
+_CUSTOMER_NAME = re.compile(r"[!-~]{1,200}")
 
 
 def find_fault(policy: _policies.Policy) -> str:
@@ -38,7 +38,10 @@
     for customer in customers:
         name = f"customer {customer.name[:80]!r}"
         # Customer names are sent in a header field.
-        if not _CUSTOMER.fullmatch(customer.name) or customer.name in names:
+        if (
+            not _CUSTOMER_NAME.fullmatch(customer.name)
+            or customer.name in names
+        ):
             return f"{name}: name"
         if not (_is_amount(customer.rate) and _is_amount(customer.burst)):
             return f"{name}: limits"
--- a/src/sassafrasstair/decisions/policies/_customers.py
+++ b/src/sassafrasstair/decisions/policies/_customers.py
@@ -27,7 +27,7 @@
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
-def by_key(
+def customers_by_key_digest(
     policy: _policies.Policy,
 ) -> dict[bytes, _policies.Customer] | None:
     """Return the customers by the digests of their keys, None without any."""
@@ -39,18 +39,20 @@
 
 
 def identify_customer(
-    table: _tables.Table, route: _policies.Route, key: bytes | None
+    table: _tables.Table, route: _policies.Route, key_digest: bytes | None
 ) -> _policies.Customer | Unidentified:
     """Return the customer of a request, or why it has none.
 
     ``key`` is the digest of the request's key, None if it has no key.
     """
-    customers = table.customers
+    customers = table.customers_by_key_digest
     if customers is None:
         return Unidentified.ANONYMOUS
-    customer = None if key is None else customers.get(key)
+    customer = None if key_digest is None else customers.get(key_digest)
     if customer is not None:
         return customer
     if route.anonymous:
         return Unidentified.ANONYMOUS
-    return Unidentified.NO_KEY if key is None else Unidentified.UNKNOWN_KEY
+    return (
+        Unidentified.NO_KEY if key_digest is None else Unidentified.UNKNOWN_KEY
+    )
--- a/src/sassafrasstair/decisions/policies/_tables.py
+++ b/src/sassafrasstair/decisions/policies/_tables.py
@@ -26,23 +26,23 @@
     routes_by_host: dict[str, dict[str, _policies.Route]]
     routes_by_name: dict[str, _policies.Route]
     services: frozenset[str]
-    customers: dict[bytes, _policies.Customer] | None
+    customers_by_key_digest: dict[bytes, _policies.Customer] | None
 
 
 def new_table(policy: _policies.Policy) -> Table:
     """Return the lookup tables of a policy."""
-    hosts: dict[str, dict[str, _policies.Route]] = {}
+    routes_by_host: dict[str, dict[str, _policies.Route]] = {}
     for route in policy.routes:
-        hosts.setdefault(route.host.lower(), {})[route.prefix] = route
+        routes_by_host.setdefault(route.host.lower(), {})[route.prefix] = route
     named = frozenset(
         share.service for route in policy.routes for share in route.shares
     )
     return Table(
         policy,
-        hosts,
+        routes_by_host,
         {route.name: route for route in policy.routes},
         named | frozenset(policy.services),
-        _customers.by_key(policy),
+        _customers.customers_by_key_digest(policy),
     )
 
 
--- a/src/sassafrasstair/decisions/views/__init__.py
+++ b/src/sassafrasstair/decisions/views/__init__.py
@@ -10,7 +10,7 @@
 from sassafrasstair.decisions.views._confirmations import own_confirmation
 from sassafrasstair.decisions.views._confirmations import receive_confirmation
 from sassafrasstair.decisions.views._confirmations import unconfirmed_seconds
-from sassafrasstair.decisions.views._confirmations import up_to_date_at
+from sassafrasstair.decisions.views._confirmations import up_to_date_with
 from sassafrasstair.decisions.views._queries import born_at
 from sassafrasstair.decisions.views._queries import count_services
 from sassafrasstair.decisions.views._queries import delta_since
@@ -19,7 +19,7 @@
 from sassafrasstair.decisions.views._queries import is_behind
 from sassafrasstair.decisions.views._queries import is_replaced
 from sassafrasstair.decisions.views._queries import is_restored
-from sassafrasstair.decisions.views._queries import is_stale
+from sassafrasstair.decisions.views._queries import is_store_unreachable
 from sassafrasstair.decisions.views._queries import knows_policy
 from sassafrasstair.decisions.views._queries import least_importance
 from sassafrasstair.decisions.views._queries import lost_store_seconds
@@ -47,7 +47,7 @@
 from sassafrasstair.decisions.views._views import new_view
 from sassafrasstair.decisions.views._views import note_peer_age
 from sassafrasstair.decisions.views._views import note_replaced
-from sassafrasstair.decisions.views._views import note_unsteady
+from sassafrasstair.decisions.views._views import note_store_recovering
 from sassafrasstair.decisions.views._views import replace_all
 from sassafrasstair.decisions.views._views import store_answered
 from sassafrasstair.decisions.views._views import store_failed
@@ -81,7 +81,7 @@
     "is_behind",
     "is_replaced",
     "is_restored",
-    "is_stale",
+    "is_store_unreachable",
     "knows_policy",
     "least_importance",
     "lost_store_seconds",
@@ -90,7 +90,7 @@
     "note_full_read",
     "note_peer_age",
     "note_replaced",
-    "note_unsteady",
+    "note_store_recovering",
     "number_in_era",
     "other_hosts",
     "own_confirmation",
@@ -103,7 +103,7 @@
     "take_delta",
     "targets",
     "unconfirmed_seconds",
-    "up_to_date_at",
+    "up_to_date_with",
     "usable_delta",
     "without_unusable",
 ]
--- a/src/sassafrasstair/decisions/views/_confirmations.py
+++ b/src/sassafrasstair/decisions/views/_confirmations.py
@@ -34,7 +34,7 @@
 
 
 def apply_confirmation(
-    view: _views.View, version: int, instant: float
+    view: _views.View, version: int, confirmed_at: float
 ) -> bool:
     """Apply a confirmation; return whether it is valid for this view.
 
@@ -45,9 +45,9 @@
     """
     if version < 0 or version > active_version(view):
         return False
-    if instant < view.confirmable_from:
+    if confirmed_at < view.confirmable_from:
         return False
-    view.confirmed_at = max(view.confirmed_at, instant)
+    view.confirmed_at = max(view.confirmed_at, confirmed_at)
     return True
 
 
@@ -64,13 +64,13 @@
 
 
 def own_confirmation(
-    view: _views.View, now: float, held: float
+    view: _views.View, now: float, held_seconds: float
 ) -> Confirmation | None:
     """Return the confirmation for a peer, None if there was none."""
     age = unconfirmed_seconds(view, now)
     if age == float("inf"):
         return None
-    return Confirmation(active_version(view), max(0.0, age), held)
+    return Confirmation(active_version(view), max(0.0, age), held_seconds)
 
 
 def unconfirmed_seconds(view: _views.View, now: float) -> float:
@@ -80,7 +80,9 @@
 
 def note_full_read(view: _views.View, revision: int) -> None:
     """Record a full read of the latest state, which has all policies."""
-    view.policies_read_until = max(view.policies_read_until, revision)
+    view.policies_read_to_revision = max(
+        view.policies_read_to_revision, revision
+    )
 
 
 def note_changes_read(view: _views.View, after: int, revision: int) -> None:
@@ -88,10 +90,12 @@
 
     Not called for a watch without changes: a stalled watch looks the same.
     """
-    if after <= view.policies_read_until:
-        view.policies_read_until = max(view.policies_read_until, revision)
+    if after <= view.policies_read_to_revision:
+        view.policies_read_to_revision = max(
+            view.policies_read_to_revision, revision
+        )
 
 
-def up_to_date_at(view: _views.View, revision: int) -> bool:
+def up_to_date_with(view: _views.View, revision: int) -> bool:
     """Return whether the view has all policies up to ``revision``."""
-    return revision <= view.policies_read_until
+    return revision <= view.policies_read_to_revision
--- a/src/sassafrasstair/decisions/views/_histories.py
+++ b/src/sassafrasstair/decisions/views/_histories.py
@@ -24,7 +24,7 @@
     ``unusable`` is whether its entry became unreadable instead.
     """
 
-    content: int
+    content_revision: int
     unusable: bool
 
 
@@ -38,22 +38,22 @@
     """
 
     complete_from: int = -1
-    policy_content: int = -1
+    policy_changed_at: int = -1
     changed_at: dict[str, int] = dataclasses.field(default_factory=dict)
     removals: dict[str, Removal] = dataclasses.field(default_factory=dict)
 
 
 def record_change(
-    history: History, change: _types.Change, content: int
+    history: History, change: _types.Change, content_revision: int
 ) -> None:
     """Record a change that had an effect, at the revision ``content``."""
     if isinstance(change, _policies.Policy):
-        history.policy_content = content
+        history.policy_changed_at = content_revision
     elif isinstance(change, _types.Instance):
-        history.changed_at[change.id] = content
+        history.changed_at[change.id] = content_revision
         history.removals.pop(change.id, None)
     else:
-        _record_removal(history, change, content)
+        _record_removal(history, change, content_revision)
 
 
 def removed_ids(
@@ -66,21 +66,22 @@
     return tuple(
         key
         for key, each in history.removals.items()
-        if each.content > after and each.unusable is unusable
+        if each.content_revision > after and each.unusable is unusable
     )
 
 
 def _record_removal(
     history: History,
     change: _types.Removed | _types.Unusable,
-    content: int,
+    content_revision: int,
 ) -> None:
     history.changed_at.pop(change.id, None)
     history.removals.pop(change.id, None)
     unusable = isinstance(change, _types.Unusable)
-    history.removals[change.id] = Removal(content, unusable)
+    history.removals[change.id] = Removal(content_revision, unusable)
     if len(history.removals) > REMOVALS_KEPT:
         oldest = next(iter(history.removals))
         history.complete_from = max(
-            history.complete_from, history.removals.pop(oldest).content
+            history.complete_from,
+            history.removals.pop(oldest).content_revision,
         )
--- a/src/sassafrasstair/decisions/views/_queries.py
+++ b/src/sassafrasstair/decisions/views/_queries.py
@@ -14,7 +14,7 @@
 
     from sassafrasstair.decisions.views import _views
 
-STALE_SECONDS = 1.0
+UNREACHABLE_SECONDS = 1.0
 """After the store has been unreachable for so long, a request without a known
 route may be for a new route: it is refused temporarily instead of denied."""
 
@@ -24,13 +24,13 @@
     return view.table is not None
 
 
-def is_behind(view: _views.View, content: int) -> bool:
+def is_behind(view: _views.View, content_revision: int) -> bool:
     """Return whether a peer at the revision ``content`` has newer changes.
 
     A view has all changes up to its ``revision``, even if its own last change
     is older.
     """
-    return content > max(view.content, view.revision)
+    return content_revision > max(view.content_revision, view.revision)
 
 
 def is_restored(view: _views.View, revision: int) -> bool:
@@ -53,9 +53,9 @@
     )
 
 
-def is_stale(view: _views.View, now: float) -> bool:
+def is_store_unreachable(view: _views.View, now: float) -> bool:
     """Return whether the store has been unreachable for a while."""
-    return now - view.store_lost_since >= STALE_SECONDS
+    return now - view.store_lost_since >= UNREACHABLE_SECONDS
 
 
 def targets(view: _views.View, service: str) -> tuple[calls.Target, ...]:
@@ -72,7 +72,7 @@
     policy = None if view.table is None else view.table.policy
     return _types.Snapshot(
         view.revision,
-        view.content,
+        view.content_revision,
         policy,
         tuple(view.instances.values()),
     )
@@ -84,17 +84,19 @@
     Return the whole view if the history does not go back that far.
     """
     policy = None if view.table is None else view.table.policy
-    if after >= view.content:
-        return _types.Delta(view.revision, view.content)
+    if after >= view.content_revision:
+        return _types.Delta(view.revision, view.content_revision)
     if after < view.history.complete_from:
         known = tuple(view.instances.values())
-        return _types.Delta(view.revision, view.content, True, policy, known)
-    if view.history.policy_content <= after:
+        return _types.Delta(
+            view.revision, view.content_revision, True, policy, known
+        )
+    if view.history.policy_changed_at <= after:
         policy = None
     changed = view.history.changed_at
     return _types.Delta(
         view.revision,
-        view.content,
+        view.content_revision,
         False,
         policy,
         tuple(
@@ -167,7 +169,7 @@
     """Return whether an instance is neither replaced nor held back."""
     return (
         instance.id not in view.replaced_ids
-        and instance.id not in view.doubted_until
+        and instance.id not in view.held_back_until
     )
 
 
@@ -217,28 +219,30 @@
         for entry in view.lapsed.values()
         if entry.instance.service == service
     ]
-    ready += [entry.instance for entry in lapsed if entry.trusted]
+    ready += [entry.instance for entry in lapsed if entry.may_have_expired]
     if not ready:
         ready = [entry.instance for entry in lapsed]
     return ready
 
 
-def is_replaced(view: _views.View, key: str) -> bool:
+def is_replaced(view: _views.View, instance_id: str) -> bool:
     """Return whether another instance answered at the instance's address."""
-    return key in view.replaced_ids
+    return instance_id in view.replaced_ids
 
 
-def instance_by_id(view: _views.View, key: str) -> _types.Instance | None:
+def instance_by_id(
+    view: _views.View, instance_id: str
+) -> _types.Instance | None:
     """Return an instance by its id, even if its entry has just vanished."""
-    found = view.instances.get(key)
-    if found is None and key in view.lapsed:
-        found = view.lapsed[key].instance
+    found = view.instances.get(instance_id)
+    if found is None and instance_id in view.lapsed:
+        found = view.lapsed[instance_id].instance
     return found
 
 
-def born_at(view: _views.View, key: str) -> int:
+def born_at(view: _views.View, instance_id: str) -> int:
     """Return when the latest run under an id started, 0 if unknown."""
-    return view.latest_starts.get(key, 0)
+    return view.latest_starts.get(instance_id, 0)
 
 
 def count_services(view: _views.View) -> int:
--- a/src/sassafrasstair/decisions/views/_types.py
+++ b/src/sassafrasstair/decisions/views/_types.py
@@ -140,5 +140,5 @@
     OUTDATED = "instance_outdated"
     UNUSABLE = "instance_unusable"
     RESTORED = "store_restored"
-    DOUBTED = "instance_doubted"
-    TRUSTED = "instance_trusted"
+    HELD_BACK = "instance_doubted"
+    HOLD_BACK_ENDED = "instance_trusted"
--- a/src/sassafrasstair/decisions/views/_views.py
+++ b/src/sassafrasstair/decisions/views/_views.py
@@ -24,14 +24,14 @@
 """For how long an instance whose entry vanished is still used. Entries that
 expire while the store is unreachable are rewritten within two seconds, and an
 instance that leaves without announcing it keeps serving at least as long."""
-UNSTEADY_SECONDS = 2.0
+RECOVERY_SECONDS = 2.0
 """For how long after an outage or restore of the store a vanished entry may
 have expired or been lost rather than removed."""
 
 RESTORE_SETTLE_SECONDS = 2.0
 """For how long after the store was restored from an older copy a change that
 it had acknowledged may still be missing."""
-DOUBTED_SECONDS = 10.0
+HOLD_BACK_SECONDS = 10.0
 """For how long a removed instance gets no requests when an older copy of the
 store lists it again. By then an entry that is not renewed has expired."""
 BORN_KEPT = 4_000
@@ -53,7 +53,7 @@
 
     instance: _types.Instance
     lapsed_at: float
-    trusted: bool
+    may_have_expired: bool
 
 
 @dataclasses.dataclass(slots=True)
@@ -93,24 +93,24 @@
     """
 
     revision: int = -1
-    content: int = -1
+    content_revision: int = -1
     table: policies.Table | None = None
     instances: dict[str, _types.Instance] = dataclasses.field(
         default_factory=dict
     )
     lapsed: dict[str, Lapsed] = dataclasses.field(default_factory=dict)
     replaced_ids: set[str] = dataclasses.field(default_factory=set)
-    doubted_until: dict[str, float] = dataclasses.field(default_factory=dict)
+    held_back_until: dict[str, float] = dataclasses.field(default_factory=dict)
     latest_starts: dict[str, int] = dataclasses.field(default_factory=dict)
     history: _histories.History = dataclasses.field(
         default_factory=_histories.History
     )
     store_answered_at: float = -math.inf
     store_lost_since: float = math.inf
-    unsteady_until: float = -math.inf
+    recovering_until: float = -math.inf
     confirmed_at: float = -math.inf
     confirmable_from: float = -math.inf
-    policies_read_until: int = -1
+    policies_read_to_revision: int = -1
     target_cache: dict[str, tuple[calls.Target, ...]] = dataclasses.field(
         default_factory=dict
     )
@@ -130,7 +130,7 @@
     view.store_answered_at = max(view.store_answered_at, now - age)
     if view.store_lost_since == math.inf or now - age <= view.store_lost_since:
         return False
-    view.unsteady_until = now + UNSTEADY_SECONDS
+    view.recovering_until = now + RECOVERY_SECONDS
     view.store_lost_since = math.inf
     return True
 
@@ -150,16 +150,16 @@
     return first
 
 
-def note_unsteady(view: View, seconds: float, now: float) -> None:
+def note_store_recovering(view: View, seconds: float, now: float) -> None:
     """Extend the time for which vanished entries may merely have expired."""
-    view.unsteady_until = max(view.unsteady_until, now + seconds)
+    view.recovering_until = max(view.recovering_until, now + seconds)
 
 
 def replace_all(
     view: View,
     items: abc.Sequence[_types.Change],
     revision: int,
-    content: int,
+    content_revision: int,
     now: float,
 ) -> Updates:
     """Replace the view with a full read of the store as of ``revision``.
@@ -179,37 +179,41 @@
     reappeared = (
         listed_ids & view.history.removals.keys() if restored else set()
     )
-    if view.content < 0 or restored:
+    if view.content_revision < 0 or restored:
         # Earlier removals are unknown, so followers need the whole view. Even
         # an empty read must tell a follower that all instances are gone.
-        view.history.complete_from = view.content = content
+        view.history.complete_from = view.content_revision = content_revision
     if restored:
-        note_unsteady(view, UNSTEADY_SECONDS, now)
+        note_store_recovering(view, RECOVERY_SECONDS, now)
         view.confirmable_from = now + RESTORE_SETTLE_SECONDS
-    updates = apply_changes(view, [*vanished, *items], revision, content, now)
+    updates = apply_changes(
+        view, [*vanished, *items], revision, content_revision, now
+    )
     if not restored:
         return updates
     return [
         (_types.News.RESTORED, ""),
         *updates,
-        *_hold_back_restored(view, reappeared, now),
+        *_hold_back_reappeared(view, reappeared, now),
     ]
 
 
-def _hold_back_restored(
+def _hold_back_reappeared(
     view: View, instance_ids: abc.Iterable[str], now: float
 ) -> Updates:
     """Hold back requests from instances removed before the restore."""
-    view.doubted_until |= dict.fromkeys(instance_ids, now + DOUBTED_SECONDS)
+    view.held_back_until |= dict.fromkeys(
+        instance_ids, now + HOLD_BACK_SECONDS
+    )
     view.target_cache.clear()
-    return [(_types.News.DOUBTED, key) for key in sorted(instance_ids)]
+    return [(_types.News.HELD_BACK, key) for key in sorted(instance_ids)]
 
 
 def apply_changes(
     view: View,
     changes: abc.Sequence[_types.Change],
     revision: int,
-    content: int,
+    content_revision: int,
     now: float,
 ) -> Updates:
     """Apply changes of the store up to ``revision``, in their order.
@@ -227,9 +231,9 @@
         effects = _apply_one(view, change, now)
         updates += effects
         if any(kind is not _types.News.OUTDATED for kind, _ in effects):
-            _histories.record_change(view.history, change, content)
+            _histories.record_change(view.history, change, content_revision)
     if updates:
-        view.content = max(view.content, content)
+        view.content_revision = max(view.content_revision, content_revision)
         view.target_cache.clear()
     return updates
 
@@ -271,7 +275,7 @@
     changes += [_types.Unusable(key) for key in delta.unusable]
     step = replace_all if delta.whole else apply_changes
     updates = step(view, changes, delta.revision, delta.content, now)
-    view.content = max(view.content, delta.content)
+    view.content_revision = max(view.content_revision, delta.content)
     return updates
 
 
@@ -300,10 +304,10 @@
 def expire(view: View, now: float) -> Updates:
     """Drop vanished entries in time, and use held-back ones that stayed."""
     cleared = [
-        key for key, until in view.doubted_until.items() if until <= now
+        key for key, until in view.held_back_until.items() if until <= now
     ]
     for key in cleared:
-        del view.doubted_until[key]
+        del view.held_back_until[key]
     expired = [
         key
         for key, lapsed in view.lapsed.items()
@@ -315,17 +319,17 @@
         view.target_cache.clear()
     return [
         *((_types.News.GONE, key) for key in expired),
-        *((_types.News.TRUSTED, key) for key in cleared),
+        *((_types.News.HOLD_BACK_ENDED, key) for key in cleared),
     ]
 
 
-def note_replaced(view: View, key: str) -> Updates:
+def note_replaced(view: View, instance_id: str) -> Updates:
     """Record that another instance answered at an instance's address."""
-    if key in view.replaced_ids or key not in view.instances:
+    if instance_id in view.replaced_ids or instance_id not in view.instances:
         return []
-    view.replaced_ids.add(key)
+    view.replaced_ids.add(instance_id)
     view.target_cache.clear()
-    return [(_types.News.REPLACED, key)]
+    return [(_types.News.REPLACED, instance_id)]
 
 
 def _set_policy(view: View, policy: policies.Policy) -> Updates:
@@ -342,30 +346,32 @@
     A late heartbeat, or a peer that is behind, would otherwise restore the
     state, slots and address of a run that has ended.
     """
-    latest = view.latest_starts.get(instance.id, 0)
-    if instance.born and instance.born < latest:
+    latest_start = view.latest_starts.get(instance.id, 0)
+    if instance.born and instance.born < latest_start:
         return [(_types.News.OUTDATED, instance.id)]
-    if not instance.born and latest:
+    if not instance.born and latest_start:
         # A daemon of the previous version sends no start time, so the entry
         # may belong to either run.
-        instance = dataclasses.replace(instance, born=latest)
+        instance = dataclasses.replace(instance, born=latest_start)
     previous = view.instances.get(instance.id)
     if _is_ready_after_leaving(previous, instance):
         return [(_types.News.OUTDATED, instance.id)]
     if previous != instance:
-        view.doubted_until.pop(instance.id, None)
-    is_running = previous != instance and instance.id in view.replaced_ids
-    if is_running:
+        view.held_back_until.pop(instance.id, None)
+    was_marked_replaced = (
+        previous != instance and instance.id in view.replaced_ids
+    )
+    if was_marked_replaced:
         # Only a running instance changes its entry.
         view.replaced_ids.discard(instance.id)
     view.lapsed.pop(instance.id, None)
     view.instances[instance.id] = instance
     _record_start(view, instance)
-    if latest and instance.born > latest:
+    if latest_start and instance.born > latest_start:
         news = _types.News.RESTARTED
     elif previous is None:
         news = _types.News.ADDED
-    elif _has_same_routing(previous, instance) and not is_running:
+    elif _has_same_routing(previous, instance) and not was_marked_replaced:
         return []
     elif instance.state is not previous.state:
         news = _types.News.LEAVING
@@ -411,26 +417,26 @@
         del view.latest_starts[next(iter(view.latest_starts))]
 
 
-def _drop_unusable(view: View, key: str) -> Updates:
+def _drop_unusable(view: View, instance_id: str) -> Updates:
     """Remove an instance whose entry has become unreadable."""
-    known = view.instances.pop(key, None)
-    lapsed = view.lapsed.pop(key, None)
+    known = view.instances.pop(instance_id, None)
+    lapsed = view.lapsed.pop(instance_id, None)
     if known is None and lapsed is None:
         return []
-    view.replaced_ids.discard(key)
-    view.doubted_until.pop(key, None)
-    return [(_types.News.UNUSABLE, key)]
+    view.replaced_ids.discard(instance_id)
+    view.held_back_until.pop(instance_id, None)
+    return [(_types.News.UNUSABLE, instance_id)]
 
 
-def _remove(view: View, key: str, now: float) -> Updates:
-    instance = view.instances.pop(key, None)
+def _remove(view: View, instance_id: str, now: float) -> Updates:
+    instance = view.instances.pop(instance_id, None)
     if instance is None:
         return []
     view.target_cache.clear()
-    view.replaced_ids.discard(key)
-    view.doubted_until.pop(key, None)
+    view.replaced_ids.discard(instance_id)
+    view.held_back_until.pop(instance_id, None)
     if instance.state is not _types.InstanceState.READY:
-        return [(_types.News.GONE, key)]
-    trusted = now < view.unsteady_until
-    view.lapsed[key] = Lapsed(instance, now, trusted)
-    return [(_types.News.LAPSED, key)]
+        return [(_types.News.GONE, instance_id)]
+    may_have_expired = now < view.recovering_until
+    view.lapsed[instance_id] = Lapsed(instance, now, may_have_expired)
+    return [(_types.News.LAPSED, instance_id)]
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -60,7 +60,7 @@
     calls.start_attempt(daemon.routes, target.vm, now)
     left = progress.deadline - now
     ask = _wire.RequestMetadata(
-        daemon.view.content,
+        daemon.view.content_revision,
         target.vm,
         progress.route.name,
         progress.rank,
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -365,7 +365,7 @@
         service_seconds=load.service_seconds(guard),
     )
     return _wire.CalleeState(
-        daemon.view.content,
+        daemon.view.content_revision,
         daemon.upstream_leaving,
         told,
         load.busy_at_or_above(guard, level),
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -32,7 +32,7 @@
 def key_digest(daemon: _state.Daemon, request: httpio.Request) -> bytes | None:
     """Return the digest of a request's key, None if none is asked for."""
     table = daemon.view.table
-    if table is None or table.customers is None:
+    if table is None or table.customers_by_key_digest is None:
         return None
     key = request.found.get(daemon.header_keys.key)
     return None if key is None else policies.digest_key(key.strip())
@@ -46,7 +46,7 @@
 ) -> policies.Customer | None:
     """Return whose request it is; else answer it, and return None."""
     table = daemon.view.table
-    if table is None or table.customers is None:
+    if table is None or table.customers_by_key_digest is None:
         return ANONYMOUS
     found = policies.identify_customer(table, route, key)
     if found is policies.Unidentified.ANONYMOUS:
@@ -70,13 +70,15 @@
     The policy here may be older than the one at the entrance, or newer.
     """
     table = daemon.view.table
-    if table is None or table.customers is None:
+    if table is None or table.customers_by_key_digest is None:
         return ANONYMOUS if key is None else None
     if key is None:
         route = table.routes_by_name.get(route_name)
         return ANONYMOUS if route is not None and route.anonymous else None
     try:
-        return table.customers.get(bytes.fromhex(key.decode("ascii")))
+        return table.customers_by_key_digest.get(
+            bytes.fromhex(key.decode("ascii"))
+        )
     except ValueError:
         return None
 
@@ -99,7 +101,7 @@
 
 
 def _may_be_behind(daemon: _state.Daemon, now: float) -> bool:
-    if views.is_stale(daemon.view, now):
+    if views.is_store_unreachable(daemon.view, now):
         return True
     if not _confirmations.has_revocation_bound(daemon):
         return False
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -82,7 +82,7 @@
     path = exchange.request.target.partition(b"?")[0].decode("latin-1")
     route = policies.match_route(table, host, path)
     if route is None:
-        if views.is_stale(daemon.view, daemon.clock.monotonic()):
+        if views.is_store_unreachable(daemon.view, daemon.clock.monotonic()):
             _endings.refuse_early(daemon, exchange, outcomes.Reason.NO_BUNDLE)
         else:
             reason = outcomes.Reason.UNKNOWN_SERVICE
@@ -149,7 +149,7 @@
 ) -> httpio.Fields:
     """Return the fields for the upstream, with the caller's service."""
     table = daemon.view.table
-    keyed = table is not None and table.customers is not None
+    keyed = table is not None and table.customers_by_key_digest is not None
     dropped = _dropped(daemon.header_keys, keyed)
     fields = httpio.end_to_end(request.fields, request.found, dropped)
     fields.append(
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -71,7 +71,7 @@
         status.revision,
         content,
         lost.encode(),
-        status.unsteady_seconds,
+        status.recovering_seconds,
         status.leaving,
         min(status.age_seconds, AGE_SECONDS_MAX),
     )
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -116,7 +116,7 @@
     reason: outcomes.Reason = outcomes.Reason.NONE,
 ) -> tuple[bytes, bytes]:
     state = _wire.CalleeState(
-        daemon.view.content,
+        daemon.view.content_revision,
         daemon.upstream_leaving or daemon.upstream_down,
         calls.LoadReport(),
         0.0,
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -60,7 +60,7 @@
 ) -> bool:
     """Take what a daemon told; return whether anything became different."""
     now = daemon.clock.monotonic()
-    views.note_unsteady(daemon.view, status.unsteady_seconds, now)
+    views.note_store_recovering(daemon.view, status.recovering_seconds, now)
     told = views.take_delta(daemon.view, delta, now)
     apply_news(daemon, told, f"peer {host}")
     return bool(told)
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -211,7 +211,7 @@
     doubtful = feeds.reads_store(daemon.feed) and not _is_lost(daemon)
     if news and doubtful:
         # The own watch should have told it.
-        feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
+        feeds.expedite_recheck(daemon.feed, daemon.clock.monotonic())
         daemon.feed_woken.set()
 
 
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -58,7 +58,7 @@
 
 def _vouch(daemon: _state.Daemon, revision: int, asked_at: float) -> bool:
     view = daemon.view
-    if not views.up_to_date_at(view, revision):
+    if not views.up_to_date_with(view, revision):
         return False
     views.apply_confirmation(view, views.active_version(view), asked_at)
     return True
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -64,8 +64,9 @@
         return
     peer = exchange.peer
     _crash_updates.receive(daemon, peer, exchange.request.found)
-    news = daemon.view.content > after or _crash_updates.needs_full_update(
-        daemon, peer
+    news = (
+        daemon.view.content_revision > after
+        or _crash_updates.needs_full_update(daemon, peer)
     )
     now = daemon.clock.monotonic()
     poll = HeldPoll(exchange, after, now + hold, now)
@@ -85,17 +86,19 @@
     status = feeds.PeerStatus(
         view.revision,
         views.lost_store_seconds(view, now),
-        max(0.0, view.unsteady_until - now),
+        max(0.0, view.recovering_until - now),
         daemon.leaving,
         max(0.0, now - view.store_answered_at),
     )
-    return _feed_wire.HEADER, _feed_wire.encode_status(status, view.content)
+    return _feed_wire.HEADER, _feed_wire.encode_status(
+        status, view.content_revision
+    )
 
 
 def answer_outdated(daemon: _state.Daemon) -> None:
     """Answer all for whom there is news."""
     daemon.encoded_answers.clear()
-    _answer_if(daemon, lambda one: daemon.view.content > one.after)
+    _answer_if(daemon, lambda one: daemon.view.content_revision > one.after)
 
 
 def answer_all(daemon: _state.Daemon) -> None:
@@ -149,7 +152,7 @@
 
 
 def _encoded(daemon: _state.Daemon, after: int) -> bytes:
-    if after >= daemon.view.content:
+    if after >= daemon.view.content_revision:
         return b""
     body = daemon.encoded_answers.get(after)
     if body is None:
@@ -164,7 +167,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, after: int
 ) -> None:
     """Answer a daemon of the version before: all that is known."""
-    if after >= daemon.view.content:
+    if after >= daemon.view.content_revision:
         exchange.respond(204, [], b"")
         return
     body = _feed_wire.encode_snapshot(views.snapshot(daemon.view))
--- a/src/sassafrasstair/forwarding/_status.py
+++ b/src/sassafrasstair/forwarding/_status.py
@@ -131,7 +131,7 @@
         view_age=view_age(daemon, now),
         store_lost=views.lost_store_seconds(view, now),
         revision=views.number_in_era(view.revision),
-        content=views.number_in_era(view.content),
+        content=views.number_in_era(view.content_revision),
         policy=-1 if view.table is None else view.table.policy.version,
         rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -147,11 +147,16 @@
         return
     _crash_updates.receive(daemon, host, result.found)
     feeds.peer_answered(
-        daemon.feed, host, status, daemon.view.content, now, daemon.rng
+        daemon.feed,
+        host,
+        status,
+        daemon.view.content_revision,
+        now,
+        daemon.rng,
     )
     if status.lost is None:
         _learning.record_store_answer(daemon, now, status.age_seconds)
-    elif feeds.without_store(daemon.feed, now):
+    elif feeds.upcoming_parent_lost_store(daemon.feed, now):
         _learning.record_store_failure(
             daemon, now - status.lost, "peers_lost", host
         )
--- a/tests/decisions/feeds/test_checks.py
+++ b/tests/decisions/feeds/test_checks.py
@@ -21,7 +21,7 @@
     feed = feeds.new_feed(EARLIER_HOSTS[0], TIMING, -10.0)
     feeds.learn_hosts(feed, test_feeds.HOSTS, -10.0)
     feeds.next_step(feed, -10.0)
-    feeds.read_done(feed, -TIMING.watch_interval, stale=False)
+    feeds.read_done(feed, -TIMING.watch_interval, answer_may_be_stale=False)
     assert feeds.next_step(feed, 0.0) == feeds.Watch(_feeds.WATCH_SECONDS)
     feed.checks_for_all = checks_for_all
     return feed
@@ -96,7 +96,7 @@
     feeds.learn_hosts(feed, test_feeds.HOSTS, 0.0)
     assert feeds.next_step(feed, 0.0) == feeds.Read(allow_stale=False)
     assert not feeds.can_recheck(feed, 1.0)
-    feeds.read_done(feed, 2.0, stale=False)
+    feeds.read_done(feed, 2.0, answer_may_be_stale=False)
     assert feeds.can_recheck(feed, 2.0)
 
 
@@ -135,7 +135,9 @@
         assert feeds.next_step(feed, now) == feeds.Watch(
             _feeds.RECHECK_WATCH_SECONDS
         )
-        feeds.read_done(feed, now, stale=False, news=False)
+        feeds.read_done(
+            feed, now, answer_may_be_stale=False, has_changes=False
+        )
         begun = now
         while not feeds.can_recheck(feed, now):
             now += 0.5
@@ -143,7 +145,7 @@
     assert pauses == sorted(pauses)
     assert pauses[-1] == _checks.RECHECK_BACKOFF_SECONDS_MAX
     feeds.mark_change_missed(feed, now)
-    feeds.read_done(feed, now, stale=False, news=True)
+    feeds.read_done(feed, now, answer_may_be_stale=False, has_changes=True)
     assert feeds.can_recheck(feed, now)
 
 
--- a/tests/decisions/feeds/test_feeds.py
+++ b/tests/decisions/feeds/test_feeds.py
@@ -67,7 +67,7 @@
 def test_start_allows_stale_reads_until_a_host_is_known() -> None:
     feed = feeds.new_feed(LAST, TIMING, 0.0)
     assert feeds.next_step(feed, 0.0) == feeds.Read(allow_stale=True)
-    feeds.read_done(feed, 0.1, stale=True)
+    feeds.read_done(feed, 0.1, answer_may_be_stale=True)
     assert isinstance(feeds.next_step(feed, 0.2), feeds.Sleep)
     feeds.learn_hosts(feed, HOSTS, 0.0)
     assert isinstance(feeds.next_step(feed, 0.2), feeds.Poll)
@@ -77,10 +77,10 @@
     """No instance of the failure domain is known, not even its own."""
     feed = feeds.new_feed(LAST, TIMING, 0.0)
     feeds.next_step(feed, 0.0)
-    feeds.read_done(feed, 0.0, stale=True)
+    feeds.read_done(feed, 0.0, answer_may_be_stale=True)
     late = _feeds.START_SECONDS
     assert feeds.next_step(feed, late) == feeds.Read(allow_stale=False)
-    feeds.read_done(feed, late, stale=False)
+    feeds.read_done(feed, late, answer_may_be_stale=False)
     paced = late + TIMING.watch_interval
     assert isinstance(feeds.next_step(feed, paced), feeds.Watch)
 
@@ -139,7 +139,7 @@
             feeds.peer_answered(feed, host, lost, 10, 1.0, _rng())
         reads = feeds.choose_parent(feed, 1.1) == feeds.STORE
         assert reads is (rank < _feeds.READERS_MAX)
-        assert feeds.without_store(feed, 1.1) is not reads
+        assert feeds.upcoming_parent_lost_store(feed, 1.1) is not reads
 
 
 def test_lost_history_causes_one_immediate_full_read() -> None:
@@ -150,7 +150,7 @@
     """
     feed = _feed(EARLIER_HOSTS[0])
     feeds.next_step(feed, 0.0)
-    feeds.read_done(feed, 0.0, stale=False)
+    feeds.read_done(feed, 0.0, answer_may_be_stale=False)
     feeds.read_failed(feed, 1.0, True, _rng())
     assert feeds.next_step(feed, 1.0) == feeds.Read(allow_stale=False)
     feeds.read_failed(feed, 1.0, True, _rng())
@@ -183,10 +183,10 @@
 def test_full_read_is_not_restarted() -> None:
     """Otherwise each check of a large and slow store restarts the read."""
     feed = feeds.new_feed(LAST, TIMING, 0.0)
-    feeds.read_done(feed, 0.0, stale=False)
+    feeds.read_done(feed, 0.0, answer_may_be_stale=False)
     assert feeds.request_full_read(feed, 1.0)
     assert not feeds.request_full_read(feed, 2.0)
-    feeds.read_done(feed, 3.0, stale=False)
+    feeds.read_done(feed, 3.0, answer_may_be_stale=False)
     assert feeds.request_full_read(feed, 4.0)
 
 
@@ -197,7 +197,7 @@
     """
     feed = feeds.new_feed(LAST, TIMING, 0.0)
     feeds.next_step(feed, 0.0)
-    feeds.read_done(feed, 0.0, stale=True)
+    feeds.read_done(feed, 0.0, answer_may_be_stale=True)
     late = _feeds.START_SECONDS
     rng = random.Random(1)
     unordered = feeds.PeerStatus(-1, None, 0.0, leaving=False)
--- a/tests/decisions/views/test_deltas.py
+++ b/tests/decisions/views/test_deltas.py
@@ -99,10 +99,10 @@
         if action == "restart":
             follower = views.new_view()
         if action != "wait":
-            delta = views.delta_since(reader, follower.content)
+            delta = views.delta_since(reader, follower.content_revision)
             views.take_delta(follower, delta, 0.0)
             assert _same(reader, follower)
-            assert follower.content == reader.content
+            assert follower.content_revision == reader.content_revision
 
 
 def test_cold_seconds_alone_are_no_change() -> None:
@@ -116,7 +116,7 @@
     assert (
         views.apply_changes(view, [_instance("a", 8, 1.5)], 11, 11, 0.0) == []
     )
-    assert (view.content, view.revision) == (10, 11)
+    assert (view.content_revision, view.revision) == (10, 11)
     assert views.delta_since(view, 10).empty
     assert not views.is_behind(view, 11)
 
@@ -154,7 +154,7 @@
         )
     assert views.delta_since(view, 1).whole
     assert len(view.history.removals) == _histories.REMOVALS_KEPT
-    recent = views.delta_since(view, view.content - 4)
+    recent = views.delta_since(view, view.content_revision - 4)
     assert not recent.whole
     assert recent.removed
 
@@ -190,7 +190,7 @@
     updates = views.replace_all(view, [_instance("b", 1)], after, after, 1.0)
     assert updates[0] == (views.News.RESTORED, "")
     assert set(view.instances) == {"b"}
-    assert (view.revision, view.content) == (after, after)
+    assert (view.revision, view.content_revision) == (after, after)
 
 
 def test_follower_of_an_earlier_era_gets_the_whole_view() -> None:
--- a/tests/decisions/views/test_eras.py
+++ b/tests/decisions/views/test_eras.py
@@ -96,10 +96,10 @@
         view, [views.Removed("i")], BEFORE + 1, BEFORE + 1, 101.0
     )
     _restore(view, READY, OTHER)
-    now = 103.0 + _views.DOUBTED_SECONDS
+    now = 103.0 + _views.HOLD_BACK_SECONDS
     views.expire(view, now - 0.1)
     assert _targets(view) == {"o"}
-    assert (views.News.TRUSTED, "i") in views.expire(view, now)
+    assert (views.News.HOLD_BACK_ENDED, "i") in views.expire(view, now)
     assert _targets(view) == {"i", "o"}
 
 
--- a/tests/decisions/views/test_views.py
+++ b/tests/decisions/views/test_views.py
@@ -66,7 +66,7 @@
     views.store_failed(view, 100.0)
     assert views.store_answered(view, 102.0, age) is back
     assert (view.store_lost_since > 102.0) is back
-    assert (view.unsteady_until > 102.0) is back
+    assert (view.recovering_until > 102.0) is back
 
 
 def test_policies_of_one_answer_are_one_update() -> None:
@@ -149,7 +149,7 @@
 ) -> None:
     view = _view_of(_policy(1))
     views.store_failed(view, 100.0)
-    assert views.is_stale(view, now) is stale
+    assert views.is_store_unreachable(view, now) is stale
 
 
 def test_store_counter_alone_puts_no_peer_ahead() -> None:
@@ -160,7 +160,7 @@
     """
     view = _view_of(_policy(1))
     views.apply_changes(view, [], 50, -1, 101.0)
-    assert not views.is_behind(_view_of(_policy(1)), view.content)
+    assert not views.is_behind(_view_of(_policy(1)), view.content_revision)
 
 
 def test_snapshot_round_trip() -> None:
--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -72,7 +72,7 @@
             self.ends[outcomes.Reason.NO_INSTANCE] += 1
             return
         table = daemon.view.table
-        found = {} if table is None else table.customers or {}
+        found = {} if table is None else table.customers_by_key_digest or {}
         known = {each.name: each for each in found.values()}.get(self.name)
         if known is None:
             self.ends[outcomes.Reason.KEY_UNKNOWN] += 1
--- a/tests/fleets/test_feeds.py
+++ b/tests/fleets/test_feeds.py
@@ -154,7 +154,7 @@
             for host, daemon in fleet.daemons.items():
                 lapsed = daemon.view.lapsed.get(f"i-{gone}")
                 if lapsed is not None:
-                    trusted[host] = lapsed.trusted
+                    trusted[host] = lapsed.may_have_expired
         assert trusted == dict.fromkeys(fleet.hosts, True)
 
     loops.run(test())
@@ -261,7 +261,7 @@
     raised: list[_state.Daemon] = []
 
     def faulty(daemon: _state.Daemon, reading: object) -> None:
-        if len(raised) < 3 and daemon.view.content > 0:
+        if len(raised) < 3 and daemon.view.content_revision > 0:
             raised.append(daemon)
             raise KeyError("a fault")
         take(daemon, typing.cast("forwarding.Reading", reading))
@@ -321,7 +321,7 @@
         fleet.store.revision += 20
         for daemon in fleet.daemons.values():
             daemon.view.revision = fleet.store.revision
-        reader.view.content = reader.view.revision = old
+        reader.view.content_revision = reader.view.revision = old
         asked = fleet.network.questions
         await asyncio.sleep(3.0)
         assert fleet.network.questions - asked < 12 * 3 * 4
--- a/tests/fleets/test_revocations.py
+++ b/tests/fleets/test_revocations.py
@@ -38,7 +38,7 @@
     """Return whether a request with a key would run now."""
     daemon = fleet.daemons[host]
     table = daemon.view.table
-    if table is None or key not in (table.customers or {}):
+    if table is None or key not in (table.customers_by_key_digest or {}):
         return False
     return _confirmations.is_fresh(daemon, daemon.clock.monotonic())
 
