--- a/tests/forwarding/test_crash_wire.py
+++ b/tests/forwarding/test_crash_wire.py
@@ -32,7 +32,7 @@
         ],
     ],
 )
-def test_field_tells_what_it_was_made_from(
+def test_decoded_header_equals_what_was_encoded(
     reports: list[crashes.Report],
 ) -> None:
     value = _crash_wire.encode(2**64 - 1, reports)
@@ -60,6 +60,6 @@
         _packed("i", "0", 1, b"", b"", b"", b"", []),
     ],
 )
-def test_field_that_is_not_in_its_format_is_an_error(value: bytes) -> None:
+def test_malformed_header_is_an_error(value: bytes) -> None:
     with pytest.raises(_wire.WireError):
         _crash_wire.decode(value)
--- a/tests/forwarding/test_feed_wire.py
+++ b/tests/forwarding/test_feed_wire.py
@@ -29,7 +29,7 @@
         views.Delta(12, 9, True, test_wire.POLICY, (test_wire.INSTANCE,)),
     ],
 )
-def test_answer_is_read_as_written(
+def test_decoded_answer_equals_what_was_encoded(
     word: feeds.PeerStatus, delta: views.Delta
 ) -> None:
     field = _feed_wire.encode_status(word, delta.content)
@@ -56,9 +56,7 @@
         (b"\xff 2 - 0.0 0 0.0", b""),
     ],
 )
-def test_answer_that_cannot_be_read_is_an_error(
-    field: bytes, body: bytes
-) -> None:
+def test_malformed_answer_is_an_error(field: bytes, body: bytes) -> None:
     with pytest.raises(_wire.WireError):
         _feed_wire.decode_answer(field, body)
 
@@ -74,7 +72,7 @@
         (b"after=7", b"nan", None),
     ],
 )
-def test_question(
+def test_decode_poll(
     query: bytes, field: bytes | None, found: tuple[int, float | None] | None
 ) -> None:
     if found is not None:
--- a/tests/forwarding/test_sync.py
+++ b/tests/forwarding/test_sync.py
@@ -15,7 +15,7 @@
 A, B, C = place.HOSTS
 
 
-def test_daemon_without_a_policy_refuses_instead_of_denying() -> None:
+def test_daemon_without_a_policy_answers_503() -> None:
     """A daemon starts while the store is away and nobody else is known.
 
     A 404 would tell the client never to come back; 503 says when.
@@ -33,7 +33,7 @@
     test_path.run(test())
 
 
-def test_daemon_cut_from_the_store_learns_from_its_peers() -> None:
+def test_daemon_cut_off_from_the_store_gets_changes_from_peers() -> None:
     """The store turns one machine away while it serves the others.
 
     A new policy and an instance that leaves are in force there all the
@@ -55,7 +55,7 @@
     test_path.run(test())
 
 
-def test_series_of_changes_costs_few_calls_to_the_store() -> None:
+def test_many_changes_cost_few_calls_to_the_store() -> None:
     """All instances are cold and each changes its entry again and again.
 
     Each change ended each daemon's watch, and the calls to the store, which
@@ -75,7 +75,7 @@
     test_path.run(test())
 
 
-def test_daemon_that_starts_without_the_store_asks_a_seed() -> None:
+def test_daemon_that_starts_without_the_store_polls_a_seed() -> None:
     async def test() -> None:
         world = await test_path._world()
         world.source.away.add(C)
@@ -88,7 +88,7 @@
     test_path.run(test())
 
 
-def test_replaced_instance_is_asked_once() -> None:
+def test_replaced_instance_gets_one_request() -> None:
     """An instance has restarted and its new entry is not known yet.
 
     Its answer to the old id says that it is another one. Each request that
@@ -110,7 +110,7 @@
     test_path.run(test())
 
 
-def test_item_that_cannot_be_used_is_told_once_a_revision() -> None:
+def test_unusable_item_is_logged_once_per_revision() -> None:
     """Another writer leaves a bad entry, which comes with each reading.
 
     On-call engineers need the line once and the count in the metrics, not a
@@ -138,7 +138,7 @@
     test_path.run(test())
 
 
-def test_log_tells_each_call_that_the_store_left_without_an_answer() -> None:
+def test_each_failed_call_to_the_store_is_logged() -> None:
     """A change was late, and nobody could say at which call a reader waited.
 
     The line for a lost store is written for the first failed call alone.
@@ -168,7 +168,7 @@
     test_path.run(test())
 
 
-def test_operators_are_told_whom_a_daemon_follows() -> None:
+def test_operators_see_which_daemon_is_followed() -> None:
     """A request failed by an old view; why was the daemon behind."""
 
     async def test() -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -66,7 +66,7 @@
     ("level", "shown"),
     [("error", []), ("info", ["warned"]), ("debug", ["told", "warned"])],
 )
-def test_http_libraries_are_quiet_but_in_debug(
+def test_http_libraries_log_requests_only_at_level_debug(
     level: str, shown: list[str]
 ) -> None:
     """An operator sees a line for each call to the upstream.
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -66,7 +66,7 @@
     assert wanted - set(lines(state)) == set()
 
 
-def test_unknown_names_make_no_series() -> None:
+def test_unknown_names_get_no_series() -> None:
     """A client makes up a tenant name for each request.
 
     Each name became a series; the daemon's memory and its metrics grew
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize(
     ("classes", "tenants"), [(1, 1_000), (100, 500), (300, 1)]
 )
-def test_pairs_are_bounded(classes: int, tenants: int) -> None:
+def test_number_of_call_series_is_bounded(classes: int, tenants: int) -> None:
     state = adopted(classes, tenants)
     for i in range(classes):
         for j in range(tenants):
@@ -100,7 +100,7 @@
     assert total == classes * tenants
 
 
-def test_series_of_names_that_left_the_bundle_go() -> None:
+def test_series_of_names_removed_from_the_bundle_are_dropped() -> None:
     state = adopted(classes=2, tenants=2)
     state.count_answer("c-1", "t-0", 0.1)
     state.count_answer("c-0", "t-1", 0.1)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -77,7 +77,7 @@
         ),
     ],
 )
-def test_load_refuses(
+def test_load_rejects(
     tmp_path: pathlib.Path, changes: dict[str, typing.Any], message: str
 ) -> None:
     path = tmp_path / "s.json"
@@ -88,16 +88,14 @@
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"vm":', "[" * 50_000, "\udcff"])
-def test_load_refuses_what_is_not_json(
-    tmp_path: pathlib.Path, text: str
-) -> None:
+def test_load_rejects_invalid_json(tmp_path: pathlib.Path, text: str) -> None:
     path = tmp_path / "s.json"
     path.write_bytes(text.encode("utf-8", "surrogateescape"))
     with pytest.raises(settings.SettingsError, match="document: wants"):
         settings.load(path)
 
 
-def test_load_names_a_missing_file(tmp_path: pathlib.Path) -> None:
+def test_load_reports_a_missing_file(tmp_path: pathlib.Path) -> None:
     with pytest.raises(settings.SettingsError, match="wants a readable"):
         settings.load(tmp_path / "none.json")
 
