--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -131,7 +131,7 @@
         if run is not None and run.connection_broken:
             return True
         job = None if run is None else run.job
-    return job is not None and job.sent
+    return job is not None and job.may_have_been_sent
 
 
 def _send_here(
@@ -145,7 +145,7 @@
         daemon.settings.service,
         call.request_id,
         request.method,
-        request.found.get(b"host", b""),
+        request.headers.get(b"host", b""),
         request.target,
         attempt.fields,
         request.body,
@@ -228,7 +228,7 @@
         return
     try:
         state = _wire.decode_state(
-            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+            result.headers.get(_wire.STATE_HEADER_LOWER, b"")
         )
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -242,7 +242,8 @@
     runs = [
         run
         for run in daemon.executions.values()
-        if run.job is not None and (run.connection_broken or run.job.sent)
+        if run.job is not None
+        and (run.connection_broken or run.job.may_have_been_sent)
     ]
     if runs:
         _crashes.record_crash(daemon, runs, daemon.clock.monotonic())
@@ -304,12 +305,12 @@
         news = views.note_replaced(daemon.view, run.request.metadata.instance)
         _learning.apply_news(daemon, news, "upstream")
         return requests.Ending.REFUSED, outcomes.Reason.INSTANCE_REPLACED
-    if keys.not_run in result.found:
+    if keys.not_run in result.headers:
         return requests.Ending.REFUSED, outcomes.Reason.UPSTREAM_REFUSED
     success = 200 <= result.status < 300
-    told = result.found.get(keys.request_id)
+    told = result.headers.get(keys.request_id)
     named = told == run.request.request_id
-    if success and not (named and keys.signature in result.found):
+    if success and not (named and keys.signature in result.headers):
         # Bytes that look like a success but that no instance has signed
         # for this request belong to another one, or to none.
         return requests.Ending.LOST, outcomes.Reason.ANSWER_CUT_SHORT
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -119,7 +119,7 @@
     """Note that an upstream has answered a client's request itself."""
     request = call.exchange.request
     if len(request.body) <= COMPLETED_BODY_MAX:
-        host = request.found.get(HOST_KEY, b"")
+        host = request.headers.get(HOST_KEY, b"")
         known = request.method, host, request.target, request.body
         _keep(daemon.completed_requests, known)
     if daemon.crash_ledger.crashes:
@@ -245,7 +245,7 @@
         request = call.exchange.request
         call.fingerprint = crashes.fingerprint(
             request.method,
-            request.found.get(HOST_KEY, b""),
+            request.headers.get(HOST_KEY, b""),
             request.target,
             request.body,
         )
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -34,7 +34,7 @@
     table = daemon.view.table
     if table is None or table.customers_by_key_digest is None:
         return None
-    key = request.found.get(daemon.header_keys.key)
+    key = request.headers.get(daemon.header_keys.key)
     return None if key is None else policies.digest_key(key.strip())
 
 
--- a/src/sassafrasstair/forwarding/_endings.py
+++ b/src/sassafrasstair/forwarding/_endings.py
@@ -30,8 +30,8 @@
     daemon: _state.Daemon, call: _records.Call, response: httpio.Response
 ) -> None:
     """Pass an instance's answer on as it came."""
-    fields = httpio.end_to_end(
-        response.fields, response.found, _wire.INTERNAL_HEADERS
+    fields = httpio.end_to_end_fields(
+        response.fields, response.headers, _wire.INTERNAL_HEADERS
     )
     reason = "own_failure" if response.status >= 500 else "ok"
     log_end(daemon, call, "answered", response.status, reason)
@@ -91,7 +91,7 @@
         route.importance,
         status,
         reason,
-        now - call.exchange.request.began,
+        now - call.exchange.request.received_at,
     )
     if call.customer:
         _counters.count_customer_answer(daemon.counters, call.customer, status)
@@ -120,7 +120,7 @@
         status=status,
         tried=",".join(progress.tried),
         outcome=requests.outcome(progress),
-        waited=now - call.exchange.request.began,
+        waited=now - call.exchange.request.received_at,
         left=progress.deadline - now,
         rank=progress.rank,
         share=gate.share,
@@ -163,14 +163,14 @@
 ) -> None:
     """Answer a request for which there is no route to go by."""
     request = exchange.request
-    request_id = request.found.get(daemon.header_keys.request_id, b"")
+    request_id = request.headers.get(daemon.header_keys.request_id, b"")
     table = daemon.view.table
     daemon.journal.request(
         "refused",
         reason.value,
         request=request_id.decode("latin-1"),
         status=status,
-        host=request.found.get(b"host", b"").decode("latin-1"),
+        host=request.headers.get(b"host", b"").decode("latin-1"),
         target=request.target.decode("latin-1"),
         policy=0 if table is None else table.policy.version,
         policy_age=views.unconfirmed_seconds(
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -73,7 +73,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange
 ) -> policies.Route | None:
     """Return the request's route; without one, answer and return None."""
-    found = exchange.request.found
+    found = exchange.request.headers
     table = daemon.view.table
     if table is None:
         _endings.refuse_early(daemon, exchange, outcomes.Reason.NO_BUNDLE)
@@ -104,12 +104,12 @@
     """Return the request as a call under way, with its deadline set."""
     request = exchange.request
     service = policies.choose_service(route, daemon.rng)
-    patience = _patience(request.found.get(daemon.header_keys.deadline_ms))
-    deadline = request.began + min(route.timeout, patience)
-    rank = _rank(daemon, route, customer, request.began + patience)
+    patience = _patience(request.headers.get(daemon.header_keys.deadline_ms))
+    deadline = request.received_at + min(route.timeout, patience)
+    rank = _rank(daemon, route, customer, request.received_at + patience)
     call = _records.Call(
         exchange,
-        request.found[daemon.header_keys.request_id],
+        request.headers[daemon.header_keys.request_id],
         requests.new_progress(route, service, rank, deadline),
         _passed_on(daemon, request),
         customer=customer.name,
@@ -151,7 +151,7 @@
     table = daemon.view.table
     keyed = table is not None and table.customers_by_key_digest is not None
     dropped = _dropped(daemon.header_keys, keyed)
-    fields = httpio.end_to_end(request.fields, request.found, dropped)
+    fields = httpio.end_to_end_fields(request.fields, request.headers, dropped)
     fields.append(
         (daemon.header_names.caller, daemon.settings.service.encode())
     )
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -29,14 +29,14 @@
 def handle(daemon: _state.Daemon, exchange: httpio.Exchange) -> None:
     """Serve one request of a daemon."""
     request = exchange.request
-    asked = request.found.get(_wire.METADATA_HEADER_LOWER)
+    asked = request.headers.get(_wire.METADATA_HEADER_LOWER)
     if asked is not None:
         _serve_order(daemon, exchange, asked)
         return
     path, _, query = request.target.partition(b"?")
     if path == _wire.PING_PATH:
-        peer = exchange.peer
-        _crash_updates.receive(daemon, peer, request.found)
+        peer = exchange.peer_host
+        _crash_updates.receive(daemon, peer, request.headers)
         told = [
             _own_state(daemon),
             _polls.status_header(daemon),
@@ -62,29 +62,29 @@
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
         return
-    _peers.note_peer_content(daemon, exchange.peer, ask.content)
+    _peers.note_peer_content(daemon, exchange.peer_host, ask.content)
     customer = _customers.identify_forwarded(
-        daemon, ask.route, request.found.get(_wire.KEY_DIGEST_HEADER_LOWER)
+        daemon, ask.route, request.headers.get(_wire.KEY_DIGEST_HEADER_LOWER)
     )
     if customer is None:
         reason = outcomes.Reason.POLICY_BEHIND
         state = _own_state(daemon, requests.Ending.TURNED_AWAY, reason)
         exchange.respond(503, [state], b"")
         return
-    request_id = request.found.get(daemon.header_keys.request_id, b"")
+    request_id = request.headers.get(daemon.header_keys.request_id, b"")
     dropped = _wire.INTERNAL_HEADERS
     order = _records.InboundRequest(
         ask,
-        request.found.get(daemon.header_keys.caller, b"").decode("latin-1"),
+        request.headers.get(daemon.header_keys.caller, b"").decode("latin-1"),
         request_id,
         request.method,
-        request.found.get(b"host", b""),
+        request.headers.get(b"host", b""),
         request.target,
-        httpio.end_to_end(
-            request.fields, request.found, _dropped(daemon.header_keys)
+        httpio.end_to_end_fields(
+            request.fields, request.headers, _dropped(daemon.header_keys)
         ),
         request.body,
-        _wire.decode_trial(request.found.get(_wire.TRIAL_HEADER_LOWER)),
+        _wire.decode_trial(request.headers.get(_wire.TRIAL_HEADER_LOWER)),
         customer.name,
     )
 
@@ -94,7 +94,9 @@
         if response is None:
             exchange.respond(503, [state], b"", daemon.upstream_leaving)
             return
-        fields = httpio.end_to_end(response.fields, response.found, dropped)
+        fields = httpio.end_to_end_fields(
+            response.fields, response.headers, dropped
+        )
         fields.append(state)
         exchange.respond(
             response.status, fields, response.body, daemon.upstream_leaving
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -134,19 +134,19 @@
 ) -> None:
     if isinstance(result, httpio.Failure):
         return
-    _crash_updates.receive(daemon, host, result.found)
+    _crash_updates.receive(daemon, host, result.headers)
     try:
         state = _wire.decode_state(
-            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+            result.headers.get(_wire.STATE_HEADER_LOWER, b"")
         )
-        field = result.found.get(_feed_wire.HEADER_LOWER)
+        field = result.headers.get(_feed_wire.HEADER_LOWER)
         if field is not None and not views.is_behind(
             daemon.view, state.content
         ):
             status, _ = _feed_wire.decode_answer(field, b"")
             now = daemon.clock.monotonic()
             views.note_peer_age(daemon.view, status.age_seconds, now)
-        _confirmations.receive(daemon, result.found, asked_at)
+        _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
@@ -186,7 +186,7 @@
 
 def _give_up(job: httpio.Job) -> bool:
     """Cut a question that has no answer; return whether it had none."""
-    late = job.wanted
+    late = job.awaited
     if late:
         job.abort()
     return late
@@ -201,10 +201,10 @@
     daemon.pulled_hosts.discard(host)
     if isinstance(result, httpio.Failure) or result.status != 200:
         return
-    _crash_updates.receive(daemon, host, result.found)
+    _crash_updates.receive(daemon, host, result.headers)
     try:
         news = _take(daemon, host, result)
-        _confirmations.receive(daemon, result.found, asked_at)
+        _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
@@ -216,7 +216,7 @@
 
 
 def _take(daemon: _state.Daemon, host: str, result: httpio.Response) -> bool:
-    field = result.found.get(_feed_wire.HEADER_LOWER)
+    field = result.headers.get(_feed_wire.HEADER_LOWER)
     if field is not None:
         status, delta = _feed_wire.decode_answer(field, result.body)
         return _learning.take_delta(daemon, status, delta, host)
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -46,7 +46,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
     """Answer a poll, or keep it until there is news."""
-    field = exchange.request.found.get(_feed_wire.HEADER_LOWER)
+    field = exchange.request.headers.get(_feed_wire.HEADER_LOWER)
     try:
         after, hold = _feed_wire.decode_poll(query, field)
     except _wire.WireError as error:
@@ -54,7 +54,7 @@
         exchange.respond(400, [], b"")
         return
     if (
-        exchange.request.found.get(_feed_wire.SENDER_HEADER_LOWER)
+        exchange.request.headers.get(_feed_wire.SENDER_HEADER_LOWER)
         == daemon.process_mark
     ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
@@ -62,8 +62,8 @@
     if hold is None:
         _serve_snapshot(daemon, exchange, after)
         return
-    peer = exchange.peer
-    _crash_updates.receive(daemon, peer, exchange.request.found)
+    peer = exchange.peer_host
+    _crash_updates.receive(daemon, peer, exchange.request.headers)
     news = (
         daemon.view.content_revision > after
         or _crash_updates.needs_full_update(daemon, peer)
@@ -113,7 +113,7 @@
     due = [
         poll
         for poll in daemon.held_polls
-        if not _crash_updates.is_in_sync(daemon, poll.exchange.peer)
+        if not _crash_updates.is_in_sync(daemon, poll.exchange.peer_host)
     ]
     daemon.held_polls = [poll for poll in daemon.held_polls if poll not in due]
     for poll in due:
@@ -143,7 +143,7 @@
     told: tuple[bytes, bytes] | None = None,
 ) -> None:
     body = _encoded(daemon, poll.after)
-    told = told or _crash_updates.header(daemon, poll.exchange.peer)
+    told = told or _crash_updates.header(daemon, poll.exchange.peer_host)
     poll.exchange.gone = None
     held = daemon.clock.monotonic() - poll.received_at
     confirmed = _confirmations.headers(daemon, held)
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -53,7 +53,7 @@
         return
     try:
         state = _wire.decode_state(
-            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+            result.headers.get(_wire.STATE_HEADER_LOWER, b"")
         )
     except _wire.WireError as error:
         _silent(daemon, vm, host, str(error))
@@ -67,7 +67,7 @@
 
 
 def _late(daemon: _state.Daemon, vm: str, host: str, job: httpio.Job) -> None:
-    if job.wanted:
+    if job.awaited:
         job.abort()
         _silent(daemon, vm, host, "timeout")
 
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -173,7 +173,7 @@
 
 
 def _give_up(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
-    if not job.wanted:
+    if not job.awaited:
         return
     job.abort()
     _state.pool(daemon, host).drop_idle()
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -231,7 +231,7 @@
     job: httpio.Job,
     done: abc.Callable[[httpio.Failure], None],
 ) -> None:
-    if job.wanted:
+    if job.awaited:
         job.abort()
         _state.pool(daemon, host).drop_idle()
         done(httpio.Failure.LOST)
--- a/src/sassafrasstair/forwarding/_state.py
+++ b/src/sassafrasstair/forwarding/_state.py
@@ -83,7 +83,7 @@
     rng: random.Random
     journal: _events.Journal
     counters: _counters.Counters
-    memory: httpio.Memory
+    memory: httpio.MemoryBudget
     source: _dialect.Source
     upstream: httpio.Pool
     view: views.View
@@ -180,7 +180,7 @@
         rng=rng,
         journal=journal,
         counters=_counters.new_counters(),
-        memory=httpio.Memory(int(BODY_SHARE * settings.memory_bytes)),
+        memory=httpio.MemoryBudget(int(BODY_SHARE * settings.memory_bytes)),
         source=dialect.source(settings, clock),
         upstream=_upstream_pool(settings, clock),
         view=views.new_view(),
@@ -207,7 +207,7 @@
     old = daemon.settings
     daemon.settings = settings
     daemon.feed.timing = _timing(settings)
-    daemon.memory.most = int(BODY_SHARE * settings.memory_bytes)
+    daemon.memory.limit = int(BODY_SHARE * settings.memory_bytes)
     if settings.upstream != old.upstream:
         daemon.upstream = _upstream_pool(settings, daemon.clock)
     if settings.store != old.store:
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -134,7 +134,7 @@
     if result.status == _feed_wire.LOOP_STATUS:
         _adopt_own_address(daemon, host)
         return
-    field = result.found.get(_feed_wire.HEADER_LOWER)
+    field = result.headers.get(_feed_wire.HEADER_LOWER)
     if result.status != 200 or field is None:
         # A daemon of the version before, which can't be waited at.
         _fell_silent(daemon, host, f"status {result.status}")
@@ -145,7 +145,7 @@
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         _fell_silent(daemon, host, "malformed")
         return
-    _crash_updates.receive(daemon, host, result.found)
+    _crash_updates.receive(daemon, host, result.headers)
     feeds.peer_answered(
         daemon.feed,
         host,
@@ -162,7 +162,7 @@
         )
     _learning.take_delta(daemon, status, delta, host)
     try:
-        _confirmations.receive(daemon, result.found, asked_at)
+        _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
 
@@ -187,7 +187,7 @@
             pool.drop_idle()
             return httpio.Failure.LOST
         finally:
-            if job.wanted:
+            if job.awaited:
                 job.abort()
         # A connection that was reset says nothing of the daemon behind it.
         if result is not httpio.Failure.LOST:
--- a/src/sassafrasstair/forwarding/_wire.py
+++ b/src/sassafrasstair/forwarding/_wire.py
@@ -24,7 +24,7 @@
 KEY_DIGEST_HEADER = b"Sassafras-Key"
 """The digest of a request's API key, in hexadecimal."""
 KEY_DIGEST_HEADER_LOWER = KEY_DIGEST_HEADER.lower()
-INTERNAL_HEADERS = httpio.kept_back(
+INTERNAL_HEADERS = httpio.non_forwarded_names(
     {
         METADATA_HEADER_LOWER,
         STATE_HEADER_LOWER,
--- a/src/sassafrasstair/httpio/__init__.py
+++ b/src/sassafrasstair/httpio/__init__.py
@@ -7,14 +7,14 @@
 
 from __future__ import annotations
 
-from sassafrasstair.httpio._bodies import Memory
+from sassafrasstair.httpio._bodies import MemoryBudget
 from sassafrasstair.httpio._listeners import Exchange
 from sassafrasstair.httpio._listeners import Limits
 from sassafrasstair.httpio._listeners import Listener
-from sassafrasstair.httpio._messages import end_to_end
+from sassafrasstair.httpio._messages import end_to_end_fields
 from sassafrasstair.httpio._messages import Fields
-from sassafrasstair.httpio._messages import kept_back
-from sassafrasstair.httpio._messages import reply
+from sassafrasstair.httpio._messages import non_forwarded_names
+from sassafrasstair.httpio._messages import render_response
 from sassafrasstair.httpio._messages import Request
 from sassafrasstair.httpio._messages import request_head
 from sassafrasstair.httpio._messages import Response
@@ -30,13 +30,13 @@
     "Job",
     "Limits",
     "Listener",
-    "Memory",
+    "MemoryBudget",
     "Pool",
     "Request",
     "Response",
-    "end_to_end",
-    "kept_back",
-    "reply",
+    "end_to_end_fields",
+    "non_forwarded_names",
+    "render_response",
     "request_head",
     "response_head",
 ]
--- a/src/sassafrasstair/httpio/_bodies.py
+++ b/src/sassafrasstair/httpio/_bodies.py
@@ -6,23 +6,23 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Memory:
+class MemoryBudget:
     """Bytes of request bodies held, against a bound of the process.
 
     Without the bound a few hundred slow uploads would grow the process
     past its memory limit, and all of its requests would end with it.
     """
 
-    most: int
-    held: int = 0
+    limit: int
+    held_bytes: int = 0
 
-    def take(self, size: int) -> bool:
+    def reserve(self, size: int) -> bool:
         """Count ``size`` bytes more; False when they do not fit."""
-        if self.held + size > self.most:
+        if self.held_bytes + size > self.limit:
             return False
-        self.held += size
+        self.held_bytes += size
         return True
 
-    def give(self, size: int) -> None:
+    def release(self, size: int) -> None:
         """Count ``size`` bytes less."""
-        self.held -= size
+        self.held_bytes -= size
--- a/src/sassafrasstair/httpio/_listeners.py
+++ b/src/sassafrasstair/httpio/_listeners.py
@@ -52,9 +52,9 @@
         self._connection = connection
 
     @property
-    def peer(self) -> str:
+    def peer_host(self) -> str:
         """The address of the other side, asked of the system only here."""
-        return self._connection.peer
+        return self._connection.peer_host
 
     def respond(
         self,
@@ -73,12 +73,12 @@
     def __init__(
         self,
         handle: abc.Callable[[Exchange], None],
-        refuse: abc.Callable[[int], _messages.Fields],
+        refusal_fields: abc.Callable[[int], _messages.Fields],
         clock: clocks.Clock,
-        memory: _bodies.Memory,
+        memory: _bodies.MemoryBudget,
     ) -> None:
         self.handle = handle
-        self.refuse = refuse
+        self.refusal_fields = refusal_fields
         """Returns the fields of a refusal with the given status."""
         self.clock = clock
         self.memory = memory
@@ -152,7 +152,7 @@
         self._unread = 0
 
     @property
-    def peer(self) -> str:
+    def peer_host(self) -> str:
         """The address of the other side, '' if it has gone."""
         name = self._transport.get_extra_info("peername")
         return name[0] if name else ""
@@ -223,13 +223,13 @@
             return
         lower = name.lower()
         request.fields.append((lower, name, value))
-        if lower in request.found:
+        if lower in request.headers:
             if lower in (b"host", b"content-length"):
                 # Two of these are how a request is smuggled past a proxy
                 # that reads one and a server that reads the other.
                 self._refuse(400)
         else:
-            request.found[lower] = value
+            request.headers[lower] = value
 
     def on_headers_complete(self) -> None:
         """Check the head against the limits."""
@@ -239,10 +239,10 @@
         self._head_size = -1
         request.method = self._parser.get_method()
         request.keep_alive = self._parser.should_keep_alive()
-        length = request.found.get(b"content-length", b"0")
+        length = request.headers.get(b"content-length", b"0")
         if int(length or b"0") > self._listener.limits.body_bytes:
             self._refuse(413)
-        elif request.found.get(b"expect", b"").lower() == b"100-continue":
+        elif request.headers.get(b"expect", b"").lower() == b"100-continue":
             self._transport.write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
@@ -251,7 +251,7 @@
             return
         if self._size + len(body) > self._listener.limits.body_bytes:
             self._refuse(413)
-        elif not self._listener.memory.take(len(body)):
+        elif not self._listener.memory.reserve(len(body)):
             self._refuse(503)
         else:
             self._size += len(body)
@@ -284,11 +284,11 @@
             return
         request = exchange.request
         self._current = None
-        self._listener.memory.give(len(request.body))
+        self._listener.memory.release(len(request.body))
         close = close or self._listener.closing or not request.keep_alive
         bare = request.method == b"HEAD"
         self._transport.write(
-            _messages.reply(status, fields, body, close, bare)
+            _messages.render_response(status, fields, body, close, bare)
         )
         self._since = self._listener.clock.monotonic()
         if close:
@@ -310,7 +310,7 @@
         elif self._reading is not None:
             in_head = self._head_size >= 0
             allowed = limits.head_seconds if in_head else limits.body_seconds
-            if now - self._reading.began > allowed:
+            if now - self._reading.received_at > allowed:
                 self._refuse(408)
         elif now - self._since > limits.idle_seconds:
             self.close()
@@ -319,7 +319,7 @@
         """Close once what was written has been sent."""
         self._ending = True
         for request in self._waiting:
-            self._listener.memory.give(len(request.body))
+            self._listener.memory.release(len(request.body))
         self._waiting.clear()
         self._transport.close()
 
@@ -349,14 +349,14 @@
             # Its answer goes first; the bytes behind it are dropped.
             self._current.request.keep_alive = False
             return
-        fields = self._listener.refuse(status)
+        fields = self._listener.refusal_fields(status)
         self._transport.write(
-            _messages.reply(status, fields, b"", True, False)
+            _messages.render_response(status, fields, b"", True, False)
         )
         self.close()
 
     def _drop_parts(self) -> None:
-        self._listener.memory.give(self._size)
+        self._listener.memory.release(self._size)
         self._size = 0
         self._parts = []
 
@@ -365,12 +365,12 @@
             self._drop_parts()
             self._reading = None
         for request in self._waiting:
-            self._listener.memory.give(len(request.body))
+            self._listener.memory.release(len(request.body))
         self._waiting.clear()
         exchange = self._current
         if exchange is None:
             return
         self._current = None
-        self._listener.memory.give(len(exchange.request.body))
+        self._listener.memory.release(len(exchange.request.body))
         if exchange.gone is not None:
             exchange.gone()
--- a/src/sassafrasstair/httpio/_messages.py
+++ b/src/sassafrasstair/httpio/_messages.py
@@ -11,7 +11,7 @@
 
 Fields = list[tuple[bytes, bytes]]
 """Header fields in their order, names as sent."""
-Parsed = list[tuple[bytes, bytes, bytes]]
+ParsedFields = list[tuple[bytes, bytes, bytes]]
 """The same as parsed, each behind its lower-cased name: made once, since it
 is looked at several times on the way of each request."""
 
@@ -44,11 +44,11 @@
     ``began`` is when its first byte was read, in seconds of the clock.
     """
 
-    began: float
+    received_at: float
     method: bytes = b""
     target: bytes = b""
-    fields: Parsed = dataclasses.field(default_factory=list)
-    found: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
+    fields: ParsedFields = dataclasses.field(default_factory=list)
+    headers: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
     body: bytes = b""
     keep_alive: bool = True
 
@@ -58,38 +58,40 @@
     """One whole response."""
 
     status: int = 0
-    fields: Parsed = dataclasses.field(default_factory=list)
-    found: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
+    fields: ParsedFields = dataclasses.field(default_factory=list)
+    headers: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
     body: bytes = b""
 
 
-def kept_back(own: abc.Set[bytes]) -> frozenset[bytes]:
+def non_forwarded_names(own_names: abc.Set[bytes]) -> frozenset[bytes]:
     """Return the names of fields that don't pass on, ``own`` among them."""
-    return _HOP_BY_HOP | own
+    return _HOP_BY_HOP | own_names
 
 
-def end_to_end(
-    fields: Parsed,
-    found: abc.Mapping[bytes, bytes],
-    dropped: abc.Set[bytes],
+def end_to_end_fields(
+    fields: ParsedFields,
+    headers: abc.Mapping[bytes, bytes],
+    excluded: abc.Set[bytes],
 ) -> Fields:
     """Return the fields that pass on: neither named nor ``kept_back``."""
-    named = found.get(b"connection")
-    if named is not None and b"," not in named:
-        named = named.strip().lower()
-        if named in (b"close", b"keep-alive"):
-            named = None
-    if named is None:
+    listed_names = headers.get(b"connection")
+    if listed_names is not None and b"," not in listed_names:
+        listed_names = listed_names.strip().lower()
+        if listed_names in (b"close", b"keep-alive"):
+            listed_names = None
+    if listed_names is None:
         return [
             (name, value)
             for lower, name, value in fields
-            if lower not in dropped
+            if lower not in excluded
         ]
-    listed = {part.strip().lower() for part in named.split(b",")}
+    excluded_by_sender = {
+        part.strip().lower() for part in listed_names.split(b",")
+    }
     return [
         (name, value)
         for lower, name, value in fields
-        if lower not in dropped and lower not in listed
+        if lower not in excluded and lower not in excluded_by_sender
     ]
 
 
@@ -120,9 +122,9 @@
     return b"\r\n".join(lines)
 
 
-def reply(
-    status: int, fields: Fields, body: bytes, close: bool, bare: bool
+def render_response(
+    status: int, fields: Fields, body: bytes, close: bool, omit_body: bool
 ) -> bytes:
     """Return a whole response; ``bare`` leaves out the body, as for HEAD."""
     head = response_head(status, fields, len(body), close)
-    return head if bare or status in _NO_BODY else head + body
+    return head if omit_body or status in _NO_BODY else head + body
--- a/src/sassafrasstair/httpio/_pools.py
+++ b/src/sassafrasstair/httpio/_pools.py
@@ -19,7 +19,7 @@
 CONNECT_SECONDS = 0.4
 """A connection within one region is made in a few ms; the address of a VM
 that is gone never answers."""
-ANSWER_BYTES_MAX = 64 * 1024 * 1024
+RESPONSE_BYTES_MAX = 64 * 1024 * 1024
 """An answer that is longer is given up on: it is held whole."""
 _KEEP_ALIVE_MARGIN = 1.0
 """Seconds before the time told by the server at which a connection is no
@@ -47,24 +47,30 @@
 class Job:
     """One request on its way and what became of it."""
 
-    __slots__ = ("_connection", "_done", "bare", "data", "expect")
+    __slots__ = (
+        "_connection",
+        "_done",
+        "body_omitted",
+        "data",
+        "expected_field",
+    )
 
     def __init__(
         self,
         data: bytes,
-        done: abc.Callable[[_messages.Response | Failure], None],
-        expect: tuple[bytes, bytes] | None = None,
-        bare: bool = False,
+        on_done: abc.Callable[[_messages.Response | Failure], None],
+        expected_field: tuple[bytes, bytes] | None = None,
+        body_omitted: bool = False,
     ) -> None:
         self.data = data
-        self.expect = expect
+        self.expected_field = expected_field
         """Field, lower-cased, and value that name the answer's request: an
         answer with another value belongs to an earlier one."""
-        self.bare = bare
+        self.body_omitted = body_omitted
         """Whether the answer has no body, as for HEAD."""
         self._done: (
             abc.Callable[[_messages.Response | Failure], None] | None
-        ) = done
+        ) = on_done
         self._connection: _Connection | None = None
 
     def abort(self) -> None:
@@ -81,12 +87,12 @@
             done(result)
 
     @property
-    def sent(self) -> bool:
+    def may_have_been_sent(self) -> bool:
         """Whether any of it may have left, so that the server has it."""
         return self._connection is not None
 
     @property
-    def wanted(self) -> bool:
+    def awaited(self) -> bool:
         """Whether somebody still waits for the answer."""
         return self._done is not None
 
@@ -102,7 +108,7 @@
         self.clock = clock
         self.idle_seconds = idle_seconds
         """For how long a connection is kept when the server tells none."""
-        self.opened = 0
+        self.connections_opened = 0
         self._idle: list[_Connection] = []
         self._busy: set[_Connection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
@@ -125,10 +131,10 @@
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
-    def try_connect(self, done: abc.Callable[[bool], None]) -> None:
+    def try_connect(self, on_done: abc.Callable[[bool], None]) -> None:
         """Make a connection to keep, and say whether it could be made."""
         loop = asyncio.get_running_loop()
-        task = loop.create_task(self._try_connect(done))
+        task = loop.create_task(self._try_connect(on_done))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
@@ -175,16 +181,16 @@
         connection = await self._open()
         if connection is None:
             job.end(Failure.NOT_SENT)
-        elif job.wanted:
+        elif job.awaited:
             self._start(connection, job)
         else:
             self._idle.append(connection)
 
-    async def _try_connect(self, done: abc.Callable[[bool], None]) -> None:
+    async def _try_connect(self, on_done: abc.Callable[[bool], None]) -> None:
         connection = await self._open()
         if connection is not None:
             self._idle.append(connection)
-        done(connection is not None)
+        on_done(connection is not None)
 
     async def _open(self) -> _Connection | None:
         """Return a new connection, None if it could not be made in time."""
@@ -198,7 +204,7 @@
             )
         except (OSError, TimeoutError):
             return None
-        self.opened += 1
+        self.connections_opened += 1
         return connection
 
 
@@ -318,7 +324,7 @@
             return
         lower = name.lower()
         answer.fields.append((lower, name, value))
-        answer.found.setdefault(lower, value)
+        answer.headers.setdefault(lower, value)
 
     def on_headers_complete(self) -> None:
         """Check whose answer this is and how its body ends."""
@@ -328,18 +334,18 @@
         answer.status = self._parser.get_status_code()
         self._keep = self._parser.should_keep_alive()
         self._framed = (
-            b"content-length" in answer.found
-            or b"transfer-encoding" in answer.found
+            b"content-length" in answer.headers
+            or b"transfer-encoding" in answer.headers
             or answer.status in _NO_BODY
             or answer.status < 200
         )
-        if job.expect is not None:
-            name, value = job.expect
-            told = answer.found.get(name)
+        if job.expected_field is not None:
+            name, value = job.expected_field
+            told = answer.headers.get(name)
             # An answer that comes late, to a request that was given up on
             # or answered before, names that request and is passed over.
             self._skip = told is not None and told != value
-        if job.bare and not self._skip and answer.status >= 200:
+        if job.body_omitted and not self._skip and answer.status >= 200:
             # httptools would wait for the body that a HEAD never gets.
             self._keep = False
             self._finished = answer
@@ -349,7 +355,7 @@
         if self._answer is None or self._skip:
             return
         self._size += len(body)
-        if self._size > ANSWER_BYTES_MAX:
+        if self._size > RESPONSE_BYTES_MAX:
             self._fail(Failure.CUT_SHORT)
             return
         self._parts.append(body)
@@ -396,7 +402,7 @@
 
 def _idle_seconds(answer: _messages.Response, usual: float) -> float:
     """Return for how long the server keeps the connection, less a margin."""
-    told = answer.found.get(b"keep-alive", b"")
+    told = answer.headers.get(b"keep-alive", b"")
     for part in told.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
--- a/src/sassafrasstair/platform/_checks.py
+++ b/src/sassafrasstair/platform/_checks.py
@@ -9,7 +9,7 @@
 PORT_MAX = 65_535
 
 
-class ObjectError(Exception):
+class JsonObjectError(Exception):
     """Bytes that are no JSON object; ``reason`` says what they are not."""
 
     def __init__(self, reason: str) -> None:
@@ -17,18 +17,18 @@
         self.reason = reason
 
 
-def read_object(data: bytes | msgspec.Raw) -> dict[str, typing.Any]:
+def decode_object(data: bytes | msgspec.Raw) -> dict[str, typing.Any]:
     """Return the JSON object in ``data``; raises ``ObjectError``."""
     try:
         found = msgspec.json.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise ObjectError("not_json") from error
+        raise JsonObjectError("not_json") from error
     if not isinstance(found, dict):
-        raise ObjectError("not_an_object")
+        raise JsonObjectError("not_an_object")
     return found
 
 
-def read_port(text: str) -> int | None:
+def parse_port(text: str) -> int | None:
     """Return the port that a text names, None if it names none."""
     if not (text.isascii() and text.isdigit() and len(text) <= 5):
         return None
--- a/src/sassafrasstair/platform/_dialect.py
+++ b/src/sassafrasstair/platform/_dialect.py
@@ -45,7 +45,7 @@
                 text = file.read()
         except (OSError, UnicodeError) as error:
             raise forwarding.SettingsError(f"{self._path}: {error}") from error
-        return _settings.decode(text)
+        return _settings.decode_settings(text)
 
     def settings_mark(self) -> object:
         """Return the file's time, size and inode, or None without one."""
--- a/src/sassafrasstair/platform/_documents.py
+++ b/src/sassafrasstair/platform/_documents.py
@@ -17,7 +17,7 @@
 _KINDS = frozenset({_IDEMPOTENT, "unsafe", "upload"})
 
 
-class DocumentError(Exception):
+class PolicyError(Exception):
     """A policy that can't be used; says what is wrong."""
 
 
@@ -69,10 +69,10 @@
     try:
         policy = _policy(_CONFIG.decode(value))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise DocumentError(f"policy: {error}") from error
+        raise PolicyError(f"policy: {error}") from error
     wrong = policies.find_fault(policy)
     if wrong:
-        raise DocumentError(f"policy: {wrong}")
+        raise PolicyError(f"policy: {wrong}")
     return policy
 
 
@@ -116,13 +116,13 @@
     if not (
         key and key.isascii() and key.isprintable() and key == key.strip()
     ):
-        raise DocumentError(f"policy: {customer[:40]!r}: a malformed key")
+        raise PolicyError(f"policy: {customer[:40]!r}: a malformed key")
     return key.encode()
 
 
 def _route(name: str, route: _Route) -> policies.Route:
     if route.kind not in _KINDS:
-        raise DocumentError(f"policy: {name}: type {route.kind[:40]!r}")
+        raise PolicyError(f"policy: {name}: type {route.kind[:40]!r}")
     shares = tuple(
         policies.Share(share.service, share.weight)
         for share in route.traffic_split
--- a/src/sassafrasstair/platform/_entries.py
+++ b/src/sassafrasstair/platform/_entries.py
@@ -41,7 +41,7 @@
         self.reason = reason
 
 
-def decode(
+def decode_instance(
     key: str, value: bytes, created: int, regions: abc.Mapping[str, str]
 ) -> views.Instance:
     """Return the instance that an entry names; raises ``EntryError``.
@@ -78,8 +78,8 @@
 
 def _fields(value: bytes) -> dict[str, object]:
     try:
-        return _checks.read_object(value)
-    except _checks.ObjectError as error:
+        return _checks.decode_object(value)
+    except _checks.JsonObjectError as error:
         raise EntryError(error.reason) from error
 
 
@@ -113,7 +113,7 @@
         raise EntryError("address") from error
     if ip.is_unspecified or ip.is_multicast or ip == _BROADCAST:
         raise EntryError("address")
-    port = _checks.read_port(digits)
+    port = _checks.parse_port(digits)
     if port is None:
         raise EntryError("address")
     return host, port
--- a/src/sassafrasstair/platform/_items.py
+++ b/src/sassafrasstair/platform/_items.py
@@ -32,7 +32,7 @@
 
     key: str
     revision: int
-    created: int
+    created_revision: int
     value: bytes | None
     removed: bool
 
@@ -41,11 +41,11 @@
     """An item of which not even the key can be told."""
 
 
-def read(raw: msgspec.Raw) -> Item:
+def decode_item(raw: msgspec.Raw) -> Item:
     """Return one item; raises ``ItemError``."""
     try:
-        found = _checks.read_object(raw)
-    except _checks.ObjectError as error:
+        found = _checks.decode_object(raw)
+    except _checks.JsonObjectError as error:
         raise ItemError(error.reason) from error
     key, revision = found.get("key"), _revision(found.get("revision"))
     if not isinstance(key, str) or not key:
@@ -62,7 +62,7 @@
     )
 
 
-def changes(
+def decode_changes(
     items: abc.Iterable[Item], regions: abc.Mapping[str, str]
 ) -> tuple[tuple[views.Change, ...], tuple[forwarding.RefusedItem, ...]]:
     """Return what the items change, and which were refused, with why."""
@@ -75,7 +75,7 @@
             # What stood there before is out of date, whatever this says.
             told.append(views.Unusable(_id(item.key)))
             refused.append(_refusal(item, error.reason))
-        except _documents.DocumentError as error:
+        except _documents.PolicyError as error:
             # A policy that can't be read leaves the one before in force.
             refused.append(_refusal(item, str(error)))
         else:
@@ -87,7 +87,7 @@
 def _change(item: Item, regions: abc.Mapping[str, str]) -> views.Change | None:
     if item.key == _documents.POLICY_KEY and not item.removed:
         if item.value is None:
-            raise _documents.DocumentError("value")
+            raise _documents.PolicyError("value")
         return _documents.decode_policy(item.value)
     if not item.key.startswith(_entries.INSTANCES_PREFIX):
         return None
@@ -95,7 +95,9 @@
         return views.Removed(_id(item.key))
     if item.value is None:
         raise _entries.EntryError("value")
-    return _entries.decode(item.key, item.value, item.created, regions)
+    return _entries.decode_instance(
+        item.key, item.value, item.created_revision, regions
+    )
 
 
 def _id(key: str) -> str:
--- a/src/sassafrasstair/platform/_settings.py
+++ b/src/sassafrasstair/platform/_settings.py
@@ -20,7 +20,7 @@
 """No duration, size or share of the settings comes near."""
 
 
-def decode(text: str) -> forwarding.Settings:
+def decode_settings(text: str) -> forwarding.Settings:
     """Return the settings; raises ``SettingsError`` naming the key."""
     values = _lines(text)
     bounds = dict(
@@ -117,7 +117,7 @@
 
 def _parse_address(key: str, value: str) -> forwarding.Address:
     host, _, digits = value.rpartition(":")
-    port = _checks.read_port(digits)
+    port = _checks.parse_port(digits)
     if not host or port is None:
         raise forwarding.SettingsError(f"{key}: not IP:PORT: {value}")
     return forwarding.Address(host, port)
--- a/src/sassafrasstair/platform/_store.py
+++ b/src/sassafrasstair/platform/_store.py
@@ -23,13 +23,13 @@
 CALL_SECONDS = 2.0
 """For an answer of the store, beside the time that a watch waits. It takes
 milliseconds; in a slowdown up to some hundred."""
-NO_KEY = "no-key-begins-so/"
+UNUSED_PREFIX = "no-key-begins-so/"
 """A prefix without items: its reading brings the store's revision alone."""
 IDLE_SECONDS = 30.0
 PAGES_MAX = 1_000
 
 
-ERA_FIELD = b"store-era"
+ERA_HEADER = b"store-era"
 """Counts how often the store has come back from an older copy."""
 _ERA_MAX = 1_000_000
 
@@ -109,7 +109,7 @@
             after = last
         number = 0 if first is None else first.store_revision
         revision = views.pack_revision(era, number)
-        changes, refused = _items.changes(read, self._regions)
+        changes, refused = _items.decode_changes(read, self._regions)
         return forwarding.Reading(
             changes, revision, revision, True, (*unread, *refused)
         )
@@ -130,7 +130,7 @@
         unread: list[forwarding.RefusedItem] = []
         events = _read_items(told.events, unread)
         content = max((event.revision for event in events), default=-1)
-        changes, refused = _items.changes(events, self._regions)
+        changes, refused = _items.decode_changes(events, self._regions)
         return forwarding.Reading(
             changes,
             views.pack_revision(answer.era, max(told.store_revision, content)),
@@ -147,7 +147,7 @@
         items = _read_items([msgspec.Raw(answer.body)], unread)
         content = max((item.revision for item in items), default=-1)
         number = _decoded(_KEY, answer.body).store_revision
-        changes, refused = _items.changes(items, self._regions)
+        changes, refused = _items.decode_changes(items, self._regions)
         return forwarding.Reading(
             changes,
             views.pack_revision(answer.era, number),
@@ -158,7 +158,7 @@
 
     async def check(self, fresh: bool, latest: bool) -> int:
         """Return the store's revision; raises ``SourceError``."""
-        query = {"prefix": NO_KEY}
+        query = {"prefix": UNUSED_PREFIX}
         if not latest:
             query["allow_stale"] = "1"
         answer = await self._call("range", query, CALL_SECONDS, fresh)
@@ -203,7 +203,7 @@
             ) from error
         finally:
             # A connection whose answer did not come gives none any more.
-            if job.wanted:
+            if job.awaited:
                 job.abort()
         return _answer(verb, result)
 
@@ -225,7 +225,7 @@
     read = []
     for raw in found:
         try:
-            read.append(_items.read(raw))
+            read.append(_items.decode_item(raw))
         except _items.ItemError as error:
             unread.append(forwarding.RefusedItem("", 0, str(error)))
     return read
@@ -243,7 +243,7 @@
         raise forwarding.SourceError(
             reasons.REFUSED, f"{verb}: status {result.status}"
         )
-    return _Answer(_era(result.found.get(ERA_FIELD, b"0")), result.body)
+    return _Answer(_era(result.headers.get(ERA_HEADER, b"0")), result.body)
 
 
 def _era(field: bytes) -> int:
--- a/tests/fleets/instances.py
+++ b/tests/fleets/instances.py
@@ -73,7 +73,7 @@
 
     def __init__(self, plant: Plant, host: str) -> None:
         self.host = host
-        self.opened = 0
+        self.connections_opened = 0
         self.down = False
         self._plant = plant
         self._running: dict[httpio.Job, asyncio.TimerHandle] = {}
@@ -154,7 +154,7 @@
         self._running.pop(job, None)
         names = self._plant.fleet.daemons[self.host].header_keys
         fields = [
-            (names.request_id, request.found[names.request_id]),
+            (names.request_id, request.headers[names.request_id]),
             (names.signature, b"s"),
         ]
         parsed = [(name, name, value) for name, value in fields]
@@ -177,7 +177,7 @@
 
     def __init__(self, request: httpio.Request) -> None:
         self.request = request
-        self.peer = ""
+        self.peer_host = ""
         self.gone: typing.Callable[[], None] | None = None
         self.status: asyncio.Future[int] = asyncio.Future()
 
--- a/tests/fleets/networks.py
+++ b/tests/fleets/networks.py
@@ -71,7 +71,7 @@
         self, network: Network, asker: str, asked: str, job: httpio.Job
     ) -> None:
         self.request = parse(job.data)
-        self.peer = asker
+        self.peer_host = asker
         self.gone: typing.Callable[[], None] | None = None
         self._network = network
         self._asked = asked
@@ -86,7 +86,7 @@
     ) -> None:
         """Send the answer."""
         network, asked = self._network, self._asked
-        if not network.passes(asked, self.peer) or asked in network.dead:
+        if not network.passes(asked, self.peer_host) or asked in network.dead:
             return
         network.bodies += len(body)
         size = len(body) + sum(len(n) + len(v) for n, v in fields)
@@ -95,11 +95,11 @@
         found = {lower: value for lower, _, value in parsed}
         answer = httpio.Response(status, parsed, found, body)
         asyncio.get_running_loop().call_later(
-            network.seconds(asked, self.peer), self._arrive, answer
+            network.seconds(asked, self.peer_host), self._arrive, answer
         )
 
     def _arrive(self, answer: httpio.Response) -> None:
-        if self._network.passes(self._asked, self.peer):
+        if self._network.passes(self._asked, self.peer_host):
             self._job.end(answer)
 
 
--- a/tests/fleets/test_feeds.py
+++ b/tests/fleets/test_feeds.py
@@ -229,7 +229,7 @@
     """Return a daemon's service without the field that asks to wait."""
 
     def served(exchange: httpio.Exchange) -> None:
-        exchange.request.found.pop(_feed_wire.HEADER_LOWER, None)
+        exchange.request.headers.pop(_feed_wire.HEADER_LOWER, None)
         serve(exchange)
 
     return served
--- a/tests/forwarding/test_lifecycle.py
+++ b/tests/forwarding/test_lifecycle.py
@@ -61,16 +61,16 @@
     async def test() -> None:
         world = await test_path._world(slow)
         memory = world.daemons[A].daemon.memory
-        before = memory.most
+        before = memory.limit
         call = asyncio.ensure_future(world.call(A, "/s/", "POST"))
         await asyncio.sleep(0.05)
         world.bad_settings, world.settings_mark = True, 1
         while not any(b"settings_refused" in line for line in world.lines):
             await asyncio.sleep(0.02)
-        assert memory.most == before
+        assert memory.limit == before
         world.memory_bytes, world.settings_mark = 50_000_000, 2
         world.bad_settings = False
-        while memory.most == before:
+        while memory.limit == before:
             await asyncio.sleep(0.02)
         assert not call.done()
         assert (await call).status == 200
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -299,10 +299,10 @@
 
     def encode() -> bytes:
         read = [
-            _items.read(msgspec.Raw(json.dumps(item).encode()))
+            _items.decode_item(msgspec.Raw(json.dumps(item).encode()))
             for item in items.ITEMS
         ]
-        changes, refused = _items.changes(read, {"a": "r1"})
+        changes, refused = _items.decode_changes(read, {"a": "r1"})
         rows = [[type(change).__name__, change] for change in changes]
         return msgspec.json.encode([rows, refused])
 
--- a/tests/httpio/test_listeners.py
+++ b/tests/httpio/test_listeners.py
@@ -38,7 +38,10 @@
         exchange.respond(200, [(b"X-Of", exchange.request.target)], b"ok")
 
     listener = httpio.Listener(
-        handle, lambda status: [], clocks.SystemClock(), httpio.Memory(1000)
+        handle,
+        lambda status: [],
+        clocks.SystemClock(),
+        httpio.MemoryBudget(1000),
     )
     listener.limits = LIMITS
     await listener.open(HOST, 0)
@@ -127,7 +130,7 @@
         served = await _serve()
         answer = await _talk(served, sent, pause=0.3)
         assert answer.startswith(b"HTTP/1.1 408 ")
-        assert served.listener.memory.held == 0
+        assert served.listener.memory.held_bytes == 0
 
     asyncio.run(run())
 
@@ -193,7 +196,7 @@
             b"2\r\nde\r\n0\r\n\r\n",
         )
         assert served.requests[0].body == b"abcde"
-        assert served.listener.memory.held == 0
+        assert served.listener.memory.held_bytes == 0
 
     asyncio.run(run())
 
@@ -276,7 +279,7 @@
             taken.set()
 
         listener = httpio.Listener(
-            handle, lambda _: [], clocks.SystemClock(), httpio.Memory(10)
+            handle, lambda _: [], clocks.SystemClock(), httpio.MemoryBudget(10)
         )
         await listener.open(HOST, 0)
         assert listener._server is not None
--- a/tests/platform/soak/clients.py
+++ b/tests/platform/soak/clients.py
@@ -107,10 +107,10 @@
             return 0
         if isinstance(result, httpio.Failure):
             return 0
-        named = result.found.get(b"sassafrasstair-request-id", b"").decode()
+        named = result.headers.get(b"sassafrasstair-request-id", b"").decode()
         if named not in ("", key):
             self._oracle.broken.append(f"MIXED {key}: answer of {named}")
-        signature = result.found.get(
+        signature = result.headers.get(
             oracle_module.SIGNATURE.lower().encode(), b""
         )
         self._oracle.answered(
--- a/tests/platform/soak/store.py
+++ b/tests/platform/soak/store.py
@@ -198,5 +198,5 @@
         connection._transport.abort()
 
 
-def _memory() -> httpio.Memory:
-    return httpio.Memory(1 << 30)
+def _memory() -> httpio.MemoryBudget:
+    return httpio.MemoryBudget(1 << 30)
--- a/tests/platform/soak/upstreams.py
+++ b/tests/platform/soak/upstreams.py
@@ -53,7 +53,7 @@
             self._handle,
             lambda status: [],
             clocks.SystemClock(),
-            httpio.Memory(1 << 30),
+            httpio.MemoryBudget(1 << 30),
         )
         self.renew()
 
@@ -93,7 +93,7 @@
         self.down = False
 
     def _handle(self, exchange: httpio.Exchange) -> None:
-        found = exchange.request.found
+        found = exchange.request.headers
         target = found.get(b"sassafrasstair-target-instance", b"").decode()
         if target != self.id:
             exchange.respond(421, _not_run(), b"")
@@ -107,7 +107,7 @@
 
     async def _run(self, exchange: httpio.Exchange) -> None:
         request = exchange.request
-        found = request.found
+        found = request.headers
         key = found[b"sassafrasstair-request-id"].decode()
         left = int(found[b"sassafrasstair-deadline-ms"]) / 1000
         self.oracle.ran(
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -66,6 +66,6 @@
 )
 def test_policy_with_bad_customers_is_rejected_whole(tenants: object) -> None:
     """A key of two customers, or a rate without sense, became active."""
-    with pytest.raises(_documents.DocumentError) as caught:
+    with pytest.raises(_documents.PolicyError) as caught:
         _decode(tenants)
     assert KEY not in str(caught.value)
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -41,10 +41,10 @@
     read, reasons = [], []
     for item in items:
         try:
-            read.append(_items.read(_raw(item)))
+            read.append(_items.decode_item(_raw(item)))
         except _items.ItemError as error:
             reasons.append(str(error))
-    changes, refused = _items.changes(read, samples.REGIONS)
+    changes, refused = _items.decode_changes(read, samples.REGIONS)
     return changes, [*reasons, *(each.reason for each in refused)]
 
 
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -29,7 +29,7 @@
 
 
 def test_fields_are_decoded() -> None:
-    settings = _settings.decode(TEXT)
+    settings = _settings.decode_settings(TEXT)
     assert settings.vm == "sidecar-a-1"
     assert settings.regions == {"a": "r1", "b": "r2"}
     assert settings.callers == forwarding.Address("10.0.0.1", 8304)
@@ -61,7 +61,7 @@
 )
 def test_error_names_the_key(old: str, new: str, key: str) -> None:
     with pytest.raises(forwarding.SettingsError, match=key):
-        _settings.decode(TEXT.replace(old, new))
+        _settings.decode_settings(TEXT.replace(old, new))
 
 
 def test_missing_file_is_named() -> None:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -286,7 +286,7 @@
         source, asked = await _store_of(answer, answer, answer)
         assert await source.check(False, False) == 9
         assert await source.check(fresh, False) == 9
-        opened = typing.cast("_store._Store", source)._pool.opened
+        opened = typing.cast("_store._Store", source)._pool.connections_opened
         assert opened == (2 if fresh else 1)
         assert all("allow_stale=1" in each for each in asked)
         assert all("prefix=no-key" in each for each in asked)
