--- a/src/sassafrasstair/decisions/admission/_callers.py
+++ b/src/sassafrasstair/decisions/admission/_callers.py
@@ -9,11 +9,11 @@
 
 import dataclasses
 
-LEAST_CALLS = 20
+MIN_CALLS = 20
 """Calls of a route before anything is concluded from them."""
-LEAST_PART = 0.02
+MIN_CALLER_SHARE = 0.02
 """A service with a smaller part of the calls does not count as a caller."""
-INNER_SHARE = 0.5
+INNER_MAX_SHARE = 0.5
 """At most so large a part of the services calls a route that is inner."""
 HALVE_AT = 400
 """Calls after which the counts are halved, so that they follow changes."""
@@ -44,7 +44,7 @@
     """
     counts = callers.calls.get(route, {})
     total = sum(counts.values())
-    if total < LEAST_CALLS:
+    if total < MIN_CALLS:
         return False
-    seen = sum(count >= LEAST_PART * total for count in counts.values())
-    return seen <= INNER_SHARE * services
+    seen = sum(count >= MIN_CALLER_SHARE * total for count in counts.values())
+    return seen <= INNER_MAX_SHARE * services
--- a/src/sassafrasstair/decisions/admission/_chains.py
+++ b/src/sassafrasstair/decisions/admission/_chains.py
@@ -12,26 +12,28 @@
 
 FADE_SECONDS = 0.3
 """A load that was not heard again for so long no longer counts."""
-LEAST_WEIGHT = 0.1
+MIN_WEIGHT = 0.1
 """Of one answer in the average, however many come in one moment."""
 
-Key = tuple[str, int]
+LoadKey = tuple[str, int]
 """A route, and the importance of the requests that the calls are part of."""
 
 
 @dataclasses.dataclass(slots=True)
-class Heard:
+class AveragedLoad:
     """The averaged load of one inner route, and when it was last heard."""
 
     load: float
-    at: float
+    heard_at: float
 
 
 @dataclasses.dataclass(slots=True)
 class CalleeLoads:
     """Loads heard with answers on inner routes."""
 
-    loads: dict[Key, Heard] = dataclasses.field(default_factory=dict)
+    loads: dict[LoadKey, AveragedLoad] = dataclasses.field(
+        default_factory=dict
+    )
     inner_routes: set[str] = dataclasses.field(default_factory=set)
 
 
@@ -42,11 +44,11 @@
     chains.inner_routes.add(route)
     known = chains.loads.get((route, level))
     if known is None:
-        chains.loads[route, level] = Heard(load, now)
+        chains.loads[route, level] = AveragedLoad(load, now)
         return
-    weight = _averages.weight(now - known.at, LEAST_WEIGHT)
+    weight = _averages.weight(now - known.heard_at, MIN_WEIGHT)
     known.load += weight * (load - known.load)
-    known.at = now
+    known.heard_at = now
 
 
 def mark_called_by_clients(chains: CalleeLoads, route: str) -> None:
@@ -68,7 +70,7 @@
         (
             known.load
             for (_, known_level), known in chains.loads.items()
-            if known_level == level and now - known.at < FADE_SECONDS
+            if known_level == level and now - known.heard_at < FADE_SECONDS
         ),
         default=0.0,
     )
--- a/src/sassafrasstair/decisions/admission/_parents.py
+++ b/src/sassafrasstair/decisions/admission/_parents.py
@@ -30,7 +30,7 @@
 Of 1,000 calls one in a hundred was read so late that it seemed to expire
 after it."""
 
-DECOY_SECONDS = 0.01
+CHANCE_OFFSET_SECONDS = 0.01
 """So much later than a call a request expires beside it by chance alone."""
 CHANCE_FACTOR = 1.5
 CHANCE_SLACK = 2.0
@@ -56,8 +56,8 @@
     """Requests that expired with calls, and beside one by chance, by route."""
 
     calls: int = 0
-    together: dict[str, float] = dataclasses.field(default_factory=dict)
-    chance: dict[str, float] = dataclasses.field(default_factory=dict)
+    matches: dict[str, float] = dataclasses.field(default_factory=dict)
+    chance_matches: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(slots=True)
@@ -107,7 +107,7 @@
             continue
         if gap <= EARLY_SECONDS:
             together.append(request)
-        elif -LATE_SECONDS <= gap - DECOY_SECONDS <= EARLY_SECONDS:
+        elif -LATE_SECONDS <= gap - CHANCE_OFFSET_SECONDS <= EARLY_SECONDS:
             chance.append(request)
     return together, chance
 
@@ -116,9 +116,9 @@
     """Return the routes whose requests make such calls."""
     return {
         route
-        for route, together in counts.together.items()
+        for route, together in counts.matches.items()
         if together
-        > CHANCE_FACTOR * counts.chance.get(route, 0.0) + CHANCE_SLACK
+        > CHANCE_FACTOR * counts.chance_matches.get(route, 0.0) + CHANCE_SLACK
     }
 
 
@@ -128,11 +128,14 @@
     chance: abc.Iterable[RunningRequest],
 ) -> None:
     counts.calls += 1
-    for table, found in ((counts.together, together), (counts.chance, chance)):
+    for table, found in (
+        (counts.matches, together),
+        (counts.chance_matches, chance),
+    ):
         for request in found:
             table[request.route] = table.get(request.route, 0.0) + 1.0
     if counts.calls >= HALVE_AT:
         counts.calls //= 2
-        for table in (counts.together, counts.chance):
+        for table in (counts.matches, counts.chance_matches):
             for name in table:
                 table[name] /= 2.0
--- a/src/sassafrasstair/decisions/calls/_entrances.py
+++ b/src/sassafrasstair/decisions/calls/_entrances.py
@@ -121,7 +121,7 @@
         key_of_floor = _floor_key(call)
         told = answer.load.floor
         _floors.observe_floor(entrance.floors, key_of_floor, vm, told, now)
-    pending.retries_spent += _spent(pending, answer)
+    pending.retries_spent += _retries_spent(pending, answer)
     lost = answer.outcome is outcomes.Outcome.UNKNOWN
     pending.may_have_run = pending.may_have_run or lost
     budget = _budget(entrance, bundle, call.service)
@@ -138,9 +138,9 @@
             return effect
     del entrance.pending[key]
     return _messages.Refuse(
-        _told_outcome(pending, answer),
+        _final_outcome(pending, answer),
         answer.reason,
-        _come_back(bundle, call, answer, rng),
+        _retry_after(bundle, call, answer, rng),
         pending.retries_spent,
         answer.load.floor,
     )
@@ -205,7 +205,7 @@
     rng: random.Random,
 ) -> _messages.Send | None:
     call = pending.call
-    refusing = _floors.refusing(
+    refusing = _floors.refusing_vms(
         entrance.floors, _floor_key(call), pending.rank, now
     )
     passing = [target for target in targets if target.vm not in refusing]
@@ -220,13 +220,13 @@
     _peers.start_attempt(entrance.routes, target.vm, now)
     leaf = not bundle.services[call.service].calls
     left = call.retries - pending.retries_spent
-    pending.retries_granted = _retries.passed_down(left, leaf)
+    pending.retries_granted = _retries.retries_to_grant(left, leaf)
     return _messages.Send(
         pending.attempt_id, target, call.deadline, pending.retries_granted
     )
 
 
-def _spent(pending: PendingCall, answer: _messages.Answer) -> int:
+def _retries_spent(pending: PendingCall, answer: _messages.Answer) -> int:
     """Return the retries used further down.
 
     An attempt that was lost may have used all that it was given: less
@@ -238,7 +238,7 @@
     return answer.retries_spent
 
 
-def _told_outcome(
+def _final_outcome(
     pending: PendingCall, answer: _messages.Answer
 ) -> outcomes.Outcome:
     """Return what the caller may be told of a call that failed.
@@ -286,7 +286,7 @@
     return budget
 
 
-def _come_back(
+def _retry_after(
     bundle: bundles.Bundle,
     call: _messages.Call,
     answer: _messages.Answer,
--- a/src/sassafrasstair/decisions/calls/_floors.py
+++ b/src/sassafrasstair/decisions/calls/_floors.py
@@ -39,7 +39,7 @@
     floors.by_class.setdefault(key, {})[vm] = Floor(value, now)
 
 
-def of_instance(floor: Floor, now: float) -> float:
+def decayed(floor: Floor, now: float) -> float:
     """Return what the floor still counts for."""
     stale = max(0.0, now - floor.heard_at - HOLD_SECONDS)
     return max(0.0, floor.value - FALL_PER_SECOND * stale)
@@ -58,12 +58,10 @@
         del heard[vm]
     if not heard:
         del floors.by_class[key]
-    return min(
-        (of_instance(floor, now) for floor in heard.values()), default=0.0
-    )
+    return min((decayed(floor, now) for floor in heard.values()), default=0.0)
 
 
-def refusing(
+def refusing_vms(
     floors: Floors,
     key: tuple[str, str, str],
     rank: float,
@@ -72,7 +70,7 @@
     """Return the VMs that would refuse the rank by the floors heard."""
     heard = floors.by_class.get(key, {})
     return frozenset(
-        vm for vm, floor in heard.items() if rank < of_instance(floor, now)
+        vm for vm, floor in heard.items() if rank < decayed(floor, now)
     )
 
 
--- a/src/sassafrasstair/decisions/calls/_peers.py
+++ b/src/sassafrasstair/decisions/calls/_peers.py
@@ -21,19 +21,19 @@
 # With attempts under way and no answer for this long, in seconds and in
 # multiples of the usual latency, an instance is pinged.
 SILENT_SECONDS = 0.1
-SILENT_LATENCIES = 1.5
+SILENT_LATENCY_FACTOR = 1.5
 # Pings to an instance that stays away become rarer, up to the second bound.
 PING_SECONDS = 0.2
 PING_SECONDS_MAX = 0.5
-PING_SHARE_OF_AWAY = 0.25
+PING_SHARE_OF_SILENCE = 0.25
 # An instance not heard of for this long is forgotten: VMs are replaced all
 # day, and pings to those that are gone would never end.
 FORGET_SECONDS = 60.0
 LATENCY_WEIGHT = 0.1
-UNKNOWN_LIMIT = 20.0
+DEFAULT_LIMIT = 20.0
 # The weight of an answer in what is usual, and after how many that is known.
-USUAL_WEIGHT = 0.01
-USUAL_FROM = 20
+USUAL_MIN_WEIGHT = 0.01
+USUAL_MIN_SAMPLES = 20
 
 FAILURES = frozenset(
     {
@@ -60,7 +60,7 @@
     in_flight: int = 0
     sent_since_heard: int = 0
     busy: float = 0.0
-    limit: float = UNKNOWN_LIMIT
+    limit: float = DEFAULT_LIMIT
     service_seconds: float = 0.0
     usual_service_seconds: float = 0.0
     samples: int = 0
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Sorted:
+class SortedTargets:
     """The usable targets of one service, by where they are.
 
     ``least`` are the seconds of service at the quickest, 0 if not known;
@@ -82,12 +82,12 @@
     """
 
     targets: abc.Sequence[_messages.Target]
-    near: list[_messages.Target]
+    same_domain: list[_messages.Target]
     same_region: list[_messages.Target]
     usable: abc.Sequence[_messages.Target]
-    least: float
-    changes: int
-    at: float
+    fastest_seconds: float
+    usability_changes: int
+    sorted_at: float
 
 
 @dataclasses.dataclass(slots=True)
@@ -104,7 +104,7 @@
     region: str
     try_unreachable: bool = True
     peers: dict[str, Peer] = dataclasses.field(default_factory=dict)
-    targets_by_service: dict[str, Sorted] = dataclasses.field(
+    targets_by_service: dict[str, SortedTargets] = dataclasses.field(
         default_factory=dict
     )
     usability_changes: int = 0
@@ -130,7 +130,7 @@
     peer = routes.peers.setdefault(vm, Peer())
     peer.in_flight = max(0, peer.in_flight - 1)
     if answer.incarnation:
-        _heard(peer, answer, now)
+        _record_load(peer, answer, now)
     if answer.outcome is outcomes.Outcome.DONE:
         peer.latency += LATENCY_WEIGHT * (latency - peer.latency)
         peer.failures = 0
@@ -183,7 +183,7 @@
             del routes.peers[vm]
             routes.usability_changes += 1
         elif peer.ejected or peer.unreachable or is_silent(peer, now):
-            rarer = min(PING_SECONDS_MAX, PING_SHARE_OF_AWAY * away)
+            rarer = min(PING_SECONDS_MAX, PING_SHARE_OF_SILENCE * away)
             if now - peer.pinged_at >= max(PING_SECONDS, rarer):
                 peer.pinged_at = now
                 due.append(vm)
@@ -210,13 +210,13 @@
         routes.usability_changes += 1
 
 
-def _heard(peer: Peer, answer: _messages.Answer, now: float) -> None:
+def _record_load(peer: Peer, answer: _messages.Answer, now: float) -> None:
     peer.busy = answer.load.busy
-    peer.limit = answer.load.limit or UNKNOWN_LIMIT
+    peer.limit = answer.load.limit or DEFAULT_LIMIT
     peer.service_seconds = answer.load.service_seconds
     if peer.service_seconds > 0.0:
         peer.samples += 1
-        weight = max(USUAL_WEIGHT, 1.0 / peer.samples)
+        weight = max(USUAL_MIN_WEIGHT, 1.0 / peer.samples)
         peer.usual_service_seconds += weight * (
             peer.service_seconds - peer.usual_service_seconds
         )
@@ -227,5 +227,5 @@
 
 def is_silent(peer: Peer, now: float) -> bool:
     """Return whether attempts are under way there and none is answered."""
-    patience = max(SILENT_SECONDS, SILENT_LATENCIES * peer.latency)
+    patience = max(SILENT_SECONDS, SILENT_LATENCY_FACTOR * peer.latency)
     return peer.in_flight > 0 and now - peer.silent_since >= patience
--- a/src/sassafrasstair/decisions/calls/_retries.py
+++ b/src/sassafrasstair/decisions/calls/_retries.py
@@ -38,7 +38,7 @@
     return True
 
 
-def passed_down(left: int, leaf: bool) -> int:
+def retries_to_grant(left: int, leaf: bool) -> int:
     """Return how many of the chain's ``left`` retries go with an attempt.
 
     A service that calls no other gets none. Else one is kept back: when
--- a/src/sassafrasstair/decisions/calls/_routing.py
+++ b/src/sassafrasstair/decisions/calls/_routing.py
@@ -23,37 +23,37 @@
 # A silent instance counts as if an attempt waited there for so long, until
 # its ping has ended: half a second may pass, and what was sent meanwhile to
 # a VM that is gone can't be sent again unless it is idempotent.
-SILENT_PENALTY = 0.25
+SILENT_PENALTY_SECONDS = 0.25
 # What was heard of a load fades with this time constant.
-LOAD_FADES_SECONDS = 0.1
-FADES_SERVICES = 2.0
+LOAD_DECAY_SECONDS = 0.1
+LOAD_DECAY_SERVICE_TIMES = 2.0
 # The own domain is left only when its instance has no free slot, and then
 # only for one where the wait is shorter by the margin.
-SPILL_MARGIN = 0.005
+SPILL_MARGIN_SECONDS = 0.005
 # How many of an instance's rivals are compared.
-DRAWN = 4
+CANDIDATES_DRAWN = 4
 # An instance counts as slow when its service takes so many times as long as it
 # usually does, or so many times as long as at the quickest of its service.
 # Instances differ by nature, and one that is slow all day is no outlier: told
 # from the quickest alone, at 2.5 times, a third of the calls on a calm day
 # left their domain.
-SLOW_FACTOR = 2.5
-NATURAL_FACTOR = 6.0
+SLOW_FACTOR_OF_USUAL = 2.5
+SLOW_FACTOR_OF_FASTEST = 6.0
 # What was heard of the service time counts for this long, so that now and
 # then a slow instance is asked again.
-SLOW_SECONDS = 1.0
+SERVICE_TIME_VALID_SECONDS = 1.0
 # The targets of a service are sorted anew this often, in seconds, beside
 # each change of what is usable.
 SORT_SECONDS = 0.1
 # Without a wait anywhere the less busy is preferred.
-BUSY_SECONDS = 0.02
+FULL_BUSY_SECONDS = 0.02
 
 
-class Scored(typing.NamedTuple):
+class ScoredTarget(typing.NamedTuple):
     """A target, and the seconds that an attempt is thought to lose there."""
 
     target: _messages.Target
-    seconds: float
+    expected_delay: float
 
 
 def pick_target(
@@ -66,22 +66,25 @@
     """Return the instance for one attempt, or None if none is usable."""
     if not targets:
         return None
-    known = _sort(routes, targets, now)
-    near = _untried(known.near, tried)
-    best = _less_busy(routes, near, known.least, now, rng)
-    if best is not None and best.seconds <= BUSY_SECONDS:
+    known = _sorted_targets(routes, targets, now)
+    near = _untried(known.same_domain, tried)
+    best = _least_busy_of_sample(routes, near, known.fastest_seconds, now, rng)
+    if best is not None and best.expected_delay <= FULL_BUSY_SECONDS:
         return best.target
     far = _untried(known.same_region, tried) or _untried(known.usable, tried)
-    other = _less_busy(routes, far, known.least, now, rng)
+    other = _least_busy_of_sample(routes, far, known.fastest_seconds, now, rng)
     if best is None:
         return None if other is None else other.target
-    if other is not None and best.seconds - other.seconds > SPILL_MARGIN:
+    if (
+        other is not None
+        and best.expected_delay - other.expected_delay > SPILL_MARGIN_SECONDS
+    ):
         return other.target
     return best.target
 
 
-def score(
-    routes: _peers.Routes, vm: str, now: float, least: float = 0.0
+def expected_delay(
+    routes: _peers.Routes, vm: str, now: float, fastest_seconds: float = 0.0
 ) -> float:
     """Return the seconds that an attempt is thought to lose there.
 
@@ -93,15 +96,22 @@
     peer = routes.peers.get(vm)
     if peer is None:
         return 0.0
-    fades = max(LOAD_FADES_SECONDS, FADES_SERVICES * peer.service_seconds)
+    fades = max(
+        LOAD_DECAY_SECONDS, LOAD_DECAY_SERVICE_TIMES * peer.service_seconds
+    )
     faded = math.exp(-(now - peer.heard_at) / fades)
     busy = peer.busy * faded + (peer.sent_since_heard + 1) / peer.limit
     wait = max(0.0, busy - 1.0) * peer.service_seconds
-    if least > 0.0 and now - peer.heard_at < SLOW_SECONDS:
-        wait += max(0.0, peer.service_seconds - _slow_from(peer, least))
+    if (
+        fastest_seconds > 0.0
+        and now - peer.heard_at < SERVICE_TIME_VALID_SECONDS
+    ):
+        wait += max(
+            0.0, peer.service_seconds - _slow_threshold(peer, fastest_seconds)
+        )
     if _peers.is_silent(peer, now):
-        wait += SILENT_PENALTY
-    return wait + BUSY_SECONDS * min(1.0, busy)
+        wait += SILENT_PENALTY_SECONDS
+    return wait + FULL_BUSY_SECONDS * min(1.0, busy)
 
 
 class CrossingReason(enum.Enum):
@@ -125,12 +135,12 @@
 
     ``tried`` are those tried before it.
     """
-    if _is_near(routes, target):
+    if _in_same_domain(routes, target):
         return None
-    known = _sort(routes, targets, now)
-    if not known.near:
+    known = _sorted_targets(routes, targets, now)
+    if not known.same_domain:
         return CrossingReason.NO_INSTANCE
-    near = _untried(known.near, tried)
+    near = _untried(known.same_domain, tried)
     peers = [routes.peers.get(each.vm) for each in near]
     if not near:
         return CrossingReason.TRIED
@@ -138,24 +148,24 @@
         return CrossingReason.SILENT
     if all(
         peer is not None
-        and peer.service_seconds > _slow_from(peer, known.least)
+        and peer.service_seconds > _slow_threshold(peer, known.fastest_seconds)
         for peer in peers
     ):
         return CrossingReason.SLOW
     return CrossingReason.BUSY
 
 
-def _slow_from(peer: _peers.Peer, least: float) -> float:
+def _slow_threshold(peer: _peers.Peer, fastest_seconds: float) -> float:
     """Return the seconds of service from which on the instance is slow."""
-    slow = NATURAL_FACTOR * least
-    if peer.samples < _peers.USUAL_FROM:
+    slow = SLOW_FACTOR_OF_FASTEST * fastest_seconds
+    if peer.samples < _peers.USUAL_MIN_SAMPLES:
         return slow
-    return min(slow, SLOW_FACTOR * peer.usual_service_seconds)
+    return min(slow, SLOW_FACTOR_OF_USUAL * peer.usual_service_seconds)
 
 
-def _sort(
+def _sorted_targets(
     routes: _peers.Routes, targets: abc.Sequence[_messages.Target], now: float
-) -> _peers.Sorted:
+) -> _peers.SortedTargets:
     """Return the usable targets by place, sorted seldom.
 
     For each call this would cost more than all else that is decided: a
@@ -166,17 +176,17 @@
     if (
         known is not None
         and known.targets is targets
-        and known.changes == routes.usability_changes
-        and now - known.at < SORT_SECONDS
+        and known.usability_changes == routes.usability_changes
+        and now - known.sorted_at < SORT_SECONDS
     ):
         return known
     usable = _usable(routes, targets)
-    known = _peers.Sorted(
+    known = _peers.SortedTargets(
         targets,
-        [each for each in usable if _is_near(routes, each)],
+        [each for each in usable if _in_same_domain(routes, each)],
         [each for each in usable if each.region == routes.region],
         usable,
-        _least_service(routes, usable, now),
+        _fastest_seconds(routes, usable, now),
         routes.usability_changes,
         now,
     )
@@ -184,11 +194,11 @@
     return known
 
 
-def _is_near(routes: _peers.Routes, target: _messages.Target) -> bool:
+def _in_same_domain(routes: _peers.Routes, target: _messages.Target) -> bool:
     return target.failure_domain == routes.failure_domain
 
 
-def _least_service(
+def _fastest_seconds(
     routes: _peers.Routes, targets: abc.Sequence[_messages.Target], now: float
 ) -> float:
     """Return the seconds of service at the quickest heard of lately."""
@@ -199,7 +209,7 @@
             for peer in peers
             if peer is not None
             and peer.service_seconds > 0.0
-            and now - peer.heard_at < SLOW_SECONDS
+            and now - peer.heard_at < SERVICE_TIME_VALID_SECONDS
         ),
         default=0.0,
     )
@@ -242,19 +252,24 @@
     return targets
 
 
-def _less_busy(
+def _least_busy_of_sample(
     routes: _peers.Routes,
     targets: abc.Sequence[_messages.Target],
-    least: float,
+    fastest_seconds: float,
     now: float,
     rng: random.Random,
-) -> Scored | None:
+) -> ScoredTarget | None:
     if not targets:
         return None
     count = len(targets)
-    drawn = dict.fromkeys(int(rng.random() * count) for _ in range(DRAWN))
+    drawn = dict.fromkeys(
+        int(rng.random() * count) for _ in range(CANDIDATES_DRAWN)
+    )
     scored = [
-        Scored(targets[at], score(routes, targets[at].vm, now, least))
+        ScoredTarget(
+            targets[at],
+            expected_delay(routes, targets[at].vm, now, fastest_seconds),
+        )
         for at in drawn
     ]
-    return min(scored, key=lambda each: each.seconds)
+    return min(scored, key=lambda each: each.expected_delay)
--- a/src/sassafrasstair/decisions/load/_floors.py
+++ b/src/sassafrasstair/decisions/load/_floors.py
@@ -18,8 +18,8 @@
 OBSERVE_SECONDS = 0.2
 FORGET_SECONDS = 0.5
 # Below this rate a tenant's demand is forgotten altogether.
-LEAST_RATE = 0.01
-LEAST_PART = 0.02
+MIN_RATE = 0.01
+MIN_ADMITTED_PART = 0.02
 
 
 @dataclasses.dataclass(slots=True)
@@ -45,10 +45,12 @@
     """
 
     demands: list[dict[str, Demand]]
-    looked: float
-    value: float = 0.0
-    values: dict[str, float] = dataclasses.field(default_factory=dict)
-    before: dict[str, float] = dataclasses.field(default_factory=dict)
+    updated_at: float
+    default_floor: float = 0.0
+    tenant_floors: dict[str, float] = dataclasses.field(default_factory=dict)
+    previous_tenant_floors: dict[str, float] = dataclasses.field(
+        default_factory=dict
+    )
 
 
 def new_floors(now: float) -> Floors:
@@ -56,7 +58,9 @@
     return Floors([{} for _ in range(LEVELS)], now)
 
 
-def note(floors: Floors, tenant: str, share: float, rank: float) -> None:
+def count_offer(
+    floors: Floors, tenant: str, share: float, rank: float
+) -> None:
     """Count one offered attempt."""
     demands = floors.demands[min(int(rank), LEVELS - 1)]
     demand = demands.get(tenant)
@@ -69,10 +73,10 @@
 
 def floor(floors: Floors, tenant: str) -> float:
     """Return the rank below which the tenant's work is refused."""
-    return floors.values.get(tenant, floors.value)
+    return floors.tenant_floors.get(tenant, floors.default_floor)
 
 
-def reach(floors: Floors, room: float) -> int:
+def lowest_level_within(floors: Floors, room: float) -> int:
     """Return the lowest level down to which the demand is within room."""
     left = room
     for level in range(LEVELS - 1, -1, -1):
@@ -82,27 +86,29 @@
     return 0
 
 
-def look(floors: Floors, capacity: float, pressed: bool, now: float) -> None:
+def update(
+    floors: Floors, capacity: float, overloaded: bool, now: float
+) -> None:
     """Learn the demand since the last look and set the floors anew.
 
     ``capacity`` is in attempts a second; without pressure nothing is
     refused, whatever the demand seems to be.
     """
-    elapsed = now - floors.looked
+    elapsed = now - floors.updated_at
     if elapsed <= 0:
         return
-    floors.looked = now
+    floors.updated_at = now
     _learn(floors, elapsed)
-    floors.before = floors.values
-    floors.values = {}
-    floors.value = 0.0
-    if pressed:
+    floors.previous_tenant_floors = floors.tenant_floors
+    floors.tenant_floors = {}
+    floors.default_floor = 0.0
+    if overloaded:
         _fill(floors, capacity)
 
 
 def _applied(floors: Floors, tenant: str) -> float:
-    now_set = floors.values.get(tenant, floors.value)
-    return max(now_set, floors.before.get(tenant, 0.0))
+    now_set = floors.tenant_floors.get(tenant, floors.default_floor)
+    return max(now_set, floors.previous_tenant_floors.get(tenant, 0.0))
 
 
 def _learn(floors: Floors, elapsed: float) -> None:
@@ -111,7 +117,7 @@
     for level, demands in enumerate(floors.demands):
         for tenant, demand in list(demands.items()):
             part = min(1.0, level + 1 - _applied(floors, tenant))
-            if part < LEAST_PART:
+            if part < MIN_ADMITTED_PART:
                 # Nothing of this level arrives, so nothing would ever
                 # lower its floor again: what was known of it fades.
                 demand.rate *= faded
@@ -119,7 +125,7 @@
                 seen = demand.count / elapsed / part
                 demand.rate += weight * (seen - demand.rate)
             demand.count = 0
-            if demand.rate < LEAST_RATE:
+            if demand.rate < MIN_RATE:
                 del demands[tenant]
 
 
@@ -129,7 +135,7 @@
         demands = floors.demands[level]
         room -= _share_out(floors, level, demands, room)
         if room <= 0.0:
-            floors.value = float(level)
+            floors.default_floor = float(level)
             return
 
 
@@ -148,5 +154,5 @@
         shares -= demand.share
         if given < demand.rate:
             part = given / demand.rate
-            floors.values.setdefault(tenant, level + 1.0 - part)
+            floors.tenant_floors.setdefault(tenant, level + 1.0 - part)
     return room - left
--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -12,13 +12,13 @@
 from sassafrasstair.decisions.load import _queues
 from sassafrasstair import outcomes
 
-RETRY_AFTER_FLOOR = 0.5
+RETRY_AFTER_SECONDS = 0.5
 WARM_SECONDS = 5.0
 # An estimate of the service time without a new sample halves in this time.
 ESTIMATE_HALF_LIFE = 1.0
 ESTIMATE_WEIGHT = 0.2
-PRESSED_SECONDS = 0.5
-LEAST_QUEUE = 8
+OVERLOAD_SECONDS = 0.5
+MIN_QUEUE = 8
 QUEUE_PER_SLOT = 2
 PATIENT_QUEUE_PER_SLOT = 10
 # When a level and those above it have not been without a waiter for this
@@ -105,7 +105,9 @@
     guard: Guard, work: _messages.Work, now: float
 ) -> list[_messages.Effect]:
     """Take one arriving attempt: it starts, waits or is turned away."""
-    _floors.note(guard.floors, work.tenant, work.tenant_share, work.rank)
+    _floors.count_offer(
+        guard.floors, work.tenant, work.tenant_share, work.rank
+    )
     if guard.leaving:
         return [_turn(work, outcomes.Reason.LEAVING)]
     if now >= work.deadline:
@@ -165,8 +167,8 @@
     effects = _expire(guard, now)
     effects += _overdue(guard, now)
     effects += _dispatch(guard, now)
-    pressed = now - guard.overloaded_at < PRESSED_SECONDS
-    _floors.look(guard.floors, _admissible(guard, now), pressed, now)
+    pressed = now - guard.overloaded_at < OVERLOAD_SECONDS
+    _floors.update(guard.floors, _admissible(guard, now), pressed, now)
     guard.lowest_level_with_room = _comfortable(guard, now)
     guard.ticked_at = now
     return effects
@@ -176,7 +178,7 @@
     """Return the rank below which this guard refuses now."""
     if guard.patient:
         return 0.0
-    if now - guard.overloaded_at >= PRESSED_SECONDS:
+    if now - guard.overloaded_at >= OVERLOAD_SECONDS:
         return 0.0
     return _floors.floor(guard.floors, tenant)
 
@@ -232,10 +234,10 @@
     guard.waiting[work.attempt_id] = _queues.Waiter(work, now)
     effects = _dispatch(guard, now)
     per_slot = PATIENT_QUEUE_PER_SLOT if guard.patient else QUEUE_PER_SLOT
-    if len(guard.waiting) <= max(LEAST_QUEUE, per_slot * guard.limit):
+    if len(guard.waiting) <= max(MIN_QUEUE, per_slot * guard.limit):
         return effects
     guard.overloaded_at = now
-    out = _queues.least(guard.waiting, guard.running_by_tenant).work
+    out = _queues.next_to_refuse(guard.waiting, guard.running_by_tenant).work
     del guard.waiting[out.attempt_id]
     return effects + [_turn(out, outcomes.Reason.QUEUE_FULL)]
 
@@ -245,7 +247,9 @@
     effects: list[_messages.Effect] = []
     stands = max(_marginal(guard, now), _standing(guard, now))
     while guard.waiting and _has_room(guard, now):
-        waiter = _queues.pick(guard.waiting, guard.running_by_tenant, stands)
+        waiter = _queues.next_to_start(
+            guard.waiting, guard.running_by_tenant, stands
+        )
         del guard.waiting[waiter.work.attempt_id]
         if _is_late(guard, waiter, now):
             effects.append(_expiry(guard, waiter, now))
@@ -283,7 +287,7 @@
     if stood and level <= _marginal(guard, now):
         return PATIENCE_TURNS * _turn_seconds(guard, now)
     comfortable = level >= guard.lowest_level_with_room
-    if now - guard.overloaded_at < PRESSED_SECONDS and not comfortable:
+    if now - guard.overloaded_at < OVERLOAD_SECONDS and not comfortable:
         return PATIENCE_ABOVE_TURNS * _turn_seconds(guard, now)
     return math.inf
 
@@ -302,7 +306,7 @@
 
 def _note_emptied(guard: Guard, now: float) -> None:
     """Note which levels have no waiter at or above them."""
-    top = _queues.top(guard.waiting)
+    top = _queues.highest_level(guard.waiting)
     for level in range(top + 1, len(guard.emptied_at)):
         guard.emptied_at[level] = now
 
@@ -352,7 +356,9 @@
     if guard.current_service_seconds <= 0.0:
         return 0
     served = _limits.current(guard.limits, now) / guard.current_service_seconds
-    return _floors.reach(guard.floors, COMFORTABLE_SHARE * served)
+    return _floors.lowest_level_within(
+        guard.floors, COMFORTABLE_SHARE * served
+    )
 
 
 def _live(guard: Guard, now: float) -> float:
@@ -393,4 +399,4 @@
 
 
 def _turn(work: _messages.Work, reason: outcomes.Reason) -> _messages.TurnAway:
-    return _messages.TurnAway(work.attempt_id, reason, RETRY_AFTER_FLOOR)
+    return _messages.TurnAway(work.attempt_id, reason, RETRY_AFTER_SECONDS)
--- a/src/sassafrasstair/decisions/load/_queues.py
+++ b/src/sassafrasstair/decisions/load/_queues.py
@@ -15,17 +15,17 @@
     """One waiting attempt and when it arrived."""
 
     work: _messages.Work
-    since: float
+    arrived_at: float
 
 
-def top(waiting: dict[str, Waiter]) -> int:
+def highest_level(waiting: dict[str, Waiter]) -> int:
     """Return the highest level that waits, -1 if none does."""
     if not waiting:
         return -1
     return math.floor(max(waiter.work.rank for waiter in waiting.values()))
 
 
-def pick(
+def next_to_start(
     waiting: dict[str, Waiter], used: dict[str, int], stands: int
 ) -> Waiter:
     """Return the one to start next: the most important.
@@ -40,13 +40,13 @@
         work = waiter.work
         level = math.floor(work.rank)
         use = used.get(work.tenant, 0) / work.tenant_share
-        age = -waiter.since if level <= stands else work.deadline
+        age = -waiter.arrived_at if level <= stands else work.deadline
         return -level, use, age
 
     return min(waiting.values(), key=order)
 
 
-def least(waiting: dict[str, Waiter], used: dict[str, int]) -> Waiter:
+def next_to_refuse(waiting: dict[str, Waiter], used: dict[str, int]) -> Waiter:
     """Return the one to turn away when the queue is full.
 
     The least important; among equals one of the tenant that uses most of
@@ -69,5 +69,5 @@
     ``patience`` in seconds may shorten how long it may wait.
     """
     work = waiter.work
-    waited = now - waiter.since >= min(work.max_wait_seconds, patience)
+    waited = now - waiter.arrived_at >= min(work.max_wait_seconds, patience)
     return waited or now + estimate > work.deadline
--- a/src/sassafrasstair/decisions/requests/_budgets.py
+++ b/src/sassafrasstair/decisions/requests/_budgets.py
@@ -15,7 +15,7 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-OWN_SHARE = 0.2
+HOP_SHARE = 0.2
 """The part of the ratio that one hop spends. A repeated request makes its
 calls again, and these count as repeats further down: with chains of four
 hops, each at the whole ratio, the last service would get four times it, and
@@ -61,7 +61,7 @@
     repeated up to 195 times at each of four hops where 213 repeats at all
     were allowed.
     """
-    repeats = OWN_SHARE * rules.slack
+    repeats = HOP_SHARE * rules.slack
     others = list(hosts)
     if repeats >= len(others) + 1:
         return repeats / (len(others) + 1)
@@ -86,7 +86,7 @@
     since = second - math.ceil(rules.window_seconds)
     _forget(window.requests, since + 1)
     _forget(window.repeats, since)
-    earned = OWN_SHARE * rules.ratio * sum(window.requests.values())
+    earned = HOP_SHARE * rules.ratio * sum(window.requests.values())
     if sum(window.repeats.values()) + 1 > earned + window.slack:
         return False
     window.repeats[second] = window.repeats.get(second, 0) + 1
--- a/src/sassafrasstair/decisions/requests/_progress.py
+++ b/src/sassafrasstair/decisions/requests/_progress.py
@@ -22,10 +22,10 @@
 CRASHES_MAX = 2
 """Instances that may crash under one request before its client is told: what
 was sent on without an end would take one instance along after the other."""
-LEAST_SECONDS = 0.005
+MIN_ATTEMPT_SECONDS = 0.005
 """With less time left no further attempt can be answered."""
-COME_BACK_LEAST = 0.2
-COME_BACK_SHARE = 0.5
+RETRY_AFTER_MIN_SECONDS = 0.2
+RETRY_AFTER_OBJECTIVE_SHARE = 0.5
 """Seconds, and the share of the route's objective, after which a client
 that was refused is told to come back: spread, so that they don't all."""
 
@@ -103,7 +103,7 @@
     if ending is Ending.LOST:
         progress.may_have_run = True
     progress.crashes += crashed
-    if now + LEAST_SECONDS >= progress.deadline or _exhausted(progress):
+    if now + MIN_ATTEMPT_SECONDS >= progress.deadline or _exhausted(progress):
         return Step.GIVE_UP
     if ending in (Ending.UNSENT, Ending.TURNED_AWAY):
         return Step.RETRY
@@ -136,5 +136,7 @@
 
 def retry_after(route: policies.Route, rng: random.Random) -> float:
     """Return after how many seconds a refused client should come back."""
-    least = max(COME_BACK_LEAST, COME_BACK_SHARE * route.objective)
+    least = max(
+        RETRY_AFTER_MIN_SECONDS, RETRY_AFTER_OBJECTIVE_SHARE * route.objective
+    )
     return rng.uniform(least, 2.0 * least)
--- a/tests/decisions/calls/test_retries.py
+++ b/tests/decisions/calls/test_retries.py
@@ -73,7 +73,7 @@
 def test_share_of_the_allowance_that_goes_down(
     left: int, leaf: bool, given: int
 ) -> None:
-    assert _retries.passed_down(left, leaf) == given
+    assert _retries.retries_to_grant(left, leaf) == given
 
 
 def test_chain_makes_no_more_than_its_allowance() -> None:
--- a/tests/decisions/load/test_floors.py
+++ b/tests/decisions/load/test_floors.py
@@ -26,8 +26,8 @@
             for _ in range(int(rate * TICK)):
                 rank = 5 + rng.random()
                 if rank >= _floors.floor(floors, tenant):
-                    _floors.note(floors, tenant, share, rank)
-        _floors.look(floors, capacity, pressed=True, now=now)
+                    _floors.count_offer(floors, tenant, share, rank)
+        _floors.update(floors, capacity, overloaded=True, now=now)
     return now
 
 
@@ -53,9 +53,9 @@
     floors = _floors.new_floors(0.0)
     for step in range(1, 40):
         for _ in range(10):
-            _floors.note(floors, "main", 1.0, 9.5)
-            _floors.note(floors, "main", 1.0, 3.5)
-        _floors.look(floors, 150.0, pressed=True, now=step * TICK)
+            _floors.count_offer(floors, "main", 1.0, 9.5)
+            _floors.count_offer(floors, "main", 1.0, 3.5)
+        _floors.update(floors, 150.0, overloaded=True, now=step * TICK)
     assert 9.0 < _floors.floor(floors, "main") < 9.6
 
 
@@ -75,7 +75,7 @@
 def test_no_pressure_no_floor() -> None:
     floors = _floors.new_floors(0.0)
     now = _offer(floors, {"main": 1000.0}, 1.0, capacity=200.0)
-    _floors.look(floors, 200.0, pressed=False, now=now + TICK)
+    _floors.update(floors, 200.0, overloaded=False, now=now + TICK)
     assert _floors.floor(floors, "main") == 0.0
 
 
@@ -87,6 +87,6 @@
     for step in range(1, 60):
         for rank, count in ((9.5, 5), (3.5, 20)):
             for _ in range(count):
-                _floors.note(floors, "main", 1.0, rank)
-        _floors.look(floors, 1e9, pressed=False, now=step * TICK)
-    assert _floors.reach(floors, room) == level
+                _floors.count_offer(floors, "main", 1.0, rank)
+        _floors.update(floors, 1e9, overloaded=False, now=step * TICK)
+    assert _floors.lowest_level_within(floors, room) == level
