--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -47,9 +47,9 @@
 
 
 def _broadcast(daemon: _state.Daemon) -> None:
-    ledger = daemon.ledger
+    ledger = daemon.crash_ledger
     now = daemon.clock.monotonic()
-    reports = crashes.reports(ledger, now, daemon.crash_sent_version)
+    reports = crashes.reports_since(ledger, now, daemon.crash_sent_version)
     daemon.crash_sent_version = ledger.version
     if not reports:
         return
@@ -66,4 +66,7 @@
     parent = daemon.feed.parent
     if parent is not None and parent != feeds.STORE:
         return [parent]
-    return [*daemon.foreign_readers, *daemon.feed.before[:EARLIER_READERS_MAX]]
+    return [
+        *daemon.foreign_readers,
+        *daemon.feed.earlier_hosts[:EARLIER_READERS_MAX],
+    ]
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -40,16 +40,16 @@
     daemon: _state.Daemon, call: _records.Call
 ) -> crashes.Verdict | None:
     """Return how a client's request may be run, None without any crash."""
-    if not daemon.ledger.crashes:
+    if not daemon.crash_ledger.crashes:
         return None
     return _judge(daemon, _of_call(call))
 
 
 def verdict_of_order(
-    daemon: _state.Daemon, order: _records.Order
+    daemon: _state.Daemon, order: _records.InboundRequest
 ) -> crashes.Verdict | None:
     """Return the same of a request that came for the own upstream."""
-    if not daemon.ledger.crashes:
+    if not daemon.crash_ledger.crashes:
         return None
     return _judge(daemon, _of_order(order))
 
@@ -66,7 +66,7 @@
 
 def trial(verdict: crashes.Verdict | None) -> int:
     """Return after how many strikes a request is tried again, 0 if not."""
-    if verdict is None or verdict.until == -math.inf:
+    if verdict is None or verdict.blocked_until == -math.inf:
         return 0
     return verdict.evidence.strikes
 
@@ -83,7 +83,7 @@
     verdict = verdict_of_call(daemon, call)
     if verdict is None:
         return 0.0
-    return max(0.0, verdict.until - daemon.clock.monotonic())
+    return max(0.0, verdict.blocked_until - daemon.clock.monotonic())
 
 
 def log_fields(fingerprint: int | None) -> dict[str, str]:
@@ -97,19 +97,21 @@
     daemon: _state.Daemon, now: float
 ) -> list[tuple[int, crashes.Verdict]]:
     """Return the requests that may not run freely, and why."""
-    own = daemon.feed.own
+    own = daemon.feed.own_host
     return [
-        (each, crashes.judge(daemon.ledger, each, own, now))
-        for each in daemon.standings
+        (each, crashes.decide_standing(daemon.crash_ledger, each, own, now))
+        for each in daemon.suspect_standings
     ]
 
 
-def completed_here(daemon: _state.Daemon, order: _records.Order) -> None:
+def completed_here(
+    daemon: _state.Daemon, order: _records.InboundRequest
+) -> None:
     """Note that the own upstream has answered a request itself."""
     if len(order.body) <= FAMILIAR_BODY_MAX:
         known = order.method, order.host, order.target, order.body
-        _keep(daemon.familiar, known)
-    if daemon.ledger.crashes:
+        _keep(daemon.completed_requests, known)
+    if daemon.crash_ledger.crashes:
         _clear(daemon, _of_order(order))
 
 
@@ -119,8 +121,8 @@
     if len(request.body) <= FAMILIAR_BODY_MAX:
         host = request.found.get(HOST_KEY, b"")
         known = request.method, host, request.target, request.body
-        _keep(daemon.familiar, known)
-    if daemon.ledger.crashes:
+        _keep(daemon.completed_requests, known)
+    if daemon.crash_ledger.crashes:
         _clear(daemon, _of_call(call))
 
 
@@ -139,41 +141,47 @@
     Worked out only while crashes are known: for each request of a calm day it
     would cost more than all else that is kept of it.
     """
-    if daemon.familiar_prints is None:
-        daemon.familiar_prints = collections.OrderedDict.fromkeys(
-            crashes.fingerprint(*known) for known in daemon.familiar
+    if daemon.completed_fingerprints is None:
+        daemon.completed_fingerprints = collections.OrderedDict.fromkeys(
+            crashes.fingerprint(*known) for known in daemon.completed_requests
         )
-    return daemon.familiar_prints
+    return daemon.completed_fingerprints
 
 
 def _clear(daemon: _state.Daemon, fingerprint: int) -> None:
     _keep(_familiar(daemon), fingerprint)
-    strikes = crashes.evidence(daemon.ledger, fingerprint).strikes
-    if crashes.complete(daemon.ledger, fingerprint):
+    strikes = crashes.evidence_against(
+        daemon.crash_ledger, fingerprint
+    ).strikes
+    if crashes.clear_completed(daemon.crash_ledger, fingerprint):
         urgent = strikes >= URGENT_FROM
         _changed(daemon, {fingerprint}, urgent, "upstream")
 
 
-def note(daemon: _state.Daemon, runs: list[_records.Run], now: float) -> None:
+def record_crash(
+    daemon: _state.Daemon, runs: list[_records.Execution], now: float
+) -> None:
     """Note that the upstream crashed while these requests ran there."""
     if not runs:
         return
-    instance = runs[-1].order.ask.instance
+    instance = runs[-1].request.metadata.instance
     if _is_leaving(daemon, instance):
         return
-    key = instance, views.born(daemon.view, instance)
+    key = instance, views.born_at(daemon.view, instance)
     found = [
         crashes.Run(
-            _of_order(run.order),
+            _of_order(run.request),
             now - run.guard.running.get(run.key, now),
             run.isolated,
         )
         for run in runs
     ]
     familiar = _familiar(daemon)
-    if not crashes.record(daemon.ledger, key, found, familiar, now):
+    if not crashes.record_crash(
+        daemon.crash_ledger, key, found, familiar, now
+    ):
         return
-    _counters.believed(daemon.counters, "instance_crashed")
+    _counters.count_state_change(daemon.counters, "instance_crashed")
     _log_crash(daemon, instance, found)
     touched = {run.fingerprint for run in found}
     _changed(daemon, touched, True, "upstream")
@@ -185,14 +193,15 @@
     """Merge records of crashes from a peer."""
     if not reports:
         return
-    known = len(daemon.ledger.crashes)
+    known = len(daemon.crash_ledger.crashes)
     now = daemon.clock.monotonic()
-    touched = crashes.merge(daemon.ledger, reports, now)
+    touched = crashes.merge_reports(daemon.crash_ledger, reports, now)
     for fingerprint in touched & _familiar(daemon).keys():
-        crashes.mark_familiar(daemon.ledger, fingerprint)
+        crashes.mark_familiar(daemon.crash_ledger, fingerprint)
     if touched:
-        urgent = len(daemon.ledger.crashes) != known or any(
-            crashes.evidence(daemon.ledger, each).strikes >= URGENT_FROM
+        urgent = len(daemon.crash_ledger.crashes) != known or any(
+            crashes.evidence_against(daemon.crash_ledger, each).strikes
+            >= URGENT_FROM
             for each in touched
         )
         _changed(daemon, touched, urgent, f"peer {host}")
@@ -200,17 +209,17 @@
 
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Forget crashes that are long past, and log what may be tried again."""
-    if not daemon.ledger.crashes:
+    if not daemon.crash_ledger.crashes:
         return
-    crashes.expire(daemon.ledger, now)
-    if not daemon.ledger.crashes:
-        daemon.familiar_prints = None
+    crashes.expire(daemon.crash_ledger, now)
+    if not daemon.crash_ledger.crashes:
+        daemon.completed_fingerprints = None
     _log_changes(daemon, set(), "time")
 
 
 def _is_leaving(daemon: _state.Daemon, instance: str) -> bool:
     """Return whether the instance's end was to be expected."""
-    known = views.instance(daemon.view, instance)
+    known = views.instance_by_id(daemon.view, instance)
     if known is None or daemon.leaving:
         return daemon.leaving
     lapsed = instance not in daemon.view.instances
@@ -218,12 +227,12 @@
 
 
 def _judge(daemon: _state.Daemon, fingerprint: int) -> crashes.Verdict:
-    own = daemon.feed.own
+    own = daemon.feed.own_host
     now = daemon.clock.monotonic()
-    return crashes.judge(daemon.ledger, fingerprint, own, now)
+    return crashes.decide_standing(daemon.crash_ledger, fingerprint, own, now)
 
 
-def _of_order(order: _records.Order) -> int:
+def _of_order(order: _records.InboundRequest) -> int:
     if order.fingerprint is None:
         order.fingerprint = crashes.fingerprint(
             order.method, order.host, order.target, order.body
@@ -256,17 +265,19 @@
     daemon: _state.Daemon, touched: set[int], source: str
 ) -> None:
     """Log each request that may be run otherwise than before."""
-    for fingerprint in touched | daemon.standings.keys():
+    for fingerprint in touched | daemon.suspect_standings.keys():
         verdict = _judge(daemon, fingerprint)
-        before = daemon.standings.get(fingerprint, crashes.Standing.FREE)
+        before = daemon.suspect_standings.get(
+            fingerprint, crashes.Standing.FREE
+        )
         if verdict.standing is before:
             continue
         if verdict.standing is crashes.Standing.FREE:
-            del daemon.standings[fingerprint]
+            del daemon.suspect_standings[fingerprint]
         else:
-            daemon.standings[fingerprint] = verdict.standing
+            daemon.suspect_standings[fingerprint] = verdict.standing
         name = _NAMES[verdict.standing]
-        _counters.believed(daemon.counters, name)
+        _counters.count_state_change(daemon.counters, name)
         found = verdict.evidence
         now = daemon.clock.monotonic()
         daemon.journal.request(
@@ -277,10 +288,10 @@
             isolated=found.isolated,
             familiar=found.familiar,
             crashes=",".join(
-                f"{crash.key[0]}:{now - crash.at:.2f}"
+                f"{crash.key[0]}:{now - crash.crashed_at:.2f}"
                 for crash in found.crashes[-CRASHES_SHOWN:]
             ),
-            blocked_for=max(0.0, verdict.until - now),
+            blocked_for=max(0.0, verdict.blocked_until - now),
         )
 
 
@@ -288,13 +299,13 @@
     daemon: _state.Daemon, instance: str, runs: list[crashes.Run]
 ) -> None:
     strikes = {
-        run.fingerprint: crashes.evidence(
-            daemon.ledger, run.fingerprint
+        run.fingerprint: crashes.evidence_against(
+            daemon.crash_ledger, run.fingerprint
         ).strikes
         for run in runs
     }
     ordered = sorted(
-        runs, key=lambda run: (-strikes[run.fingerprint], run.seconds)
+        runs, key=lambda run: (-strikes[run.fingerprint], run.elapsed_seconds)
     )
     daemon.journal.note(
         "instance_crashed",
@@ -302,7 +313,7 @@
         runs=len(runs),
         requests=",".join(
             f"{crashes.format_fingerprint(run.fingerprint)}"
-            f":{strikes[run.fingerprint]}:{run.seconds:.3f}"
+            f":{strikes[run.fingerprint]}:{run.elapsed_seconds:.3f}"
             for run in ordered[:SHOWN_MAX]
         ),
     )
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -44,13 +44,17 @@
     keep its whole domain behind. It asks several: any may be up to date.
     """
     while True:
-        pause = daemon.feed.timing.compare * (0.5 + daemon.rng.random())
+        pause = daemon.feed.timing.compare_interval * (
+            0.5 + daemon.rng.random()
+        )
         await asyncio.sleep(pause)
-        if not feeds.reads(daemon.feed):
+        if not feeds.reads_store(daemon.feed):
             continue
         others = daemon.foreign_readers
         now = daemon.clock.monotonic()
-        deaf = feeds.is_stalled(daemon.feed, daemon.view.answered, now)
+        deaf = feeds.is_stalled(
+            daemon.feed, daemon.view.store_answered_at, now
+        )
         count = min(len(others), ASKED_WHEN_DEAF if deaf else 1)
         for host in daemon.rng.sample(others, count):
             ping(daemon, host, _crash_updates.field(daemon, host))
@@ -58,23 +62,23 @@
 
 def heard(daemon: _state.Daemon, host: str, content: int) -> None:
     """Note what a peer knows; ask it if that stays more for a moment."""
-    if daemon.pulling or not views.is_behind(daemon.view, content):
+    if daemon.pulled_hosts or not views.is_behind(daemon.view, content):
         return
-    daemon.pulling.add(host)
+    daemon.pulled_hosts.add(host)
     now = daemon.clock.monotonic()
-    known = views.knows(daemon.view)
-    heard_at = daemon.view.answered
-    wait = feeds.patience(daemon.feed, heard_at, now) if known else 0.0
+    known = views.knows_policy(daemon.view)
+    heard_at = daemon.view.store_answered_at
+    wait = feeds.peer_ahead_limit(daemon.feed, heard_at, now) if known else 0.0
     asyncio.get_running_loop().call_later(
         wait, _pull_if_behind, daemon, host, content
     )
 
 
 def _is_lost(daemon: _state.Daemon) -> bool:
-    if not views.knows(daemon.view):
+    if not views.knows_policy(daemon.view):
         return True
-    lost = views.lost_seconds(daemon.view, daemon.clock.monotonic())
-    return lost is not None and feeds.reads(daemon.feed)
+    lost = views.lost_store_seconds(daemon.view, daemon.clock.monotonic())
+    return lost is not None and feeds.reads_store(daemon.feed)
 
 
 def _ask_others(daemon: _state.Daemon) -> None:
@@ -85,14 +89,16 @@
     port = daemon.settings.daemons.port
     asked = {
         _dialect.Address(host, port)
-        for host in feeds.readers({*daemon.feed.hosts, daemon.feed.own})
-        if host != daemon.feed.own
+        for host in feeds.reader_hosts(
+            {*daemon.feed.hosts, daemon.feed.own_host}
+        )
+        if host != daemon.feed.own_host
     }
     others = _elsewhere(daemon)
     if others:
         asked.add(others[int(daemon.rng.random() * len(others))])
     for address in sorted(asked, key=str):
-        if address.host not in daemon.pulling:
+        if address.host not in daemon.pulled_hosts:
             _pull(daemon, address)
 
 
@@ -130,14 +136,16 @@
         return
     _crash_updates.receive(daemon, host, result.found)
     try:
-        state = _wire.decode_state(result.found.get(_wire.STATE_KEY, b""))
+        state = _wire.decode_state(
+            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+        )
         field = result.found.get(_feed_wire.KEY)
         if field is not None and not views.is_behind(
             daemon.view, state.content
         ):
             status, _ = _feed_wire.decode_answer(field, b"")
             now = daemon.clock.monotonic()
-            views.note_age(daemon.view, status.age, now)
+            views.note_peer_age(daemon.view, status.age_seconds, now)
         _confirmations.receive(daemon, result.found, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
@@ -146,14 +154,14 @@
 
 
 def _pull_if_behind(daemon: _state.Daemon, host: str, content: int) -> None:
-    daemon.pulling.discard(host)
+    daemon.pulled_hosts.discard(host)
     if views.is_behind(daemon.view, content):
         _pull(daemon, _dialect.Address(host, daemon.settings.daemons.port))
 
 
 def _pull(daemon: _state.Daemon, address: _dialect.Address) -> None:
     """Ask a daemon for what it knows more."""
-    daemon.pulling.add(address.host)
+    daemon.pulled_hosts.add(address.host)
     told = _crash_updates.field(daemon, address.host)
     head = _feed_wire.poll_head(address.host, daemon.view.revision, 0.0, told)
     asked_at = daemon.clock.monotonic()
@@ -173,7 +181,7 @@
 
 def _pull_timeout(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
     if _give_up(job):
-        daemon.pulling.discard(host)
+        daemon.pulled_hosts.discard(host)
 
 
 def _give_up(job: httpio.Job) -> bool:
@@ -190,7 +198,7 @@
     asked_at: float,
     result: httpio.Response | httpio.Failure,
 ) -> None:
-    daemon.pulling.discard(host)
+    daemon.pulled_hosts.discard(host)
     if isinstance(result, httpio.Failure) or result.status != 200:
         return
     _crash_updates.receive(daemon, host, result.found)
@@ -200,11 +208,11 @@
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
-    doubtful = feeds.reads(daemon.feed) and not _is_lost(daemon)
+    doubtful = feeds.reads_store(daemon.feed) and not _is_lost(daemon)
     if news and doubtful:
         # The own watch should have told it.
-        feeds.doubt(daemon.feed, daemon.clock.monotonic())
-        daemon.woken.set()
+        feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
+        daemon.feed_woken.set()
 
 
 def _take(daemon: _state.Daemon, host: str, result: httpio.Response) -> bool:
@@ -214,6 +222,8 @@
         return _learning.take_delta(daemon, status, delta, host)
     # A daemon of the version before tells all that it knows.
     snapshot = _feed_wire.decode_snapshot(result.body)
-    told = views.adopt(daemon.view, snapshot, daemon.clock.monotonic())
+    told = views.adopt_snapshot(
+        daemon.view, snapshot, daemon.clock.monotonic()
+    )
     _learning.learned(daemon, told, f"peer {host}")
     return bool(told)
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -43,13 +43,13 @@
         if settled and _is_first(daemon) and _has_limits(daemon):
             activate(daemon, now)
         return
-    if now - allocation.ticked < TICK_SECONDS:
+    if now - allocation.ticked_at < TICK_SECONDS:
         return
-    allocation.ticked = now
+    allocation.ticked_at = now
     _use_policy(daemon, allocation, now)
     allocator = allocation.allocator
-    idle = now - allocation.asked >= IDLE_SECONDS
-    if idle and allocator.shares.occupied and not _is_first(daemon):
+    idle = now - allocation.asked_at >= IDLE_SECONDS
+    if idle and allocator.shares.other_allocator and not _is_first(daemon):
         daemon.allocation = None
         return
     quotas.tick(allocator, now)
@@ -64,8 +64,10 @@
         return daemon.allocation
     domain = daemon.settings.failure_domain
     domains = {*daemon.settings.regions, domain}
-    mark = daemon.mark.decode("latin-1")
-    shares = quotas.new_shares(domain, daemon.feed.own, mark, domains, now)
+    mark = daemon.process_mark.decode("latin-1")
+    shares = quotas.new_shares(
+        domain, daemon.feed.own_host, mark, domains, now
+    )
     allocation = _tokens.Allocation(quotas.new_allocator(shares))
     daemon.allocation = allocation
     daemon.journal.note("allocator_started", domain=domain)
@@ -75,16 +77,20 @@
     return allocation
 
 
-def serve_ask(daemon: _state.Daemon, asked: quotas.Ask) -> quotas.Granted:
+def serve_ask(
+    daemon: _state.Daemon, asked: quotas.AllocationRequest
+) -> quotas.GrantResponse:
     """Return tokens for a daemon of the own domain."""
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
-    allocation.asked = now
+    allocation.asked_at = now
     _use_policy(daemon, allocation, now)
     allocator = allocation.allocator
-    if allocator.shares.occupied:
-        return quotas.Granted(allocator.shares.occupied, ())
-    return quotas.Granted("", quotas.ask(allocator, asked, now))
+    if allocator.shares.other_allocator:
+        return quotas.GrantResponse(allocator.shares.other_allocator, ())
+    return quotas.GrantResponse(
+        "", quotas.answer_request(allocator, asked, now)
+    )
 
 
 def serve(
@@ -92,10 +98,10 @@
 ) -> None:
     """Answer a message of another daemon."""
     body = exchange.request.body
-    answer: quotas.Granted | quotas.Acknowledged
+    answer: quotas.GrantResponse | quotas.Acknowledgement
     try:
         if path == _quota_wire.ASK_PATH:
-            asked = _quota_wire.decode(body, quotas.Ask)
+            asked = _quota_wire.decode(body, quotas.AllocationRequest)
             answer = serve_ask(daemon, asked)
         else:
             update = _quota_wire.decode(body, quotas.Update)
@@ -109,24 +115,24 @@
 
 def _receive(
     daemon: _state.Daemon, update: quotas.Update
-) -> quotas.Acknowledged:
+) -> quotas.Acknowledgement:
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
     allocator = allocation.allocator
     shares = allocator.shares
-    if shares.occupied:
-        redirect = shares.occupied
-        return quotas.Acknowledged(shares.mark, redirect, "", True, {})
-    quotas.before_change(allocator, now)
-    answer = quotas.receive(shares, update, now)
+    if shares.other_allocator:
+        redirect = shares.other_allocator
+        return quotas.Acknowledgement(shares.mark, redirect, "", True, {})
+    quotas.fill_buckets(allocator, now)
+    answer = quotas.receive_update(shares, update, now)
     if not answer.occupied:
-        allocation.contacts[update.domain] = update.host
+        allocation.peer_allocators[update.domain] = update.host
     return answer
 
 
 def _is_first(daemon: _state.Daemon) -> bool:
     feed = daemon.feed
-    return feed.known and not feed.before
+    return feed.known and not feed.earlier_hosts
 
 
 def _has_limits(daemon: _state.Daemon) -> bool:
@@ -139,13 +145,13 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, now: float
 ) -> None:
     version = views.active_version(daemon.view)
-    if version == allocation.policy or daemon.view.table is None:
+    if version == allocation.policy_version or daemon.view.table is None:
         return
-    allocation.policy = version
+    allocation.policy_version = version
     rules = daemon.settings.bounds.quota
     customers = daemon.view.table.policy.customers or ()
     limits = {
-        customer.name: quotas.limit_of(customer, rules)
+        customer.name: quotas.limit_with_tolerance(customer, rules)
         for customer in customers
     }
     quotas.set_limits(allocation.allocator, limits, now)
@@ -158,12 +164,12 @@
 def _adopt(
     daemon: _state.Daemon, allocator: quotas.Allocator, now: float
 ) -> None:
-    quotas.before_change(allocator, now)
-    if quotas.adopt(allocator.shares, now):
+    quotas.fill_buckets(allocator, now)
+    if quotas.adopt_share(allocator.shares, now):
         daemon.journal.note(
             "shares_adopted",
             domain=allocator.shares.domain,
-            waited=now - allocator.shares.began,
+            waited=now - allocator.shares.adopting_since,
         )
 
 
@@ -172,9 +178,9 @@
 ) -> None:
     shares = allocation.allocator.shares
     for domain in shares.peers:
-        since = now - allocation.updated.get(domain, -math.inf)
-        due = since >= UPDATE_SECONDS or quotas.has_news(shares, domain)
-        if due and domain not in allocation.updating:
+        since = now - allocation.updated_at.get(domain, -math.inf)
+        due = since >= UPDATE_SECONDS or quotas.has_changes(shares, domain)
+        if due and domain not in allocation.updates_in_flight:
             _update(daemon, allocation, domain, now)
 
 
@@ -187,8 +193,8 @@
     host = _contact(daemon, allocation, domain)
     if not host:
         return
-    allocation.updating.add(domain)
-    allocation.updated[domain] = now
+    allocation.updates_in_flight.add(domain)
+    allocation.updated_at[domain] = now
     update = quotas.update_for(allocation.allocator.shares, domain)
     body = _quota_wire.encode(update)
     head = httpio.request_head(
@@ -209,14 +215,14 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, domain: str
 ) -> str:
     """Return the host that allocates for a domain, or the next to try."""
-    known = allocation.contacts.get(domain)
+    known = allocation.peer_allocators.get(domain)
     if known is not None:
         return known
     hosts = views.hosts_by_domain(daemon.view).get(domain, frozenset())
-    first = feeds.readers(hosts)
+    first = feeds.reader_hosts(hosts)
     if not first:
         return ""
-    return first[allocation.tried.get(domain, 0) % len(first)]
+    return first[allocation.failed_contacts.get(domain, 0) % len(first)]
 
 
 def _give_up(
@@ -238,32 +244,36 @@
     update: quotas.Update,
     result: httpio.Response | httpio.Failure,
 ) -> None:
-    allocation.updating.discard(domain)
+    allocation.updates_in_flight.discard(domain)
     answer = _decoded(daemon, result)
     if answer is None:
-        allocation.contacts.pop(domain, None)
-        allocation.tried[domain] = allocation.tried.get(domain, 0) + 1
+        allocation.peer_allocators.pop(domain, None)
+        allocation.failed_contacts[domain] = (
+            allocation.failed_contacts.get(domain, 0) + 1
+        )
         return
     if answer.redirect:
-        allocation.contacts[domain] = answer.redirect
+        allocation.peer_allocators[domain] = answer.redirect
         return
     now = daemon.clock.monotonic()
     allocator = allocation.allocator
-    quotas.before_change(allocator, now)
+    quotas.fill_buckets(allocator, now)
     held = not allocator.shares.adopting
-    quotas.acknowledged(allocator.shares, domain, update, answer, now)
+    quotas.accept_acknowledgement(
+        allocator.shares, domain, update, answer, now
+    )
     if held and allocator.shares.adopting:
-        daemon.journal.note("shares_lost", to=allocator.shares.occupied)
+        daemon.journal.note("shares_lost", to=allocator.shares.other_allocator)
     _adopt(daemon, allocator, now)
 
 
 def _decoded(
     daemon: _state.Daemon, result: httpio.Response | httpio.Failure
-) -> quotas.Acknowledged | None:
+) -> quotas.Acknowledgement | None:
     if isinstance(result, httpio.Failure) or result.status != 200:
         return None
     try:
-        return _quota_wire.decode(result.body, quotas.Acknowledged)
+        return _quota_wire.decode(result.body, quotas.Acknowledgement)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         return None
--- a/src/sassafrasstair/platform/_store.py
+++ b/src/sassafrasstair/platform/_store.py
@@ -82,7 +82,7 @@
         first: _Range | None = None
         era = 0
         read: list[_items.Item] = []
-        unread: list[forwarding.Refusal] = []
+        unread: list[forwarding.RefusedItem] = []
         for _ in range(PAGES_MAX):
             query = {"prefix": ""} | ({"after": after} if after else {})
             if stale:
@@ -108,7 +108,7 @@
                 )
             after = last
         number = 0 if first is None else first.store_revision
-        revision = views.revision(era, number)
+        revision = views.pack_revision(era, number)
         changes, refused = _items.changes(read, self._regions)
         return forwarding.Reading(
             changes, revision, revision, True, (*unread, *refused)
@@ -118,23 +118,23 @@
         """Wait for changes after a revision; raises ``SourceError``."""
         query = {
             "prefix": "",
-            "after": str(views.number(after)),
+            "after": str(views.number_in_era(after)),
             "wait_ms": str(int(wait * 1000)),
         }
         answer = await self._call("watch", query, wait + CALL_SECONDS)
-        if answer.era != views.era(after):
+        if answer.era != views.era_of(after):
             raise forwarding.SourceError(
                 forwarding.SourceReason.HISTORY_GONE, "watch: another era"
             )
         told = _decoded(_WATCH, answer.body)
-        unread: list[forwarding.Refusal] = []
+        unread: list[forwarding.RefusedItem] = []
         events = _read_items(told.events, unread)
         content = max((event.revision for event in events), default=-1)
         changes, refused = _items.changes(events, self._regions)
         return forwarding.Reading(
             changes,
-            views.revision(answer.era, max(told.store_revision, content)),
-            views.revision(answer.era, content) if events else -1,
+            views.pack_revision(answer.era, max(told.store_revision, content)),
+            views.pack_revision(answer.era, content) if events else -1,
             False,
             (*unread, *refused),
         )
@@ -143,15 +143,15 @@
         """Return the latest policy; raises ``SourceError``."""
         query = {"key": _documents.POLICY_KEY}
         answer = await self._call("key", query, CALL_SECONDS)
-        unread: list[forwarding.Refusal] = []
+        unread: list[forwarding.RefusedItem] = []
         items = _read_items([msgspec.Raw(answer.body)], unread)
         content = max((item.revision for item in items), default=-1)
         number = _decoded(_KEY, answer.body).store_revision
         changes, refused = _items.changes(items, self._regions)
         return forwarding.Reading(
             changes,
-            views.revision(answer.era, number),
-            views.revision(answer.era, content) if items else -1,
+            views.pack_revision(answer.era, number),
+            views.pack_revision(answer.era, content) if items else -1,
             False,
             (*unread, *refused),
         )
@@ -163,7 +163,7 @@
             query["allow_stale"] = "1"
         answer = await self._call("range", query, CALL_SECONDS, fresh)
         number = _decoded(_RANGE, answer.body).store_revision
-        return views.revision(answer.era, number)
+        return views.pack_revision(answer.era, number)
 
     def close(self) -> None:
         """Close all connections."""
@@ -219,7 +219,7 @@
 
 
 def _read_items(
-    found: abc.Iterable[msgspec.Raw], unread: list[forwarding.Refusal]
+    found: abc.Iterable[msgspec.Raw], unread: list[forwarding.RefusedItem]
 ) -> list[_items.Item]:
     """Return the items that can be read; ``unread`` gets the others."""
     read = []
@@ -227,7 +227,7 @@
         try:
             read.append(_items.read(raw))
         except _items.ItemError as error:
-            unread.append(forwarding.Refusal("", 0, str(error)))
+            unread.append(forwarding.RefusedItem("", 0, str(error)))
     return read
 
 
--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -22,7 +22,7 @@
 
 def customer(name: str, rate: float, burst: float) -> policies.Customer:
     """Return a customer with a limit."""
-    key = policies.digest(name.encode())
+    key = policies.digest_key(name.encode())
     return policies.Customer(name, (key,), rate, burst)
 
 
@@ -113,4 +113,6 @@
 def bound(rate: float, burst: float) -> float:
     """Return how many requests may run in a window of the rules."""
     allowed = rate * RULES.window_seconds + burst
-    return allowed * (1.0 + RULES.over) + RULES.slack
+    return (
+        allowed * (1.0 + RULES.relative_tolerance) + RULES.absolute_tolerance
+    )
--- a/tests/forwarding/test_customers.py
+++ b/tests/forwarding/test_customers.py
@@ -11,12 +11,12 @@
 from sassafrasstair.decisions import policies
 from tests.forwarding import place as place_module
 
-Place = place_module.Place
+Place = place_module.Cluster
 ONE, OTHER, _ = place_module.HOSTS
 KEY, OTHER_KEY = b"key-of-one", b"key-of-two"
 CUSTOMERS = (
-    policies.Customer("one", (policies.digest(KEY),)),
-    policies.Customer("two", (policies.digest(OTHER_KEY),)),
+    policies.Customer("one", (policies.digest_key(KEY),)),
+    policies.Customer("two", (policies.digest_key(OTHER_KEY),)),
 )
 CLOSED = place_module.route("/s/", "s")
 OPEN = dataclasses.replace(
@@ -100,9 +100,9 @@
     ("key", "customer"),
     [
         (None, None),
-        (policies.digest(KEY).hex().encode(), b"one"),
+        (policies.digest_key(KEY).hex().encode(), b"one"),
         (b"one", None),
-        (policies.digest(b"no-such-key").hex().encode(), None),
+        (policies.digest_key(b"no-such-key").hex().encode(), None),
     ],
 )
 def test_daemons_port_lets_nobody_name_a_customer(
@@ -212,7 +212,7 @@
     """What an instance refused was charged to its customer's quota."""
 
     async def refuse(
-        got: place_module.Got, writer: asyncio.StreamWriter
+        got: place_module.ReceivedRequest, writer: asyncio.StreamWriter
     ) -> None:
         writer.write(
             b"HTTP/1.1 503 No\r\nX-Request: %s\r\nX-Not-Run: 1\r\n"
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -195,15 +195,15 @@
 
 
 def _ask() -> Codec:
-    ask = _wire.Ask(9, "i-1", "r", 7.25, 1.5, 0.25)
+    ask = _wire.RequestMetadata(9, "i-1", "r", 7.25, 1.5, 0.25)
     return Codec(
-        lambda: _wire.encode_ask(ask),
-        lambda data: _wire.encode_ask(_wire.decode_ask(data)),
+        lambda: _wire.encode_metadata(ask),
+        lambda data: _wire.encode_metadata(_wire.decode_metadata(data)),
     )
 
 
 def _state() -> Codec:
-    state = _wire.State(
+    state = _wire.CalleeState(
         9,
         True,
         calls.LoadReport(0.5, 0.0, 8.0, 0.25),
@@ -451,10 +451,10 @@
     "snapshot": _snapshot(),
     "crash records": _crash_records(),
     "quota ask": _quota(
-        quotas.Ask("10.0.0.5", (quotas.Need("c", 4.5, 3, 7),))
+        quotas.AllocationRequest("10.0.0.5", (quotas.Need("c", 4.5, 3, 7),))
     ),
     "quota granted": _quota(
-        quotas.Granted("10.0.0.6", (quotas.Grant("c", 7, 0.5),))
+        quotas.GrantResponse("10.0.0.6", (quotas.Grant("c", 7, 0.5),))
     ),
     "quota update": _quota(
         quotas.Update(
@@ -462,7 +462,7 @@
         )
     ),
     "quota acknowledged": _quota(
-        quotas.Acknowledged("m", "10.0.0.6", "10.0.0.7", True, {"c": 0.25})
+        quotas.Acknowledgement("m", "10.0.0.6", "10.0.0.7", True, {"c": 0.25})
     ),
     "bundle": _bundle(),
     "envelope": _envelope(),
