--- a/src/sassafrasstair/decisions/calls/_entrances.py
+++ b/src/sassafrasstair/decisions/calls/_entrances.py
@@ -1,9 +1,10 @@
-"""The entrance: from a caller's request to its one final answer.
+"""The entrance: handles a call from its arrival to its one final answer.
 
-The daemon that a caller calls is the entrance for that call. It refuses
-what would be refused further down, picks the instance, and retries within
-the chain's allowance. Once-only work goes to its ticket's owner alone and
-is never retried.
+The daemon that receives a call from a caller is the entrance for that call.
+It refuses calls that would be refused further down the chain, picks the
+instance for each attempt, and retries as often as the chain's retry limit
+allows. Once-only calls go to the owner of their ticket alone, and are not
+retried after an attempt that may have run.
 """
 
 from __future__ import annotations
@@ -31,7 +32,11 @@
 class PendingCall:
     """One call under way at this entrance.
 
-    ``lost`` is set once an attempt ended without its outcome known.
+    ``may_have_run`` is set once an attempt ended without a known outcome.
+    ``tried`` are the VMs of all attempts, the latest last; ``attempt_id``
+    and ``sent_at`` belong to the latest one, and ``retries_granted`` is how
+    many retries it may use further down. ``retries_spent`` counts the
+    retries used so far, here and further down.
     """
 
     call: _messages.Call
@@ -46,7 +51,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Entrance:
-    """State of an entrance: calls under way, floors, budgets, routes."""
+    """State of an entrance.
+
+    ``routes`` is the state of the instances that it calls. ``pending`` are
+    the calls under way by their keys, ``floors`` the shed floors that
+    callees reported, and ``budgets`` the retry budgets by callee service.
+    ``serial`` numbers the calls.
+    """
 
     incarnation: str
     routes: _peers.Routes
@@ -61,7 +72,7 @@
 def new_entrance(
     incarnation: str, failure_domain: str, region: str
 ) -> Entrance:
-    """Return an entrance that has seen nothing yet."""
+    """Return the state of an entrance without any calls."""
     return Entrance(incarnation, _peers.Routes(failure_domain, region))
 
 
@@ -73,22 +84,24 @@
     now: float,
     rng: random.Random,
 ) -> tuple[str, _messages.Effect]:
-    """Take a call; return its key at this entrance and what to do.
+    """Accept or refuse a call; return its key and what to do.
 
-    The key is needed for ``answered``. It is the caller's job to have
-    checked that the bundle knows the service and the class.
+    The key identifies the call in ``apply_answer`` and ``abandon_call``; it
+    is empty if the call is refused. The bundle must contain the service and
+    the class, which this function does not check.
     """
     rules = bundle.classes[call.request_class]
     if now >= call.deadline:
         return "", _refuse(rules, call, outcomes.Reason.DEADLINE_PASSED, rng)
     if call.repeat > rules.caller_repeats:
         return "", _refuse(rules, call, outcomes.Reason.TOO_MANY_REPEATS, rng)
-    # The bundle's version is the one epoch that all daemons agree on.
+    # The version of the bundle serves as the epoch of the rank because all
+    # daemons agree on it.
     rank = load.rank(rules.importance, call.caller, bundle.version)
-    least = _floors.of_service(entrance.floors, _floor_key(call), now)
-    if not call.ticket and rank < least:
+    lowest_floor = _floors.of_service(entrance.floors, _floor_key(call), now)
+    if not call.ticket and rank < lowest_floor:
         reason = outcomes.Reason.SHED_AT_ENTRANCE
-        return "", _refuse(rules, call, reason, rng, least)
+        return "", _refuse(rules, call, reason, rng, lowest_floor)
     entrance.serial += 1
     key = f"{entrance.incarnation}.{entrance.serial}"
     pending = PendingCall(call, rank)
@@ -110,7 +123,10 @@
     now: float,
     rng: random.Random,
 ) -> _messages.Effect | None:
-    """Take the end of an attempt; None if it is late or doubled."""
+    """Process the end of an attempt and return what to do.
+
+    Returns None if the answer is late or a duplicate.
+    """
     pending = entrance.pending.get(key)
     if pending is None or pending.attempt_id != attempt_id:
         return None
@@ -118,9 +134,11 @@
     vm = pending.tried[-1]
     _peers.end_attempt(entrance.routes, vm, answer, now - pending.sent_at, now)
     if answer.incarnation:
-        key_of_floor = _floor_key(call)
-        told = answer.load.floor
-        _floors.observe_floor(entrance.floors, key_of_floor, vm, told, now)
+        floor_key = _floor_key(call)
+        reported_floor = answer.load.floor
+        _floors.observe_floor(
+            entrance.floors, floor_key, vm, reported_floor, now
+        )
     pending.retries_spent += _retries_spent(pending, answer)
     lost = answer.outcome is outcomes.Outcome.UNKNOWN
     pending.may_have_run = pending.may_have_run or lost
@@ -147,7 +165,10 @@
 
 
 def abandon_call(entrance: Entrance, key: str, now: float) -> str:
-    """Forget a call whose caller went away; return its attempt or ""."""
+    """Remove a call whose caller has gone away.
+
+    Returns the id of the attempt under way, or "" if the call is unknown.
+    """
     pending = entrance.pending.pop(key, None)
     if pending is None:
         return ""
@@ -162,7 +183,7 @@
     now: float,
     tenant: str = "",
 ) -> float:
-    """Return the floor that ``service`` last told for the class."""
+    """Return the shed floor that ``service`` reported for the class."""
     key = (service, request_class, tenant)
     return _floors.of_service(entrance.floors, key, now)
 
@@ -175,11 +196,12 @@
     now: float,
     tenant: str = "",
 ) -> float:
-    """Return the greatest floor of what ``service`` itself calls.
+    """Return the highest shed floor of the services that ``service`` calls.
 
-    A daemon tells the greater of this and its guard's floor on answers, so
-    that the refusal moves to the first entrance. The service's own floors
-    are left out: its instances would tell each other an old floor for ever.
+    A daemon reports the higher of this and its guard's floor in its answers,
+    so that calls are refused at the first entrance of the chain. The floors
+    of ``service`` itself are left out: its instances would otherwise keep
+    reporting an old floor to each other forever.
     """
     callees = bundle.services[service].calls
     return max(
@@ -205,12 +227,12 @@
     rng: random.Random,
 ) -> _messages.Send | None:
     call = pending.call
-    refusing = _floors.refusing_vms(
+    refusing_vms = _floors.refusing_vms(
         entrance.floors, _floor_key(call), pending.rank, now
     )
-    passing = [target for target in targets if target.vm not in refusing]
+    accepting = [target for target in targets if target.vm not in refusing_vms]
     target = _routing.pick_target(
-        entrance.routes, passing or targets, pending.tried, now, rng
+        entrance.routes, accepting or targets, pending.tried, now, rng
     )
     if target is None:
         return None
@@ -227,10 +249,10 @@
 
 
 def _retries_spent(pending: PendingCall, answer: _messages.Answer) -> int:
-    """Return the retries used further down.
+    """Return the retries that an attempt used further down the chain.
 
-    An attempt that was lost may have used all that it was given: less
-    would let the chain make more than its allowance.
+    An attempt whose daemon did not answer may have used all retries granted
+    to it. Counting fewer would let the chain exceed its retry limit.
     """
     lost = answer.outcome is outcomes.Outcome.UNKNOWN
     if lost and not answer.incarnation:
@@ -241,15 +263,15 @@
 def _final_outcome(
     pending: PendingCall, answer: _messages.Answer
 ) -> outcomes.Outcome:
-    """Return what the caller may be told of a call that failed.
+    """Return the outcome to report to the caller of a failed call.
 
-    Failure: the first attempt ran and was lost, the second was refused,
-    and the caller was told "not run". One lost attempt leaves the whole
-    call unknown.
+    One attempt with an unknown outcome makes the whole call unknown: it may
+    have run, even if a later attempt was refused.
 
-    Failure: a repeat cannot reach its ticket's owner, its caller is told
-    "not run", and the earlier use, still on its way, runs. Without the
-    owner's own word "not run" holds for a first use alone.
+    If a repeat of a once-only call can't reach the owner of its ticket, the
+    request with the earlier use of the ticket may still arrive and run.
+    Unless the owner itself reported "not run", this outcome is therefore
+    correct only for the first use of a ticket.
     """
     if pending.may_have_run:
         return outcomes.Outcome.UNKNOWN
@@ -292,7 +314,11 @@
     answer: _messages.Answer,
     rng: random.Random,
 ) -> float:
-    """Return the Retry-After in seconds, the entrance's own if greater."""
+    """Return the Retry-After in seconds.
+
+    After a refusal for overload, it is the greater one of the callee's time
+    and the entrance's own.
+    """
     rules = bundle.classes[call.request_class]
     if answer.reason not in outcomes.OVERLOAD_REASONS:
         return answer.retry_after
@@ -307,8 +333,8 @@
     rng: random.Random,
     floor: float = 0.0,
 ) -> _messages.Refuse:
-    after = _retries.retry_after(rules.refusal, call.repeat, rng)
+    retry_after = _retries.retry_after(rules.refusal, call.repeat, rng)
     outcome = outcomes.Outcome.NOT_RUN
     if call.ticket:
         outcome = once.entrance_refusal(call.repeat, reason).outcome
-    return _messages.Refuse(outcome, reason, after, floor=floor)
+    return _messages.Refuse(outcome, reason, retry_after, floor=floor)
--- a/src/sassafrasstair/decisions/calls/_floors.py
+++ b/src/sassafrasstair/decisions/calls/_floors.py
@@ -1,11 +1,15 @@
-"""The shed floors that an entrance has heard from its callees."""
+"""The shed floors that callees have reported to an entrance.
+
+A shed floor is the rank below which an instance refuses requests.
+"""
 
 from __future__ import annotations
 
 import dataclasses
 
-# A floor holds this long after it was heard, and then falls: the first
-# request that passes again brings the next word, or finds the load gone.
+# A floor stays at its value for HOLD_SECONDS after it was reported and then
+# falls by FALL_PER_SECOND. The first request that passes again either brings
+# a new floor or shows that the load is gone.
 HOLD_SECONDS = 0.25
 FALL_PER_SECOND = 10.0
 FORGET_SECONDS = 1.0
@@ -13,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Floor:
-    """Shed floor last heard from an instance for a class, and when."""
+    """The last shed floor that an instance reported, and when it did."""
 
     value: float
     heard_at: float
@@ -21,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Floors:
-    """Floors by (service, class, tenant), then by VM."""
+    """Shed floors by (service, class, tenant), then by VM."""
 
     by_class: dict[tuple[str, str, str], dict[str, Floor]] = dataclasses.field(
         default_factory=dict
@@ -35,26 +39,27 @@
     value: float,
     now: float,
 ) -> None:
-    """Note the floor that came with an answer of ``vm``."""
+    """Record the floor that came with an answer from ``vm``."""
     floors.by_class.setdefault(key, {})[vm] = Floor(value, now)
 
 
 def decayed(floor: Floor, now: float) -> float:
-    """Return what the floor still counts for."""
-    stale = max(0.0, now - floor.heard_at - HOLD_SECONDS)
-    return max(0.0, floor.value - FALL_PER_SECOND * stale)
+    """Return the floor after its decay since it was reported."""
+    elapsed = max(0.0, now - floor.heard_at - HOLD_SECONDS)
+    return max(0.0, floor.value - FALL_PER_SECOND * elapsed)
 
 
 def of_service(floors: Floors, key: tuple[str, str, str], now: float) -> float:
-    """Return the least floor among the instances heard lately.
+    """Return the lowest floor among the instances that reported recently.
 
-    The least, because routing can send the request to that instance.
+    The lowest counts because routing can send the request to that instance.
     """
     heard = floors.by_class.get(key)
     if not heard:
         return 0.0
     for vm in [vm for vm, floor in heard.items() if _is_old(floor, now)]:
-        # An instance that left would else count as one without a floor.
+        # The floor of an instance that has left would decay to 0 and then
+        # be the lowest, as if that instance still accepted everything.
         del heard[vm]
     if not heard:
         del floors.by_class[key]
@@ -67,7 +72,7 @@
     rank: float,
     now: float,
 ) -> frozenset[str]:
-    """Return the VMs that would refuse the rank by the floors heard."""
+    """Return the VMs whose reported floor is above the rank."""
     heard = floors.by_class.get(key, {})
     return frozenset(
         vm for vm, floor in heard.items() if rank < decayed(floor, now)
--- a/src/sassafrasstair/decisions/calls/_messages.py
+++ b/src/sassafrasstair/decisions/calls/_messages.py
@@ -1,8 +1,8 @@
-"""What the entrance decides with: calls, attempts, answers and effects.
+"""Inputs and effects of an entrance: calls, targets, answers and effects.
 
-All instants are float seconds of the local monotonic clock; all durations
-are float seconds. Nothing here crosses a process border: the ``daemons``
-package carries the remaining time, never an instant.
+All instants are float seconds of the local monotonic clock, and all
+durations are float seconds. None of these types leaves the process: on the
+wire, the ``daemons`` package sends the remaining time instead of an instant.
 """
 
 from __future__ import annotations
@@ -14,13 +14,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One caller's request as the entrance took it.
+    """A caller's request as the entrance received it.
 
     ``call_id`` names the root request of the chain and is the same at each
-    hop. ``caller`` is the stable identity that shedding hashes, so that one
-    caller's requests live or die together. ``repeat`` counts the caller's
-    own repeats, from 0. ``retries`` is what is left of the chain's
-    allowance. ``ticket`` is empty unless the class is once-only.
+    hop. ``caller`` is the stable identity that load shedding hashes, so that
+    the requests of one caller are admitted or refused together. ``repeat``
+    counts the caller's own repeats, from 0. ``retries`` is the number of
+    retries that the chain has left, and ``depth`` the number of hops before
+    this one. ``ticket`` is empty unless the class is once-only.
     """
 
     call_id: str
@@ -47,13 +48,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a callee's daemon says of itself on each answer.
+    """The load that a callee's daemon reports with each answer.
 
-    ``busy`` is the share of its limit in use, queue included (may pass
-    1.0). ``floor`` is the shed floor for the answered class: a rank below
-    it is refused there or further down the chain (see ``load.rank``).
-    ``limit`` is the concurrency limit that ``busy`` is a share of, and
-    ``service`` the usual seconds of service; 0 means not told.
+    ``busy`` is the share of the concurrency limit in use, with queued work
+    included, so that it may exceed 1.0. ``floor`` is the shed floor for the
+    class of the request: a lower rank is refused at this instance or further
+    down the chain (see ``load.rank``). ``limit`` is the concurrency limit,
+    and ``service_seconds`` the usual service time; 0 means not reported.
     """
 
     busy: float = 0.0
@@ -66,8 +67,9 @@
 class Answer:
     """The end of one attempt, as the entrance's transport reports it.
 
-    ``spent`` is how many retries were used further down. ``incarnation``
-    is that of the callee's daemon, empty when it never answered.
+    ``retries_spent`` is the number of retries used further down the chain.
+    ``incarnation`` is that of the callee's daemon, and empty if the daemon
+    did not answer.
     """
 
     outcome: outcomes.Outcome
@@ -82,7 +84,9 @@
 class Send:
     """Effect: send attempt ``attempt_id`` of the call to ``target``.
 
-    The transport must give up at ``deadline`` and report an ``Answer``.
+    ``retries`` is how many retries the attempt may use further down the
+    chain. The transport must give up at ``deadline`` and report an
+    ``Answer``.
     """
 
     attempt_id: str
@@ -93,9 +97,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refuse:
-    """Effect: give the caller its final refusal, at once.
+    """Effect: give the caller its final refusal at once.
 
-    ``retry_after`` is in seconds; 0 means that coming back is of no use.
+    ``retry_after`` is in seconds; 0 means that a retry is of no use.
     """
 
     outcome: outcomes.Outcome
@@ -107,7 +111,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deliver:
-    """Effect: pass on the answer of attempt ``attempt_id`` as it came."""
+    """Effect: pass on the answer of attempt ``attempt_id`` unchanged."""
 
     attempt_id: str
     retries_spent: int = 0
--- a/src/sassafrasstair/decisions/calls/_pauses.py
+++ b/src/sassafrasstair/decisions/calls/_pauses.py
@@ -1,10 +1,11 @@
-"""How long this process was stopped, so that late work is seen as late.
-
-Failure: a process is paused and wakes late. Messages that waited in its
-socket carry a remaining time that was right when they were sent; taken as
-fresh, they start work that nobody waits for any more. The pause shows as a
-gap between two beats. Whatever is read soon after the gap may be as old as
-the gap, so that much is taken from its remaining time.
+"""Detection of process pauses, which make received messages out of date.
+
+Messages carry the time that was left when they were sent. While a process is
+paused, messages wait in its socket; if they are treated as fresh afterwards,
+they start work whose caller has already given up. A pause shows as a gap
+between two heartbeats of the event loop. A message that is read soon after
+the gap may be as old as the gap, so that much is subtracted from its
+remaining time.
 """
 
 from __future__ import annotations
@@ -18,7 +19,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Pauses:
-    """When the loop last ran, and the last gap that it noticed."""
+    """When the event loop last ran, and the last pause that was detected.
+
+    ``last_pause`` is in seconds, ``resumed_at`` is the end of that pause, and
+    ``count`` the number of pauses so far.
+    """
 
     last_heartbeat: float
     last_pause: float = 0.0
@@ -27,10 +32,10 @@
 
 
 def note(pauses: Pauses, now: float) -> bool:
-    """Note that the loop runs; return whether it was paused before.
+    """Record that the event loop runs; return whether it was paused before.
 
-    Called each ``BEAT_SECONDS`` and before a message is handled, as after
-    a pause either may come first.
+    Called every ``HEARTBEAT_SECONDS`` and before a message is handled: after
+    a pause, either of the two may happen first.
     """
     gap = now - pauses.last_heartbeat
     pauses.last_heartbeat = now
@@ -43,7 +48,7 @@
 
 
 def max_message_age(pauses: Pauses, now: float) -> float:
-    """Return the seconds that a message read now may have waited."""
+    """Return for how many seconds a message read now may have waited."""
     if pauses.count and now - pauses.resumed_at < DRAIN_SECONDS:
         return pauses.last_pause
     return 0.0
--- a/src/sassafrasstair/decisions/calls/_peers.py
+++ b/src/sassafrasstair/decisions/calls/_peers.py
@@ -1,7 +1,8 @@
-"""What an entrance has seen of the instances that it calls.
+"""State that an entrance keeps about the instances that it calls.
 
-An instance that fails or falls silent is ejected until a ping shows that its
-daemon answers.
+An instance that fails repeatedly is ejected, which means that it gets no
+more calls until its daemon answers a ping. An instance that stops answering
+is pinged as well.
 """
 
 from __future__ import annotations
@@ -18,20 +19,22 @@
     from sassafrasstair.decisions.calls import _messages
 
 FAILURES_TO_EJECT = 3
-# With attempts under way and no answer for this long, in seconds and in
-# multiples of the usual latency, an instance is pinged.
+# An instance counts as silent if attempts are under way and none has been
+# answered for this long, in seconds and in multiples of the average latency.
 SILENT_SECONDS = 0.1
 SILENT_LATENCY_FACTOR = 1.5
-# Pings to an instance that stays away become rarer, up to the second bound.
+# The interval between pings grows with the time since the instance last
+# answered, from PING_SECONDS to PING_SECONDS_MAX.
 PING_SECONDS = 0.2
 PING_SECONDS_MAX = 0.5
 PING_SHARE_OF_SILENCE = 0.25
-# An instance not heard of for this long is forgotten: VMs are replaced all
-# day, and pings to those that are gone would never end.
+# An instance without an answer for this long is forgotten: VMs are replaced
+# all day, and pings to the ones that are gone would never end.
 FORGET_SECONDS = 60.0
 LATENCY_WEIGHT = 0.1
 DEFAULT_LIMIT = 20.0
-# The weight of an answer in what is usual, and after how many that is known.
+# The least weight of an answer in the usual service time, and the number of
+# answers after which the usual service time counts as known.
 USUAL_MIN_WEIGHT = 0.01
 USUAL_MIN_SAMPLES = 20
 
@@ -44,17 +47,23 @@
 )
 
 NOT_SERVING = frozenset({outcomes.Reason.NO_BUNDLE, outcomes.Reason.LEAVING})
-"""Said by a daemon that starts or stops."""
+"""Reasons that a daemon gives while it starts or stops."""
 
 
 @dataclasses.dataclass(slots=True)
 class Peer:
-    """What is known of one instance.
-
-    ``usual`` is the usual ``service`` over ``samples`` answers.
-    ``silent_from`` is the last answer, or the first send after an idle
-    time; ``sent`` counts the attempts since the load was heard. Failures
-    make it ``ejected``, and a ping without an answer makes it ``dead``.
+    """State of one instance.
+
+    ``in_flight`` counts the attempts under way, and ``sent_since_heard``
+    those sent since the instance last reported its load. ``busy``, ``limit``
+    and ``service_seconds`` are the last reported load (see ``LoadReport``),
+    received at ``heard_at``. ``usual_service_seconds`` is the average of
+    ``service_seconds`` over ``samples`` answers. ``silent_since`` is the time
+    of the last answer, or of the first attempt after an idle period.
+    ``latency`` is the average latency of successful attempts, and
+    ``failures`` counts the failures since the last success. Failures make
+    the instance ``ejected``, and an unanswered ping, last sent at
+    ``pinged_at``, makes it ``unreachable``.
     """
 
     in_flight: int = 0
@@ -75,10 +84,11 @@
 
 @dataclasses.dataclass(slots=True)
 class SortedTargets:
-    """The usable targets of one service, by where they are.
+    """The usable targets of one service, grouped by location.
 
-    ``least`` are the seconds of service at the quickest, 0 if not known;
-    ``changes`` is ``Routes.changes`` at the time ``at`` of sorting.
+    ``fastest_seconds`` is the service time at the fastest instance, 0 if it
+    is not known. ``usability_changes`` is the value of
+    ``Routes.usability_changes`` at ``sorted_at``, when they were grouped.
     """
 
     targets: abc.Sequence[_messages.Target]
@@ -92,12 +102,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Routes:
-    """What this entrance has seen of the instances that it calls.
-
-    ``changes`` counts how often an instance became usable or unusable.
-    With ``try_dead`` instances whose pings fail are tried when there is no
-    other: where one instance alone will do, as the owner of a ticket, a
-    ping that failed just before it restarted must not void the ticket.
+    """State that an entrance keeps about the instances that it calls.
+
+    ``failure_domain`` and ``region`` are those of the entrance itself.
+    ``usability_changes`` counts how often an instance became usable or
+    unusable. With ``try_unreachable``, instances whose pings fail are tried
+    if there is no other. This is for calls that only one instance can
+    serve, such as the owner of a ticket: a ping that failed just before the
+    owner restarted must not void the ticket.
     """
 
     failure_domain: str
@@ -111,7 +123,7 @@
 
 
 def start_attempt(routes: Routes, vm: str, now: float) -> None:
-    """Note that an attempt went to ``vm``."""
+    """Record that an attempt was sent to ``vm``."""
     peer = routes.peers.setdefault(vm, Peer())
     if not peer.in_flight:
         peer.silent_since = now
@@ -126,7 +138,7 @@
     latency: float,
     now: float,
 ) -> None:
-    """Note how an attempt at ``vm`` ended, and the load it told."""
+    """Record how an attempt at ``vm`` ended, and the load it reported."""
     peer = routes.peers.setdefault(vm, Peer())
     peer.in_flight = max(0, peer.in_flight - 1)
     if answer.incarnation:
@@ -139,28 +151,30 @@
         if peer.failures >= FAILURES_TO_EJECT:
             _eject(routes, peer)
     elif answer.reason in NOT_SERVING:
-        # Failure: a restarted daemon is the least busy one while it asks
-        # its peers for the bundle, and draws all calls into refusals.
+        # A daemon that has restarted refuses calls until it has fetched the
+        # bundle from its peers. Until then it is the least busy one, so that
+        # routing would send it all calls.
         _eject(routes, peer)
 
 
 def eject(routes: Routes, vm: str) -> None:
-    """Leave ``vm`` alone until a ping, after one failed connection.
+    """Eject ``vm`` until it answers a ping, after one failed connection.
 
-    A VM that is gone answers none, and each try costs time.
+    A VM that is gone accepts no connection, and each attempt to connect
+    costs time.
     """
     _eject(routes, routes.peers.setdefault(vm, Peer()))
 
 
 def forget_attempt(routes: Routes, vm: str) -> None:
-    """Note that an attempt ended without telling anything of ``vm``."""
+    """Record the end of an attempt that says nothing about ``vm``."""
     peer = routes.peers.get(vm)
     if peer is not None:
         peer.in_flight = max(0, peer.in_flight - 1)
 
 
 def record_restart(routes: Routes, vm: str, now: float) -> None:
-    """Forget what is known of an instance that has started again.
+    """Reset the state of an instance that has restarted.
 
     Only the attempts under way stay counted, until each has ended.
     """
@@ -171,27 +185,32 @@
 
 
 def probe_due(routes: Routes, now: float) -> list[str]:
-    """Return the ejected or silent VMs to send a ping to now.
+    """Return the ejected, unreachable or silent VMs that must be pinged now.
 
-    When a ping fails, the transport must also report each attempt under
-    way there as lost, for nothing else ends it before its deadline.
+    When a ping fails, the transport must also report each attempt under way
+    at that VM as lost: nothing else ends it before its deadline.
     """
     due = []
     for vm, peer in list(routes.peers.items()):
-        away = now - peer.silent_since
-        if not peer.in_flight and away >= FORGET_SECONDS:
+        silent_seconds = now - peer.silent_since
+        if not peer.in_flight and silent_seconds >= FORGET_SECONDS:
             del routes.peers[vm]
             routes.usability_changes += 1
         elif peer.ejected or peer.unreachable or is_silent(peer, now):
-            rarer = min(PING_SECONDS_MAX, PING_SHARE_OF_SILENCE * away)
-            if now - peer.pinged_at >= max(PING_SECONDS, rarer):
+            interval = min(
+                PING_SECONDS_MAX, PING_SHARE_OF_SILENCE * silent_seconds
+            )
+            if now - peer.pinged_at >= max(PING_SECONDS, interval):
                 peer.pinged_at = now
                 due.append(vm)
     return due
 
 
 def probe_ended(routes: Routes, vm: str, alive: bool, now: float) -> None:
-    """Note the end of a ping: only a ping brings an instance back."""
+    """Record the result of a ping.
+
+    Only an answered ping makes an ejected instance usable again.
+    """
     peer = routes.peers.get(vm)
     if peer is None:
         return
@@ -226,6 +245,9 @@
 
 
 def is_silent(peer: Peer, now: float) -> bool:
-    """Return whether attempts are under way there and none is answered."""
+    """Return whether attempts are under way and none has been answered.
+
+    The time allowed for an answer grows with the latency of the instance.
+    """
     patience = max(SILENT_SECONDS, SILENT_LATENCY_FACTOR * peer.latency)
     return peer.in_flight > 0 and now - peer.silent_since >= patience
--- a/src/sassafrasstair/decisions/calls/_routing.py
+++ b/src/sassafrasstair/decisions/calls/_routing.py
@@ -1,7 +1,8 @@
-"""Which instance of a service an attempt goes to.
+"""Selection of the instance of a service that an attempt is sent to.
 
-The own failure domain first, with spill-over by load; among the others the
-less loaded of two drawn at random (Mitzenmacher, "The Power of Two Choices
+Instances in the entrance's own failure domain are preferred, and calls spill
+over to other domains by load. Within each group the least loaded of a few
+instances drawn at random is taken (Mitzenmacher, "The Power of Two Choices
 in Randomized Load Balancing", 2001).
 """
 
@@ -20,37 +21,41 @@
     from sassafrasstair.decisions.calls import _messages
 
 EJECTED_SHARE_MAX = 0.5
-# A silent instance counts as if an attempt waited there for so long, until
-# its ping has ended: half a second may pass, and what was sent meanwhile to
-# a VM that is gone can't be sent again unless it is idempotent.
+# The expected wait at a silent instance is raised by this much until its ping
+# has ended. That may take half a second, and requests that are sent meanwhile
+# to a VM that is gone can't be repeated unless they are idempotent.
 SILENT_PENALTY_SECONDS = 0.25
-# What was heard of a load fades with this time constant.
+# A reported load decays with a time constant that is the greater one of this
+# many seconds and this many service times.
 LOAD_DECAY_SECONDS = 0.1
 LOAD_DECAY_SERVICE_TIMES = 2.0
-# The own domain is left only when its instance has no free slot, and then
-# only for one where the wait is shorter by the margin.
+# An attempt leaves the own failure domain only if the instance there has no
+# free slot, and only for an instance whose expected delay is shorter by more
+# than this margin.
 SPILL_MARGIN_SECONDS = 0.005
-# How many of an instance's rivals are compared.
+# How many random draws are made, with duplicates, to find the least busy
+# instance.
 CANDIDATES_DRAWN = 4
-# An instance counts as slow when its service takes so many times as long as it
-# usually does, or so many times as long as at the quickest of its service.
-# Instances differ by nature, and one that is slow all day is no outlier: told
-# from the quickest alone, at 2.5 times, a third of the calls on a calm day
-# left their domain.
+# An instance counts as slow if its service time exceeds its own usual service
+# time, or that of the fastest instance of its service, by these factors.
+# Instances differ in speed, and one that is always slower is no outlier: when
+# a service time of 2.5 times that of the fastest was the only criterion, a
+# third of the calls left their failure domain under normal load.
 SLOW_FACTOR_OF_USUAL = 2.5
 SLOW_FACTOR_OF_FASTEST = 6.0
-# What was heard of the service time counts for this long, so that now and
-# then a slow instance is asked again.
+# A reported service time is valid for this long, so that a slow instance gets
+# a call now and then, which shows whether it is still slow.
 SERVICE_TIME_VALID_SECONDS = 1.0
-# The targets of a service are sorted anew this often, in seconds, beside
-# each change of what is usable.
+# The targets of a service are grouped again at this interval, and whenever an
+# instance becomes usable or unusable.
 SORT_SECONDS = 0.1
-# Without a wait anywhere the less busy is preferred.
+# The expected delay at an instance that is fully busy but has no queue. It
+# makes the less busy instance preferred when no instance has a queue.
 FULL_BUSY_SECONDS = 0.02
 
 
 class ScoredTarget(typing.NamedTuple):
-    """A target, and the seconds that an attempt is thought to lose there."""
+    """A target, and the expected delay of an attempt there in seconds."""
 
     target: _messages.Target
     expected_delay: float
@@ -66,13 +71,19 @@
     """Return the instance for one attempt, or None if none is usable."""
     if not targets:
         return None
-    known = _sorted_targets(routes, targets, now)
-    near = _untried(known.same_domain, tried)
-    best = _least_busy_of_sample(routes, near, known.fastest_seconds, now, rng)
+    grouped = _sorted_targets(routes, targets, now)
+    near = _untried(grouped.same_domain, tried)
+    best = _least_busy_of_sample(
+        routes, near, grouped.fastest_seconds, now, rng
+    )
     if best is not None and best.expected_delay <= FULL_BUSY_SECONDS:
         return best.target
-    far = _untried(known.same_region, tried) or _untried(known.usable, tried)
-    other = _least_busy_of_sample(routes, far, known.fastest_seconds, now, rng)
+    far = _untried(grouped.same_region, tried) or _untried(
+        grouped.usable, tried
+    )
+    other = _least_busy_of_sample(
+        routes, far, grouped.fastest_seconds, now, rng
+    )
     if best is None:
         return None if other is None else other.target
     if (
@@ -86,21 +97,23 @@
 def expected_delay(
     routes: _peers.Routes, vm: str, now: float, fastest_seconds: float = 0.0
 ) -> float:
-    """Return the seconds that an attempt is thought to lose there.
-
-    Up to ``BUSY_SECONDS`` there is a free slot. The wait counts, not how
-    many wait: at an instance that has become slow a short queue is long.
-    ``least`` are the seconds of service at the quickest instance, 0 if not
-    known: what a slow one takes beyond what is usual counts like a wait.
+    """Return the expected delay of an attempt at an instance, in seconds.
+
+    Up to ``FULL_BUSY_SECONDS`` the instance has a free slot. The delay
+    depends on the waiting time and not on the length of the queue, because
+    even a short queue means a long wait at an instance that has become slow.
+    ``fastest_seconds`` is the service time at the fastest instance, 0 if it
+    is not known. The part of a slow instance's service time that exceeds the
+    threshold for slowness counts as waiting time.
     """
     peer = routes.peers.get(vm)
     if peer is None:
         return 0.0
-    fades = max(
+    time_constant = max(
         LOAD_DECAY_SECONDS, LOAD_DECAY_SERVICE_TIMES * peer.service_seconds
     )
-    faded = math.exp(-(now - peer.heard_at) / fades)
-    busy = peer.busy * faded + (peer.sent_since_heard + 1) / peer.limit
+    decay = math.exp(-(now - peer.heard_at) / time_constant)
+    busy = peer.busy * decay + (peer.sent_since_heard + 1) / peer.limit
     wait = max(0.0, busy - 1.0) * peer.service_seconds
     if (
         fastest_seconds > 0.0
@@ -115,7 +128,11 @@
 
 
 class CrossingReason(enum.Enum):
-    """Why a call leaves its failure domain."""
+    """Why a call leaves its failure domain.
+
+    ``TRIED`` means that all instances in the domain have been tried, and
+    ``SILENT`` and ``SLOW`` that all untried ones are silent or slow.
+    """
 
     NO_INSTANCE = "no_instance"
     TRIED = "tried"
@@ -131,16 +148,17 @@
     tried: abc.Collection[str],
     now: float,
 ) -> CrossingReason | None:
-    """Return why ``target`` was picked in another domain, None if it was not.
+    """Return why ``target`` in another failure domain was picked.
 
-    ``tried`` are those tried before it.
+    Returns None if it is in the entrance's own domain. ``tried`` are the VMs
+    that were tried before it.
     """
     if _in_same_domain(routes, target):
         return None
-    known = _sorted_targets(routes, targets, now)
-    if not known.same_domain:
+    grouped = _sorted_targets(routes, targets, now)
+    if not grouped.same_domain:
         return CrossingReason.NO_INSTANCE
-    near = _untried(known.same_domain, tried)
+    near = _untried(grouped.same_domain, tried)
     peers = [routes.peers.get(each.vm) for each in near]
     if not near:
         return CrossingReason.TRIED
@@ -148,7 +166,8 @@
         return CrossingReason.SILENT
     if all(
         peer is not None
-        and peer.service_seconds > _slow_threshold(peer, known.fastest_seconds)
+        and peer.service_seconds
+        > _slow_threshold(peer, grouped.fastest_seconds)
         for peer in peers
     ):
         return CrossingReason.SLOW
@@ -156,7 +175,7 @@
 
 
 def _slow_threshold(peer: _peers.Peer, fastest_seconds: float) -> float:
-    """Return the seconds of service from which on the instance is slow."""
+    """Return the service time above which the instance counts as slow."""
     slow = SLOW_FACTOR_OF_FASTEST * fastest_seconds
     if peer.samples < _peers.USUAL_MIN_SAMPLES:
         return slow
@@ -166,10 +185,10 @@
 def _sorted_targets(
     routes: _peers.Routes, targets: abc.Sequence[_messages.Target], now: float
 ) -> _peers.SortedTargets:
-    """Return the usable targets by place, sorted seldom.
+    """Return the usable targets grouped by location, cached for a while.
 
-    For each call this would cost more than all else that is decided: a
-    service has dozens of instances.
+    A service has dozens of instances. Grouping them for each call would cost
+    more than all other decisions about the call.
     """
     service = targets[0].service
     known = routes.targets_by_service.get(service)
@@ -201,7 +220,7 @@
 def _fastest_seconds(
     routes: _peers.Routes, targets: abc.Sequence[_messages.Target], now: float
 ) -> float:
-    """Return the seconds of service at the quickest heard of lately."""
+    """Return the shortest service time reported recently, 0 if none was."""
     peers = (routes.peers.get(target.vm) for target in targets)
     return min(
         (
@@ -226,27 +245,28 @@
 def _usable(
     routes: _peers.Routes, targets: abc.Sequence[_messages.Target]
 ) -> abc.Sequence[_messages.Target]:
-    """Leave out the dead, and a bounded share of the ejected.
-
-    A fault of this VM's own network makes all others look failed: with
-    too many ejected it must not stop sending. Where none has answered its
-    last ping and ``try_dead`` is off there is none: an attempt would hold
-    its caller for a connection that is not made, or be lost on one that is
-    dead.
+    """Return the targets that are neither unreachable nor ejected.
+
+    A fault in this VM's own network makes all other VMs look failed. To keep
+    it from refusing everything, ejected targets are included if their share
+    exceeds ``EJECTED_SHARE_MAX``. If all targets are unreachable, none is
+    returned unless ``try_unreachable`` is set: the caller of an attempt would
+    wait for a connection that can't be made, or the attempt would be lost on
+    a connection that is already broken.
     """
     known = routes.peers
-    living = [
+    reachable = [
         target
         for target in targets
         if target.vm not in known or not known[target.vm].unreachable
     ]
     kept = [
         target
-        for target in living
+        for target in reachable
         if target.vm not in known or not known[target.vm].ejected
     ]
-    if len(living) - len(kept) > EJECTED_SHARE_MAX * len(living):
-        kept = living
+    if len(reachable) - len(kept) > EJECTED_SHARE_MAX * len(reachable):
+        kept = reachable
     if kept or not routes.try_unreachable:
         return kept
     return targets
--- a/src/sassafrasstair/decisions/calls/_views.py
+++ b/src/sassafrasstair/decisions/calls/_views.py
@@ -1,4 +1,4 @@
-"""What the daemon asks of an entrance beside calls under way."""
+"""Queries on the state of an entrance, for tickets and the status page."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     now: float,
     rng: random.Random,
 ) -> _messages.Target | None:
-    """Return an instance to ask for a ticket, None if none is usable."""
+    """Return the instance to ask for a ticket, or None if none is usable."""
     return _routing.pick_target(entrance.routes, targets, tried, now, rng)
 
 
 def floors(
     entrance: _entrances.Entrance, now: float
 ) -> dict[tuple[str, str, str], float]:
-    """Return the floor heard of each (service, class, tenant)."""
+    """Return the reported shed floor of each (service, class, tenant)."""
     return {
         key: _floors.of_service(entrance.floors, key, now)
         for key in list(entrance.floors.by_class)
@@ -37,7 +37,7 @@
 
 
 def retry_tokens(entrance: _entrances.Entrance) -> dict[str, float]:
-    """Return what is left of the retry budget towards each service."""
+    """Return the tokens left in the retry budget of each service."""
     return {
         service: budget.tokens for service, budget in entrance.budgets.items()
     }
--- a/src/sassafrasstair/outcomes.py
+++ b/src/sassafrasstair/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of a request, and the sentinel reasons for a refusal."""
+"""Outcomes of a request, and the reasons for refusing or abandoning one."""
 
 from __future__ import annotations
 
@@ -6,10 +6,12 @@
 
 
 class Outcome(enum.Enum):
-    """What is known of a request's execution at its upstream.
+    """Whether a request was executed by its upstream, as far as is known.
 
-    ``NOT_RUN`` is said only where no byte of the request reached an
-    upstream, or where the upstream itself said so.
+    ``DONE`` means that the upstream answered. ``NOT_RUN`` is used only if
+    no byte of the request reached an upstream, or if the upstream itself
+    reported that it did not run the request. Everything else is
+    ``UNKNOWN``.
     """
 
     DONE = "done"
@@ -18,10 +20,13 @@
 
 
 class Reason(enum.Enum):
-    """Why a request was refused or given up on; a sentinel, never None."""
+    """Why a request was refused or given up on.
+
+    ``NONE`` stands for no reason, so that a reason is never None.
+    """
 
     NONE = "none"
-    # Overload: come back after Retry-After.
+    # Overload: the caller may retry after Retry-After.
     SHED_AT_ENTRANCE = "shed_at_entrance"
     SHED_AT_CALLEE = "shed_at_callee"
     QUEUE_FULL = "queue_full"
@@ -55,18 +60,18 @@
     UPSTREAM_LOST = "upstream_lost"
     UPSTREAM_CRASHED = "upstream_crashed"
     ANSWER_CUT_SHORT = "answer_cut_short"
-    # A request that crashed instances.
+    # Requests that have crashed instances.
     CRASHES_INSTANCES = "crashes_instances"
     SUSPECT_RUNNING = "suspect_running"
     INTERNAL_FAULT = "internal_fault"
-    # Once-only work.
+    # Once-only requests, which carry a ticket.
     TICKET_MISSING = "ticket_missing"
     TICKET_INVALID = "ticket_invalid"
     TICKET_EXPIRED = "ticket_expired"
     TICKET_VOID = "ticket_void"
     OWNER_GONE = "owner_gone"
     ANSWER_NOT_KEPT = "answer_not_kept"
-    # Bad input: the caller must change the request.
+    # Invalid input: the caller must change the request.
     MALFORMED = "malformed"
     UNKNOWN_SERVICE = "unknown_service"
     UNKNOWN_CLASS = "unknown_class"
@@ -85,4 +90,4 @@
         Reason.TICKETS_FULL,
     }
 )
-"""Refusals that mean too much load: never answered by a quick retry."""
+"""Refusals caused by overload, which are never followed by a quick retry."""
--- a/tests/decisions/calls/test_routing.py
+++ b/tests/decisions/calls/test_routing.py
@@ -20,15 +20,17 @@
 LOST = calls.Answer(outcomes.Outcome.UNKNOWN, outcomes.Reason.PEER_UNREACHABLE)
 
 
-def _hear(
+def _report_load(
     routes: _peers.Routes,
     vm: str,
     busy: float,
     now: float,
     service: float = 0.1,
 ) -> None:
-    told = calls.LoadReport(busy=busy, limit=20.0, service_seconds=service)
-    answer = calls.Answer(outcomes.Outcome.DONE, load=told, incarnation="one")
+    reported = calls.LoadReport(busy=busy, limit=20.0, service_seconds=service)
+    answer = calls.Answer(
+        outcomes.Outcome.DONE, load=reported, incarnation="one"
+    )
     _peers.start_attempt(routes, vm, now)
     _peers.end_attempt(routes, vm, answer, 0.1, now)
 
@@ -55,9 +57,9 @@
     near: float, far: float, expected: str
 ) -> None:
     routes = _peers.Routes(HERE, "region")
-    _hear(routes, "near", near, 1.0)
+    _report_load(routes, "near", near, 1.0)
     for target in FAR:
-        _hear(routes, target.vm, far, 1.0)
+        _report_load(routes, target.vm, far, 1.0)
     picked = _picked(routes, 1.0)
     assert all(vm.startswith(expected) for vm in picked)
 
@@ -76,21 +78,23 @@
     the work as before.
     """
     routes = _peers.Routes(HERE, "region")
-    _hear(routes, "near", 0.5, 1.0, near)
+    _report_load(routes, "near", 0.5, 1.0, near)
     for target in FAR:
-        _hear(routes, target.vm, 0.5, 1.0, far)
+        _report_load(routes, target.vm, 0.5, 1.0, far)
     picked = _picked(routes, 1.0)
     assert all(vm.startswith(expected) for vm in picked)
 
 
-def _settle(routes: _peers.Routes, near: float, far: float) -> float:
+def _answer_for_a_while(
+    routes: _peers.Routes, near: float, far: float
+) -> float:
     """Let instances answer for a while; return when the last did."""
     now = 1.0
     for _ in range(100):
         now += 0.02
-        _hear(routes, "near", 0.5, now, near)
+        _report_load(routes, "near", 0.5, now, near)
         for target in FAR:
-            _hear(routes, target.vm, 0.5, now, far)
+            _report_load(routes, target.vm, 0.5, now, far)
     return now
 
 
@@ -102,8 +106,8 @@
     that are dear and no answer that came in better time.
     """
     routes = _peers.Routes(HERE, "region")
-    now = _settle(routes, near=0.06, far=0.02)
-    _hear(routes, "near", 0.5, now, 0.09)
+    now = _answer_for_a_while(routes, near=0.06, far=0.02)
+    _report_load(routes, "near", 0.5, now, 0.09)
     assert set(_picked(routes, now)) == {"near"}
 
 
@@ -111,18 +115,18 @@
 def test_instance_that_has_become_slow_is_left_soon(near: float) -> None:
     """An instance turns five times as slow; the others are as usual."""
     routes = _peers.Routes(HERE, "region")
-    now = _settle(routes, near=near, far=0.02)
-    _hear(routes, "near", 0.5, now + 0.1, 5.0 * near)
+    now = _answer_for_a_while(routes, near=near, far=0.02)
+    _report_load(routes, "near", 0.5, now + 0.1, 5.0 * near)
     assert "near" not in _picked(routes, now + 0.1)
 
 
 def test_slow_instance_is_asked_again_after_a_while() -> None:
     """Nobody would else learn that it is quick again."""
     routes = _peers.Routes(HERE, "region")
-    _hear(routes, "near", 0.5, 1.0, 1.2)
+    _report_load(routes, "near", 0.5, 1.0, 1.2)
     for at in (1.0, 2.2):
         for target in FAR:
-            _hear(routes, target.vm, 0.5, at)
+            _report_load(routes, target.vm, 0.5, at)
     assert set(_picked(routes, 2.2)) == {"near"}
 
 
@@ -169,7 +173,7 @@
 
 def test_cut_off_domain_uses_its_own() -> None:
     routes = _peers.Routes(HERE, "region")
-    _hear(routes, "near", 3.0, 1.0)
+    _report_load(routes, "near", 3.0, 1.0)
     for target in FAR:
         _fail(routes, target.vm, 1.0)
         calls.probe_ended(routes, target.vm, False, 1.1)
@@ -183,7 +187,7 @@
     deadlines would send it seconds of further work.
     """
     routes = _peers.Routes(HERE, "region")
-    _hear(routes, "near", 0.1, 1.0)
+    _report_load(routes, "near", 0.1, 1.0)
     _peers.start_attempt(routes, "near", 1.0)
     assert calls.probe_due(routes, 1.05) == []
     assert calls.probe_due(routes, 1.2) == ["near"]
@@ -198,7 +202,7 @@
     there, and those that must not run twice were lost.
     """
     routes = _peers.Routes(HERE, "region")
-    _hear(routes, "near", 0.1, 1.0)
+    _report_load(routes, "near", 0.1, 1.0)
     _peers.start_attempt(routes, "near", 1.0)
     assert set(_picked(routes, 1.05)) == {"near"}
     assert "near" not in _picked(routes, 1.2)
@@ -221,7 +225,7 @@
     It was left alone, and its old load and latency were held against it.
     """
     routes = _peers.Routes(HERE, "region", try_unreachable=False)
-    _hear(routes, "near", 5.0, 1.0, service=3.0)
+    _report_load(routes, "near", 5.0, 1.0, service=3.0)
     _fail(routes, "near", 1.1)
     _peers.start_attempt(routes, "near", 1.1)
     _peers.probe_ended(routes, "near", alive=False, now=1.2)
--- a/tests/decisions/calls/test_shed_floors.py
+++ b/tests/decisions/calls/test_shed_floors.py
@@ -12,7 +12,7 @@
 RNG = random.Random(1)
 
 
-def _told(
+def _report_floor(
     entrance: calls.Entrance, rules: bundles.Bundle, floor: float, now: float
 ) -> None:
     """Let one call through that answers with the floor."""
@@ -58,7 +58,7 @@
     """
     rules = samples.bundle()
     entrance = calls.new_entrance("me", "domain-a", "region")
-    _told(entrance, rules, floor, 1.0)
+    _report_floor(entrance, rules, floor, 1.0)
     taken = calls.Call("d", "intake", "lookup", "main", "me", 5.0)
     _, effect = calls.begin_call(
         entrance, rules, taken, samples.TARGETS, 1.0 + after, RNG
@@ -78,7 +78,7 @@
     """
     rules = samples.bundle()
     entrance = calls.new_entrance("me", "domain-a", "region")
-    _told(entrance, rules, 6.0, 1.0)
+    _report_floor(entrance, rules, 6.0, 1.0)
     assert calls.floor(entrance, "intake", "lookup", 1.0, "main") == 6.0
     below = calls.max_callee_floor(
         entrance, rules, "intake", "lookup", 1.0, "main"
