--- a/src/sassafrasstair/decisions/admission/_admissions.py
+++ b/src/sassafrasstair/decisions/admission/_admissions.py
@@ -1,9 +1,10 @@
-"""The share of a route's requests that an entrance lets in.
+"""The share of a route's requests that an entrance admits.
 
-A service deep in a chain that is overloaded fails requests on which much
-work was already spent. Each answer tells how loaded the busiest instance of
-its chain was; the entrance lets in a share of the route's requests that
-keeps that load at a target, the least important routes first.
+When a service deep in a chain is overloaded, it fails requests on which much
+work was already spent. Each answer reports the load of the busiest instance
+in its chain. The entrance adjusts the admitted share of the route's requests
+so that this load stays at a target, and cuts the least important routes
+first.
 """
 
 from __future__ import annotations
@@ -18,44 +19,54 @@
     import random
 
 FULL_WAIT_SECONDS = 0.05
-"""A wait at an instance that counts as much as all of its slots. With a
-tenth of a second calls of important requests were turned away for their
-wait before their routes were cut; a wait of 10 ms, at a quick instance's
-queue, is no reason to refuse anything."""
+"""The waiting time at an instance that adds 1 to its load, as much as all of
+its slots in use. With 0.1 s, calls of important requests were refused for
+waiting too long before their routes were cut. A wait of 10 ms in the queue of
+a fast instance is no reason to refuse anything."""
 TARGET_LOAD = 1.0
-"""Work at an instance, as ``pressure`` counts it: just no queue, on
-average."""
+"""The load to aim for, as computed by ``pressure``: all slots in use and no
+queue on average."""
 TARGET_LOAD_STEP = 1.0
-"""By how much the target of a route is higher for each level of importance
-above the least, and its cuts smaller: it sheds only what shedding the lower
-ones has not cured."""
+"""By how much the target of a route is raised for each level of importance
+above the least. More important routes also get smaller cuts, so that they
+shed requests only if shedding on the less important routes was not enough."""
 MIN_WEIGHT = 0.02
-"""Of one answer in the average, however many come in one moment."""
+"""The least weight of one answer in the average, even if many answers arrive
+at the same moment."""
 UPDATE_SECONDS = 0.1
 CUT_PER_OVERLOAD = 0.25
 MAX_CUT = 0.15
-"""The share is cut by so much for each unit of load above the target, and
-by at most so much at once: the chain answers to a cut only when what is in
-it has drained, about half a second later."""
+"""An update cuts the share by ``CUT_PER_OVERLOAD`` for each unit of load
+above the target, and by ``MAX_CUT`` at most. A cut takes effect only when the
+requests already in the chain have finished, about half a second later."""
 RISE_PER_SECOND = 0.15
-"""What the share gains without overload."""
+"""By how much the share grows per second without overload."""
 RISE_PER_SECOND_BY_HEADROOM = 0.6
-"""What it gains beside that for each unit of load below the target: a chain
-that has much room again is used again after 2 s in place of 6 s.
-
-By time, and not by update: an entrance that gets two requests a second on a
-route makes as few updates. With a gain for each, its gate took 10 s and more
-to open; by time, 0.92 to 0.93 of the worth is served while all instances are
-cold (130 entrances, ``tests/loads/chains``, mean of three seeds)."""
+"""The additional growth per second for each unit of load below the target.
+With it, a chain whose load has fallen is fully used again after 2 s instead
+of 6 s.
+
+The growth depends on the elapsed time and not on the number of updates. An
+entrance that gets two requests per second on a route makes only as many
+updates; with a fixed growth for each of them, its gate took 10 s or more to
+open. With growth by time, 0.92 to 0.93 of the worth is served while all
+instances are cold (130 entrances, ``tests/loads/chains``, mean of three
+seeds)."""
 MIN_SHARE = 0.02
-"""Some requests always pass: without them nothing is heard of the load."""
+"""The share never falls below this: without any requests no answer would
+report the load."""
 FRESH_SECONDS = 1.0
-"""Without an answer for so long nothing is known of the load any more."""
+"""The load counts as unknown if no answer has come for this long."""
 
 
 @dataclasses.dataclass(slots=True)
 class Gate:
-    """What is known of one route: ``load`` is averaged, ``share`` let in."""
+    """The admission state of one route.
+
+    ``share`` is the share of its requests that is admitted, last adjusted at
+    ``updated_at``. ``load`` is the average reported load of its chain, last
+    reported at ``heard_at``.
+    """
 
     share: float = 1.0
     load: float = 0.0
@@ -65,27 +76,27 @@
 
 @dataclasses.dataclass(slots=True)
 class Admission:
-    """The gates of an entrance by route."""
+    """The gates of an entrance, by route."""
 
     gates: dict[str, Gate] = dataclasses.field(default_factory=dict)
 
 
-def pressure(busy: float, service: float) -> float:
-    """Return how loaded an instance is, where 1 is full without a queue.
+def pressure(busy: float, service_seconds: float) -> float:
+    """Return the load of an instance, where 1 means full without a queue.
 
-    ``busy`` is the work there as a share of its limit, and ``service`` the
-    seconds that one call takes. Beyond the limit the wait counts, not how
-    many wait.
+    ``busy`` is its running and waiting work as a share of its concurrency
+    limit, and ``service_seconds`` the service time of one call. Above the
+    limit, the load depends on the waiting time and not on the queue length.
     """
-    if busy <= 1.0 or service <= 0.0:
+    if busy <= 1.0 or service_seconds <= 0.0:
         return busy
-    return 1.0 + (busy - 1.0) * service / FULL_WAIT_SECONDS
+    return 1.0 + (busy - 1.0) * service_seconds / FULL_WAIT_SECONDS
 
 
 def observe_load(
     admission: Admission, route: str, load: float, now: float
 ) -> None:
-    """Note the pressure told with an answer on the route."""
+    """Add the load reported with an answer on the route to its average."""
     gate = admission.gates.get(route)
     if gate is None:
         gate = admission.gates[route] = Gate(updated_at=now)
@@ -101,10 +112,10 @@
     now: float,
     rng: random.Random,
 ) -> bool:
-    """Return whether to let in a request of the route.
+    """Return whether to admit a request of the route.
 
-    ``above_least`` is by how much its importance exceeds the least in the
-    policy.
+    ``above_least`` is the difference between the importance of the route and
+    the least importance in the policy.
     """
     gate = admission.gates.get(route)
     if gate is None:
@@ -115,12 +126,12 @@
 
 
 def gate_of(admission: Admission, route: str) -> Gate:
-    """Return what is known of a route; an open gate if nothing is."""
+    """Return the gate of a route, or an open gate if it has none."""
     return admission.gates.get(route) or Gate()
 
 
 def shedding(admission: Admission) -> list[tuple[str, Gate]]:
-    """Return the routes of which a part is refused, and their gates."""
+    """Return the routes that are partly refused, with their gates."""
     return [
         (route, gate)
         for route, gate in admission.gates.items()
@@ -131,11 +142,11 @@
 def _update(gate: Gate, above_least: int, now: float) -> None:
     elapsed = min(FRESH_SECONDS, now - gate.updated_at)
     gate.updated_at = now
-    over = gate.load - TARGET_LOAD - TARGET_LOAD_STEP * above_least
-    if over > 0.0 and now - gate.heard_at < FRESH_SECONDS:
-        cut = min(MAX_CUT, CUT_PER_OVERLOAD * over) / (1.0 + above_least)
+    overload = gate.load - TARGET_LOAD - TARGET_LOAD_STEP * above_least
+    if overload > 0.0 and now - gate.heard_at < FRESH_SECONDS:
+        cut = min(MAX_CUT, CUT_PER_OVERLOAD * overload) / (1.0 + above_least)
         gate.share = max(MIN_SHARE, gate.share * (1.0 - cut))
     else:
-        room = min(1.0, max(0.0, -over))
-        per_second = RISE_PER_SECOND + RISE_PER_SECOND_BY_HEADROOM * room
+        headroom = min(1.0, max(0.0, -overload))
+        per_second = RISE_PER_SECOND + RISE_PER_SECOND_BY_HEADROOM * headroom
         gate.share = min(1.0, gate.share + per_second * elapsed)
--- a/src/sassafrasstair/decisions/admission/_averages.py
+++ b/src/sassafrasstair/decisions/admission/_averages.py
@@ -1,8 +1,9 @@
-"""How loads that were heard are averaged: by time and not by answers.
+"""Averages of reported loads, weighted by time and not by number of answers.
 
-Failure: after a surge has filled a chain few requests are let in. Where each
-answer moved the average by a tenth it stayed high for 5 s after the queues had
-drained, and nothing more was let in.
+After a surge has overloaded a chain, few requests are admitted and few
+answers report its load. With a fixed weight of a tenth for each answer, the
+average stayed high for 5 s after the queues had drained, and nothing more
+was admitted during this time.
 """
 
 from __future__ import annotations
@@ -10,12 +11,13 @@
 import math
 
 SMOOTH_SECONDS = 0.15
-"""Time constant over which heard loads are averaged."""
+"""The time constant over which reported loads are averaged."""
 
 
-def weight(elapsed: float, least: float) -> float:
-    """Return the weight of an answer ``elapsed`` seconds after the last.
+def weight(elapsed: float, min_weight: float) -> float:
+    """Return the weight of an answer ``elapsed`` seconds after the last one.
 
-    Many answers come in one moment: each counts for ``least`` at least.
+    It is ``least`` or more, so that answers that arrive at the same moment
+    count too.
     """
-    return max(least, 1.0 - math.exp(-max(0.0, elapsed) / SMOOTH_SECONDS))
+    return max(min_weight, 1.0 - math.exp(-max(0.0, elapsed) / SMOOTH_SECONDS))
--- a/src/sassafrasstair/decisions/admission/_callers.py
+++ b/src/sassafrasstair/decisions/admission/_callers.py
@@ -1,8 +1,8 @@
-"""Which routes only upstreams call, learnt from who calls them.
+"""Detection of inner routes, which only upstreams call.
 
-Clients stand on all VMs, so a route for clients is called from the VMs of
-all services. One that is called from the VMs of few is called by their
-upstreams, as part of other requests.
+Clients run on all VMs, so a route for clients is called from the VMs of all
+services. A route that is called from the VMs of few services is an inner
+route: their upstreams call it as part of other requests.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 import dataclasses
 
 MIN_CALLS = 20
-"""Calls of a route before anything is concluded from them."""
+"""The number of calls from which on a route may be classified as inner."""
 MIN_CALLER_SHARE = 0.02
-"""A service with a smaller part of the calls does not count as a caller."""
+"""A service with a smaller share of the calls does not count as a caller."""
 INNER_MAX_SHARE = 0.5
-"""At most so large a part of the services calls a route that is inner."""
+"""A route that a larger share of the services calls is not inner."""
 HALVE_AT = 400
-"""Calls after which the counts are halved, so that they follow changes."""
+"""The counts are halved after this many calls, so that they follow changes."""
 
 
 @dataclasses.dataclass(slots=True)
 class Callers:
-    """Calls by route and by the service on the VM where they began."""
+    """Counts of calls by route and by the service on the calling VM."""
 
     calls: dict[str, dict[str, float]] = dataclasses.field(
         default_factory=dict
@@ -29,7 +29,7 @@
 
 
 def note_caller(callers: Callers, route: str, service: str) -> None:
-    """Count one call."""
+    """Count one call of the route from a VM of ``service``."""
     counts = callers.calls.setdefault(route, {})
     counts[service] = counts.get(service, 0.0) + 1.0
     if sum(counts.values()) >= HALVE_AT:
@@ -40,11 +40,13 @@
 def is_inner(callers: Callers, route: str, services: int) -> bool:
     """Return whether only upstreams call the route.
 
-    ``services`` is the number of services that are known.
+    ``services`` is the number of known services.
     """
     counts = callers.calls.get(route, {})
     total = sum(counts.values())
     if total < MIN_CALLS:
         return False
-    seen = sum(count >= MIN_CALLER_SHARE * total for count in counts.values())
-    return seen <= INNER_MAX_SHARE * services
+    caller_count = sum(
+        count >= MIN_CALLER_SHARE * total for count in counts.values()
+    )
+    return caller_count <= INNER_MAX_SHARE * services
--- a/src/sassafrasstair/decisions/admission/_chains.py
+++ b/src/sassafrasstair/decisions/admission/_chains.py
@@ -1,7 +1,8 @@
 """The load of the services that the upstream on this VM calls.
 
-Kept by the importance of the request that a call is part of: the wait of
-calls that matter less is no reason to refuse what matters more.
+Loads are kept separately for each importance of the request that a call is
+part of: the waiting time of less important calls is no reason to refuse more
+important requests.
 """
 
 from __future__ import annotations
@@ -11,9 +12,10 @@
 from sassafrasstair.decisions.admission import _averages
 
 FADE_SECONDS = 0.3
-"""A load that was not heard again for so long no longer counts."""
+"""A load that has not been reported for this long no longer counts."""
 MIN_WEIGHT = 0.1
-"""Of one answer in the average, however many come in one moment."""
+"""The least weight of one answer in the average, even if many answers arrive
+at the same moment."""
 
 LoadKey = tuple[str, int]
 """A route, and the importance of the requests that the calls are part of."""
@@ -21,7 +23,7 @@
 
 @dataclasses.dataclass(slots=True)
 class AveragedLoad:
-    """The averaged load of one inner route, and when it was last heard."""
+    """The average load of one inner route, and when it was last reported."""
 
     load: float
     heard_at: float
@@ -29,7 +31,11 @@
 
 @dataclasses.dataclass(slots=True)
 class CalleeLoads:
-    """Loads heard with answers on inner routes."""
+    """Loads reported with answers on inner routes.
+
+    ``inner_routes`` are the routes that only upstreams call, according to
+    the last answer on each.
+    """
 
     loads: dict[LoadKey, AveragedLoad] = dataclasses.field(
         default_factory=dict
@@ -38,13 +44,13 @@
 
 
 def observe_inner_load(
-    chains: CalleeLoads, route: str, level: int, load: float, now: float
+    chains: CalleeLoads, route: str, importance: int, load: float, now: float
 ) -> None:
-    """Note the load that came with the answer to an upstream's call."""
+    """Add the load reported with the answer to an upstream's call."""
     chains.inner_routes.add(route)
-    known = chains.loads.get((route, level))
+    known = chains.loads.get((route, importance))
     if known is None:
-        chains.loads[route, level] = AveragedLoad(load, now)
+        chains.loads[route, importance] = AveragedLoad(load, now)
         return
     weight = _averages.weight(now - known.heard_at, MIN_WEIGHT)
     known.load += weight * (load - known.load)
@@ -52,25 +58,28 @@
 
 
 def mark_called_by_clients(chains: CalleeLoads, route: str) -> None:
-    """Note that clients call the route too."""
+    """Record that clients call the route too."""
     chains.inner_routes.discard(route)
 
 
 def called_only_by_upstreams(chains: CalleeLoads, route: str) -> bool:
-    """Return whether only upstreams call the route, as far as was told."""
+    """Return whether the last answer said that only upstreams call it."""
     return route in chains.inner_routes
 
 
-def busiest_callee_load(chains: CalleeLoads, level: int, now: float) -> float:
+def busiest_callee_load(
+    chains: CalleeLoads, importance: int, now: float
+) -> float:
     """Return the greatest load among the services called from here.
 
-    As requests of the importance ``level`` meet it.
+    Only loads reported for requests of the importance ``level`` count.
     """
     return max(
         (
             known.load
-            for (_, known_level), known in chains.loads.items()
-            if known_level == level and now - known.heard_at < FADE_SECONDS
+            for (_, known_importance), known in chains.loads.items()
+            if known_importance == importance
+            and now - known.heard_at < FADE_SECONDS
         ),
         default=0.0,
     )
--- a/tests/decisions/admission/test_admissions.py
+++ b/tests/decisions/admission/test_admissions.py
@@ -79,7 +79,7 @@
     assert min(shares) > 0.9
 
 
-def _shut(gates: admission.Admission, rng: random.Random) -> None:
+def _overload(gates: admission.Admission, rng: random.Random) -> None:
     """Overload the chain of route ``r`` from 100 to 110 s."""
     for step in range(100):
         now = 100.0 + step * 0.1
@@ -94,7 +94,7 @@
     """
     gates = admission.Admission()
     rng = random.Random(1)
-    _shut(gates, rng)
+    _overload(gates, rng)
     for step in range(60):
         now = 110.0 + step * 0.05
         admission.observe_load(gates, "r", 0.4, now)
@@ -105,7 +105,7 @@
 def test_gate_opens_again_without_reports() -> None:
     gates = admission.Admission()
     rng = random.Random(1)
-    _shut(gates, rng)
+    _overload(gates, rng)
     assert gates.gates["r"].share < 0.1
     for step in range(200):
         admission.admit(gates, "r", 0, 112.0 + step * 0.1, rng)
