--- a/src/sassafrasstair/decisions/load/__init__.py
+++ b/src/sassafrasstair/decisions/load/__init__.py
@@ -1,4 +1,4 @@
-"""Load decisions at an upstream instance: limits, queue, shedding."""
+"""Load control at an upstream instance: limits, queue and load shedding."""
 
 from __future__ import annotations
 
--- a/src/sassafrasstair/decisions/load/_floors.py
+++ b/src/sassafrasstair/decisions/load/_floors.py
@@ -1,10 +1,11 @@
-"""The shed floor of one guard: the rank below which work is refused.
-
-Follows DAGOR's admission level (Zhou et al., SoCC 2018), but computes the
-level instead of stepping to it: the rank's fraction is a uniform hash, so
-the demand of a level is known from the part of it that is still admitted.
-Levels are filled from the most important down; in the level where the
-capacity ends, tenants get their shares by weighted max-min fairness.
+"""The shed floors of one guard: the ranks below which work is refused.
+
+This follows the admission level of DAGOR (Zhou et al., SoCC 2018), but
+computes the level instead of approaching it in steps. The fraction of a rank
+is a uniform hash, so the demand of a level can be calculated from the part of
+it that is still admitted. Capacity is assigned to levels from the most
+important down. In the level where the capacity runs out, tenants get their
+shares by weighted max-min fairness.
 """
 
 from __future__ import annotations
@@ -17,17 +18,19 @@
 LEVELS = bundles.IMPORTANCE_MAX + 1
 OBSERVE_SECONDS = 0.2
 FORGET_SECONDS = 0.5
-# Below this rate a tenant's demand is forgotten altogether.
+# A tenant's demand is deleted if it falls below this rate per second.
 MIN_RATE = 0.01
 MIN_ADMITTED_PART = 0.02
 
 
 @dataclasses.dataclass(slots=True)
 class Demand:
-    """Attempts a second that one tenant offers at one level.
+    """The attempts that one tenant offers at one level.
 
-    ``count`` holds only those of callers above the floor: the others are
-    refused further up, at a time that the guard cannot know.
+    ``share`` is the tenant's weight, and ``rate`` the estimated number of
+    attempts per second. ``count`` is the number since the last update of
+    those at or above the floor. Attempts below it are refused by the callers,
+    and the guard can't know since when they do so.
     """
 
     share: float
@@ -37,11 +40,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Floors:
-    """Demand for each level and tenant, and the floors set from it.
+    """The demand by level and tenant, and the floors computed from it.
 
-    ``value`` is the floor of tenants that are not in ``values``;
-    ``before`` holds the floors before the last look, which callers may
-    still apply.
+    ``default_floor`` is the floor of tenants that are not in
+    ``tenant_floors``. ``previous_tenant_floors`` are the tenants' floors
+    before the last update, which callers may still apply.
     """
 
     demands: list[dict[str, Demand]]
@@ -54,7 +57,7 @@
 
 
 def new_floors(now: float) -> Floors:
-    """Return the floors of a guard that has seen nothing."""
+    """Return the floors of a guard that has received no work yet."""
     return Floors([{} for _ in range(LEVELS)], now)
 
 
@@ -67,7 +70,7 @@
     if demand is None:
         demand = Demand(share)
         demands[tenant] = demand
-    if rank >= _applied(floors, tenant):
+    if rank >= _effective_floor(floors, tenant):
         demand.count += 1
 
 
@@ -76,9 +79,13 @@
     return floors.tenant_floors.get(tenant, floors.default_floor)
 
 
-def lowest_level_within(floors: Floors, room: float) -> int:
-    """Return the lowest level down to which the demand is within room."""
-    left = room
+def lowest_level_within(floors: Floors, capacity: float) -> int:
+    """Return the lowest level with a demand within the capacity.
+
+    The demand of all levels above it counts too. If even the highest level
+    exceeds the capacity, the result is ``LEVELS``.
+    """
+    left = capacity
     for level in range(LEVELS - 1, -1, -1):
         left -= sum(d.rate for d in floors.demands[level].values())
         if left < 0.0:
@@ -89,70 +96,74 @@
 def update(
     floors: Floors, capacity: float, overloaded: bool, now: float
 ) -> None:
-    """Learn the demand since the last look and set the floors anew.
+    """Update the demand since the last update, and recompute the floors.
 
-    ``capacity`` is in attempts a second; without pressure nothing is
-    refused, whatever the demand seems to be.
+    ``capacity`` is in attempts per second. Unless the guard is
+    ``overloaded``, all floors are 0, whatever the estimated demand is.
     """
     elapsed = now - floors.updated_at
     if elapsed <= 0:
         return
     floors.updated_at = now
-    _learn(floors, elapsed)
+    _update_demands(floors, elapsed)
     floors.previous_tenant_floors = floors.tenant_floors
     floors.tenant_floors = {}
     floors.default_floor = 0.0
     if overloaded:
-        _fill(floors, capacity)
+        _set_floors(floors, capacity)
 
 
-def _applied(floors: Floors, tenant: str) -> float:
-    now_set = floors.tenant_floors.get(tenant, floors.default_floor)
-    return max(now_set, floors.previous_tenant_floors.get(tenant, 0.0))
+def _effective_floor(floors: Floors, tenant: str) -> float:
+    current = floors.tenant_floors.get(tenant, floors.default_floor)
+    return max(current, floors.previous_tenant_floors.get(tenant, 0.0))
 
 
-def _learn(floors: Floors, elapsed: float) -> None:
+def _update_demands(floors: Floors, elapsed: float) -> None:
     weight = 1.0 - math.exp(-elapsed / OBSERVE_SECONDS)
-    faded = math.exp(-elapsed / FORGET_SECONDS)
+    decay = math.exp(-elapsed / FORGET_SECONDS)
     for level, demands in enumerate(floors.demands):
         for tenant, demand in list(demands.items()):
-            part = min(1.0, level + 1 - _applied(floors, tenant))
-            if part < MIN_ADMITTED_PART:
-                # Nothing of this level arrives, so nothing would ever
-                # lower its floor again: what was known of it fades.
-                demand.rate *= faded
+            admitted_part = min(
+                1.0, level + 1 - _effective_floor(floors, tenant)
+            )
+            if admitted_part < MIN_ADMITTED_PART:
+                # No attempts of this level arrive, so none would ever lower
+                # its floor again. Therefore the estimated demand decays.
+                demand.rate *= decay
             else:
-                seen = demand.count / elapsed / part
-                demand.rate += weight * (seen - demand.rate)
+                observed_rate = demand.count / elapsed / admitted_part
+                demand.rate += weight * (observed_rate - demand.rate)
             demand.count = 0
             if demand.rate < MIN_RATE:
                 del demands[tenant]
 
 
-def _fill(floors: Floors, capacity: float) -> None:
+def _set_floors(floors: Floors, capacity: float) -> None:
     room = capacity
     for level in range(LEVELS - 1, -1, -1):
         demands = floors.demands[level]
-        room -= _share_out(floors, level, demands, room)
+        room -= _set_tenant_floors(floors, level, demands, room)
         if room <= 0.0:
             floors.default_floor = float(level)
             return
 
 
-def _share_out(
+def _set_tenant_floors(
     floors: Floors, level: int, demands: dict[str, Demand], room: float
 ) -> float:
-    """Set the floors within the level; return what it takes of the room."""
+    """Set the tenants' floors in the level; return the capacity it uses."""
     left = room
     shares = sum(demand.share for demand in demands.values())
     by_need = sorted(
         demands.items(), key=lambda item: item[1].rate / item[1].share
     )
     for tenant, demand in by_need:
-        given = min(demand.rate, left * demand.share / shares)
-        left -= given
+        granted = min(demand.rate, left * demand.share / shares)
+        left -= granted
         shares -= demand.share
-        if given < demand.rate:
-            part = given / demand.rate
-            floors.tenant_floors.setdefault(tenant, level + 1.0 - part)
+        if granted < demand.rate:
+            admitted_part = granted / demand.rate
+            floors.tenant_floors.setdefault(
+                tenant, level + 1.0 - admitted_part
+            )
     return room - left
--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -1,4 +1,9 @@
-"""The guard of one upstream instance: what starts, waits or is refused."""
+"""The guard of one upstream instance: starts, queues or refuses its work.
+
+Words used here: a level is an importance, the integer part of a rank. The
+slot interval is the average time until a slot becomes free. A queue is
+standing if it has not been empty for a while.
+"""
 
 from __future__ import annotations
 
@@ -14,40 +19,54 @@
 
 RETRY_AFTER_SECONDS = 0.5
 WARM_SECONDS = 5.0
-# An estimate of the service time without a new sample halves in this time.
+# Without new samples, an estimate of the service time halves in this time.
 ESTIMATE_HALF_LIFE = 1.0
 ESTIMATE_WEIGHT = 0.2
 OVERLOAD_SECONDS = 0.5
 MIN_QUEUE = 8
 QUEUE_PER_SLOT = 2
 PATIENT_QUEUE_PER_SLOT = 10
-# When a level and those above it have not been without a waiter for this
-# long, in seconds and in turns of a slot, its queue stands.
+# The queue of a level is standing if work of that level or above has been
+# waiting without interruption for this long, in seconds and in slot intervals.
 STANDING_SECONDS = 0.3
-STANDING_TURNS = 8.0
-# Where a level is partly shed and its queue stands, waiting longer than a
-# few turns gains nothing (Nichols and Jacobson, "Controlling Queue Delay",
-# 2012).
-PATIENCE_TURNS = 2.0
-PATIENCE_ABOVE_TURNS = 3.0
-# Levels that together ask for less than this share of what is served queue
-# only for a moment, and wait for as long as the bundle lets them.
-COMFORTABLE_SHARE = 0.7
-# The time within which the admitted work may exceed what is served, so
-# that a slot that falls free finds one waiting.
+STANDING_SLOT_INTERVALS = 8.0
+# If a level is partly shed and its queue is standing, waiting longer than a
+# few slot intervals gains nothing (Nichols and Jacobson, "Controlling Queue
+# Delay", 2012). The second limit applies during overload to other levels that
+# have no room to spare.
+MAX_WAIT_SLOT_INTERVALS = 2.0
+MAX_WAIT_SLOT_INTERVALS_ABOVE = 3.0
+# Levels whose total demand, with that of all levels above, is below this share
+# of the service rate have room to spare: their work queues only briefly and
+# may wait for as long as the bundle allows.
+ROOM_SHARE = 0.7
+# The admitted work may exceed the served work within this time, so that some
+# work is waiting when a slot becomes free.
 SLACK_SECONDS = 0.1
 
 
 @dataclasses.dataclass(slots=True)
 class Guard:
-    """State of the guard. ``running`` maps attempts to their start.
-
-    ``levels`` counts what runs by importance, ``works`` holds it.
-
-    A ``patient`` guard lets work wait for as long as it may and sheds none
-    by rank: where callers can't tell whose part a call is, shedding it
-    fails a request on which work was already spent. Callers hold back by
-    the load that they are told instead.
+    """State of the guard of one upstream instance.
+
+    ``limit_state`` is the concurrency limit, and ``floors`` the shed floors.
+    ``running`` maps running attempts to their start, ``running_work`` to
+    their work; ``running_by_level`` and ``running_by_tenant`` count them.
+    ``waiting`` is the queue. ``estimates_by_class`` are service times by
+    request class, ``mean_service_seconds`` the average of all finished work
+    and ``current_service_seconds`` the same with running work included; the
+    last sample was taken at ``sampled_at``.
+
+    Work was last refused for overload at ``overloaded_at``. ``emptied_at``
+    holds for each level when no work of it or above was last waiting.
+    ``lowest_level_with_room`` is computed by each ``tick``, the last of which
+    was at ``ticked_at``. A guard that is ``leaving`` refuses all new work.
+
+    A ``patient`` guard lets work wait for as long as its request allows and
+    refuses none by rank. It is for callers that can't tell which request a
+    call is part of: refusing the call would fail a request on which work was
+    already spent. Entrances reduce their requests by the reported load
+    instead.
     """
 
     limit_state: _limits.Limit
@@ -76,7 +95,7 @@
 
     @property
     def limit(self) -> float:
-        """The learnt concurrency limit, warm-up left out."""
+        """The learned concurrency limit, without the warm-up ramp."""
         return self.limit_state.value
 
 
@@ -88,11 +107,11 @@
     patient: bool = False,
 ) -> Guard:
     """Return the guard of an instance with ``slots``."""
-    limits = _limits.new_limit(slots, now, cold, warm_seconds)
+    limit_state = _limits.new_limit(slots, now, cold, warm_seconds)
     floors = _floors.new_floors(now)
     emptied = [now] * (bundles.IMPORTANCE_MAX + 1)
     return Guard(
-        limits,
+        limit_state,
         floors,
         sampled_at=now,
         emptied_at=emptied,
@@ -104,25 +123,25 @@
 def offer(
     guard: Guard, work: _messages.Work, now: float
 ) -> list[_messages.Effect]:
-    """Take one arriving attempt: it starts, waits or is turned away."""
+    """Start, queue or refuse an arriving attempt."""
     _floors.count_offer(
         guard.floors, work.tenant, work.tenant_share, work.rank
     )
     if guard.leaving:
-        return [_turn(work, outcomes.Reason.LEAVING)]
+        return [_turn_away(work, outcomes.Reason.LEAVING)]
     if now >= work.deadline:
-        return [_turn(work, outcomes.Reason.DEADLINE_PASSED)]
+        return [_turn_away(work, outcomes.Reason.DEADLINE_PASSED)]
     if now + _estimate(guard, work, now) > work.deadline:
-        return [_turn(work, outcomes.Reason.DEADLINE_TOO_SHORT)]
+        return [_turn_away(work, outcomes.Reason.DEADLINE_TOO_SHORT)]
     if not guard.waiting and _has_room(guard, now):
         return [_start(guard, work, now)]
-    return _wait(guard, work, now)
+    return _enqueue(guard, work, now)
 
 
 def finish(
     guard: Guard, attempt_id: str, end: _messages.End, now: float
 ) -> list[_messages.Effect]:
-    """Note how a started attempt ended; waiting ones may now start."""
+    """Record how a running attempt ended, and start waiting ones."""
     started = guard.running.pop(attempt_id, None)
     if started is None:
         return []
@@ -131,9 +150,9 @@
     guard.running_by_tenant[work.tenant] -= 1
     if not guard.running_by_tenant[work.tenant]:
         del guard.running_by_tenant[work.tenant]
-    taken = now - started
+    elapsed = now - started
     if end is _messages.End.DONE:
-        _learn(guard, work, taken, now)
+        _learn(guard, work, elapsed, now)
         _limits.succeeded(guard.limit_state)
     elif end is _messages.End.REFUSED:
         _limits.refused(guard.limit_state, guard.mean_service_seconds, now)
@@ -143,39 +162,42 @@
 def cancel(
     guard: Guard, attempt_id: str, now: float
 ) -> list[_messages.Effect]:
-    """Drop an attempt that nobody waits for; abort it if it started."""
+    """Drop a waiting attempt whose caller has gone, or abort a running one."""
     waiter = guard.waiting.pop(attempt_id, None)
     if waiter is not None:
-        # Failure: its end is never told; whoever joined it waits for
-        # ever, and a planned stop waits for it too.
-        return [_turn(waiter.work, outcomes.Reason.CANCELLED)]
+        # Without this effect the end of the attempt would never be reported:
+        # callers that joined it and a planned stop would wait forever.
+        return [_turn_away(waiter.work, outcomes.Reason.CANCELLED)]
     if attempt_id in guard.running:
         return [_messages.Abort(attempt_id)]
     return []
 
 
 def retire(guard: Guard, reason: outcomes.Reason) -> list[_messages.Effect]:
-    """Turn away all that waits, and all that comes: the instance is over."""
+    """Refuse all waiting and all future work: the instance has ended."""
     guard.leaving = True
     waiting, guard.waiting = guard.waiting, {}
-    return [_turn(waiter.work, reason) for waiter in waiting.values()]
+    return [_turn_away(waiter.work, reason) for waiter in waiting.values()]
 
 
 def tick(guard: Guard, now: float) -> list[_messages.Effect]:
-    """Look again at every deadline; called each 50 ms and after a pause."""
-    guard.current_service_seconds = _live(guard, now)
+    """Check all deadlines and update the shed floors.
+
+    Called every 50 ms and after a pause of the process.
+    """
+    guard.current_service_seconds = _current_service_seconds(guard, now)
     effects = _expire(guard, now)
-    effects += _overdue(guard, now)
+    effects += _abort_overdue(guard, now)
     effects += _dispatch(guard, now)
-    pressed = now - guard.overloaded_at < OVERLOAD_SECONDS
-    _floors.update(guard.floors, _admissible(guard, now), pressed, now)
-    guard.lowest_level_with_room = _comfortable(guard, now)
+    overloaded = now - guard.overloaded_at < OVERLOAD_SECONDS
+    _floors.update(guard.floors, _admissible_rate(guard, now), overloaded, now)
+    guard.lowest_level_with_room = _lowest_level_with_room(guard, now)
     guard.ticked_at = now
     return effects
 
 
 def floor(guard: Guard, now: float, tenant: str = "") -> float:
-    """Return the rank below which this guard refuses now."""
+    """Return the rank below which this guard refuses work now."""
     if guard.patient:
         return 0.0
     if now - guard.overloaded_at >= OVERLOAD_SECONDS:
@@ -184,14 +206,15 @@
 
 
 def busy(guard: Guard) -> float:
-    """Return the share of the limit in use, queue included."""
+    """Return the share of the limit in use, with the queue included."""
     return (len(guard.running) + len(guard.waiting)) / max(1.0, guard.limit)
 
 
 def busy_at_or_above(guard: Guard, level: int) -> float:
-    """Return the share of the limit that work of the level must yield to.
+    """Return the share of the limit used by work of the level and above.
 
-    Work of that importance and above: what matters less waits behind it.
+    Less important work is left out, because it does not delay work of this
+    level.
     """
     running = sum(
         count
@@ -206,7 +229,7 @@
 
 
 def service_seconds(guard: Guard) -> float:
-    """Return the usual seconds of service; 0 when none is known yet."""
+    """Return the current service time in seconds, 0 if it is not known."""
     return guard.current_service_seconds
 
 
@@ -225,34 +248,41 @@
     return _messages.Start(work.attempt_id)
 
 
-def _wait(
+def _enqueue(
     guard: Guard, work: _messages.Work, now: float
 ) -> list[_messages.Effect]:
     if work.rank < floor(guard, now, work.tenant):
         guard.overloaded_at = now
-        return [_turn(work, outcomes.Reason.SHED_AT_CALLEE)]
+        return [_turn_away(work, outcomes.Reason.SHED_AT_CALLEE)]
     guard.waiting[work.attempt_id] = _queues.Waiter(work, now)
     effects = _dispatch(guard, now)
     per_slot = PATIENT_QUEUE_PER_SLOT if guard.patient else QUEUE_PER_SLOT
     if len(guard.waiting) <= max(MIN_QUEUE, per_slot * guard.limit):
         return effects
     guard.overloaded_at = now
-    out = _queues.next_to_refuse(guard.waiting, guard.running_by_tenant).work
-    del guard.waiting[out.attempt_id]
-    return effects + [_turn(out, outcomes.Reason.QUEUE_FULL)]
+    refused = _queues.next_to_refuse(
+        guard.waiting, guard.running_by_tenant
+    ).work
+    del guard.waiting[refused.attempt_id]
+    return effects + [_turn_away(refused, outcomes.Reason.QUEUE_FULL)]
 
 
 def _dispatch(guard: Guard, now: float) -> list[_messages.Effect]:
-    """Start what may start, each deadline looked at again first."""
+    """Start waiting work while there is room.
+
+    Work that can no longer finish in time is refused instead.
+    """
     effects: list[_messages.Effect] = []
-    stands = max(_marginal(guard, now), _standing(guard, now))
+    standing_level = max(
+        _partly_shed_level(guard, now), _highest_standing_level(guard, now)
+    )
     while guard.waiting and _has_room(guard, now):
         waiter = _queues.next_to_start(
-            guard.waiting, guard.running_by_tenant, stands
+            guard.waiting, guard.running_by_tenant, standing_level
         )
         del guard.waiting[waiter.work.attempt_id]
         if _is_late(guard, waiter, now):
-            effects.append(_expiry(guard, waiter, now))
+            effects.append(_turn_away_expired(guard, waiter, now))
         else:
             effects.append(_start(guard, waiter.work, now))
     _note_emptied(guard, now)
@@ -268,71 +298,71 @@
     effects = []
     for waiter in late:
         del guard.waiting[waiter.work.attempt_id]
-        effects.append(_expiry(guard, waiter, now))
+        effects.append(_turn_away_expired(guard, waiter, now))
     return effects
 
 
 def _is_late(guard: Guard, waiter: _queues.Waiter, now: float) -> bool:
     work = waiter.work
     estimate = _estimate(guard, work, now)
-    patience = _patience(guard, math.floor(work.rank), now)
-    return _queues.expired(waiter, now, estimate, patience)
+    max_wait_seconds = _max_wait_seconds(guard, math.floor(work.rank), now)
+    return _queues.expired(waiter, now, estimate, max_wait_seconds)
 
 
-def _patience(guard: Guard, level: int, now: float) -> float:
-    """Return how long work of the level may wait at most."""
+def _max_wait_seconds(guard: Guard, level: int, now: float) -> float:
+    """Return how long work of the level may wait, in seconds."""
     if guard.patient:
         return math.inf
-    stood = now - guard.emptied_at[0] >= STANDING_SECONDS
-    if stood and level <= _marginal(guard, now):
-        return PATIENCE_TURNS * _turn_seconds(guard, now)
-    comfortable = level >= guard.lowest_level_with_room
-    if now - guard.overloaded_at < OVERLOAD_SECONDS and not comfortable:
-        return PATIENCE_ABOVE_TURNS * _turn_seconds(guard, now)
+    is_standing = now - guard.emptied_at[0] >= STANDING_SECONDS
+    if is_standing and level <= _partly_shed_level(guard, now):
+        return MAX_WAIT_SLOT_INTERVALS * _slot_interval(guard, now)
+    has_room = level >= guard.lowest_level_with_room
+    if now - guard.overloaded_at < OVERLOAD_SECONDS and not has_room:
+        return MAX_WAIT_SLOT_INTERVALS_ABOVE * _slot_interval(guard, now)
     return math.inf
 
 
-def _turn_seconds(guard: Guard, now: float) -> float:
-    """Return how long it takes on average until a slot falls free."""
+def _slot_interval(guard: Guard, now: float) -> float:
+    """Return the average time until a slot becomes free, in seconds."""
     return guard.current_service_seconds / _limits.current(
         guard.limit_state, now
     )
 
 
-def _standing(guard: Guard, now: float) -> int:
-    """Return the highest level whose queue stands, -1 if none does."""
-    turns = STANDING_TURNS * _turn_seconds(guard, now)
-    since = now - max(STANDING_SECONDS, turns)
+def _highest_standing_level(guard: Guard, now: float) -> int:
+    """Return the highest level with a standing queue, -1 if there is none."""
+    intervals = STANDING_SLOT_INTERVALS * _slot_interval(guard, now)
+    since = now - max(STANDING_SECONDS, intervals)
     return sum(emptied <= since for emptied in guard.emptied_at) - 1
 
 
 def _note_emptied(guard: Guard, now: float) -> None:
-    """Note which levels have no waiter at or above them."""
+    """Record which levels have no waiting work at or above them."""
     top = _queues.highest_level(guard.waiting)
     for level in range(top + 1, len(guard.emptied_at)):
         guard.emptied_at[level] = now
 
 
-def _marginal(guard: Guard, now: float) -> int:
-    """Return the level of which a part is shed, -1 if there is none."""
+def _partly_shed_level(guard: Guard, now: float) -> int:
+    """Return the level that is partly shed, -1 if there is none."""
     value = floor(guard, now)
     return math.floor(value) if value > 0.0 else -1
 
 
-def _expiry(
+def _turn_away_expired(
     guard: Guard, waiter: _queues.Waiter, now: float
 ) -> _messages.Effect:
     guard.overloaded_at = now
     if now >= waiter.work.deadline:
-        return _turn(waiter.work, outcomes.Reason.DEADLINE_PASSED)
-    return _turn(waiter.work, outcomes.Reason.QUEUE_DELAY)
+        return _turn_away(waiter.work, outcomes.Reason.DEADLINE_PASSED)
+    return _turn_away(waiter.work, outcomes.Reason.QUEUE_DELAY)
 
 
-def _overdue(guard: Guard, now: float) -> list[_messages.Effect]:
-    """Abort what runs past its deadline: nobody waits for it.
+def _abort_overdue(guard: Guard, now: float) -> list[_messages.Effect]:
+    """Abort running work whose deadline has passed, as its caller has gone.
 
-    Only at the first tick after the deadline, so that an upstream that is
-    slow to stop is told once.
+    Work is aborted only at the first tick after its deadline, so that an
+    upstream that is slow to stop gets one abort.
     """
     return [
         _messages.Abort(attempt_id)
@@ -342,35 +372,37 @@
 
 
 def _learn(
-    guard: Guard, work: _messages.Work, taken: float, now: float
+    guard: Guard, work: _messages.Work, elapsed: float, now: float
 ) -> None:
-    known = guard.estimates_by_class.get(work.request_class, taken)
-    known += ESTIMATE_WEIGHT * (taken - known)
-    guard.estimates_by_class[work.request_class] = known
+    estimate = guard.estimates_by_class.get(work.request_class, elapsed)
+    estimate += ESTIMATE_WEIGHT * (elapsed - estimate)
+    guard.estimates_by_class[work.request_class] = estimate
     guard.mean_service_seconds += ESTIMATE_WEIGHT * (
-        taken - guard.mean_service_seconds
+        elapsed - guard.mean_service_seconds
     )
     guard.sampled_at = now
 
 
-def _comfortable(guard: Guard, now: float) -> int:
-    """Return the lowest level with room to spare, all above counted."""
+def _lowest_level_with_room(guard: Guard, now: float) -> int:
+    """Return the lowest level with room to spare.
+
+    The demand of all levels above it counts too.
+    """
     if guard.current_service_seconds <= 0.0:
         return 0
     served = (
         _limits.current(guard.limit_state, now) / guard.current_service_seconds
     )
-    return _floors.lowest_level_within(
-        guard.floors, COMFORTABLE_SHARE * served
-    )
+    return _floors.lowest_level_within(guard.floors, ROOM_SHARE * served)
 
 
-def _live(guard: Guard, now: float) -> float:
-    """Return the seconds of service, work under way included.
+def _current_service_seconds(guard: Guard, now: float) -> float:
+    """Return the service time in seconds, with running work included.
 
-    A slowed upstream finishes nothing for a while, so that what finished
-    says nothing of it. What runs is on average half done: twice its mean
-    age shows the slowness after as long as a service used to take.
+    An upstream that has become slow finishes nothing for a while, so finished
+    work does not show that it is slow. Running work is half done on average,
+    so twice its mean age is an estimate of the service time. It shows the
+    slowness after about one former service time.
     """
     if not guard.running:
         return guard.mean_service_seconds
@@ -379,21 +411,23 @@
 
 
 def _estimate(guard: Guard, work: _messages.Work, now: float) -> float:
-    """Return the expected service time of the work.
+    """Return the expected service time of the work in seconds.
 
-    It fades when no sample comes: else an instance that was slow once, and
-    for that reason starts nothing, would never be seen to be quick again.
+    It decays without new samples. Otherwise an instance that was slow once
+    would refuse all work for its deadline, get no new samples, and never be
+    found to be fast again.
     """
-    known = guard.estimates_by_class.get(work.request_class, 0.0)
+    estimate = guard.estimates_by_class.get(work.request_class, 0.0)
     age = now - guard.sampled_at
-    return known * math.exp2(-age / ESTIMATE_HALF_LIFE)
+    return estimate * math.exp2(-age / ESTIMATE_HALF_LIFE)
 
 
-def _admissible(guard: Guard, now: float) -> float:
-    """Return how many attempts a second callers should send.
+def _admissible_rate(guard: Guard, now: float) -> float:
+    """Return how many attempts per second callers should send.
 
-    More than is served, by the square root of what is served in the slack
-    time: with arrivals at random, less would leave slots idle.
+    Within the slack time this exceeds the number of served attempts by about
+    its square root: arrivals are random, and a lower rate would leave slots
+    idle.
     """
     if guard.current_service_seconds <= 0.0:
         return math.inf
@@ -402,5 +436,7 @@
     return (served + math.sqrt(served) + 0.5) / SLACK_SECONDS
 
 
-def _turn(work: _messages.Work, reason: outcomes.Reason) -> _messages.TurnAway:
+def _turn_away(
+    work: _messages.Work, reason: outcomes.Reason
+) -> _messages.TurnAway:
     return _messages.TurnAway(work.attempt_id, reason, RETRY_AFTER_SECONDS)
--- a/src/sassafrasstair/decisions/load/_limits.py
+++ b/src/sassafrasstair/decisions/load/_limits.py
@@ -1,8 +1,8 @@
 """The concurrency limit of one upstream instance.
 
-It starts from the slots in the bundle, is cut when the upstream itself
-refuses, grows back with successes (additive increase, multiplicative
-decrease), and is ramped up while the instance is cold.
+It starts at the number of slots in the bundle, is cut when the upstream
+itself refuses work, and grows back with successes (additive increase,
+multiplicative decrease). While the instance is cold, the limit is ramped up.
 """
 
 from __future__ import annotations
@@ -16,11 +16,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Limit:
-    """State of a limit: the learnt ``value`` and the warm-up ramp."""
+    """State of a concurrency limit.
+
+    ``value`` is the learned limit, at most ``slots``, and was last cut at
+    ``cut_at``. The warm-up ramp lasts from ``cold_since`` to ``warm_at``.
+    """
 
     slots: float
     value: float
-    cold_from: float
+    cold_since: float
     warm_at: float
     cut_at: float
 
@@ -37,16 +41,20 @@
     """Return how many attempts may run at once."""
     if now >= limit.warm_at:
         return limit.value
-    span = limit.warm_at - limit.cold_from
-    warm = COLD_SHARE + (1 - COLD_SHARE) * (now - limit.cold_from) / span
-    return max(1.0, min(limit.value, warm * limit.slots))
+    warm_up_seconds = limit.warm_at - limit.cold_since
+    warm_share = (
+        COLD_SHARE
+        + (1 - COLD_SHARE) * (now - limit.cold_since) / warm_up_seconds
+    )
+    return max(1.0, min(limit.value, warm_share * limit.slots))
 
 
 def refused(limit: Limit, service_time: float, now: float) -> None:
-    """Note a refusal by the upstream; cut once for each service time.
+    """Cut the limit after a refusal, at most once per service time.
 
     The attempts that were already running when the limit was cut may be
-    refused too: counting them again would cut to the bottom at once.
+    refused too. Cutting the limit for each of them would reduce it to its
+    minimum at once.
     """
     if now < limit.cut_at + service_time:
         return
@@ -56,5 +64,8 @@
 
 
 def succeeded(limit: Limit) -> None:
-    """Note a success: one more for each full round of the limit."""
+    """Raise the limit after a success.
+
+    The limit grows by about 1 for each ``value`` successes.
+    """
     limit.value = min(limit.slots, limit.value + 1 / limit.value)
--- a/src/sassafrasstair/decisions/load/_messages.py
+++ b/src/sassafrasstair/decisions/load/_messages.py
@@ -1,7 +1,7 @@
-"""What the guard of one upstream instance decides with.
+"""Inputs and effects of the guard of one upstream instance.
 
-The guard sits in the daemon of the instance's VM: every request for the
-upstream passes it. Instants and durations are float seconds of the local
+The guard is part of the daemon on the instance's VM, and every request for
+the upstream passes it. Instants and durations are float seconds of the local
 monotonic clock.
 """
 
@@ -19,9 +19,10 @@
 class Work:
     """One attempt that arrived for the upstream.
 
-    ``rank`` orders by importance and then by caller (``load.rank``);
-    greater is shed later. ``queue_limit`` is how long it may wait.
-    ``share`` is the tenant's weight in the bundle.
+    ``rank`` orders attempts by importance and then by caller (see
+    ``load.rank``); a higher rank is shed later. ``max_wait_seconds`` is how
+    long the attempt may wait in the queue. ``tenant_share`` is the tenant's
+    weight in the bundle.
     """
 
     attempt_id: str
@@ -34,7 +35,11 @@
 
 
 class End(enum.Enum):
-    """How a started attempt ended at the upstream."""
+    """How a started attempt ended at the upstream.
+
+    Only ``DONE`` counts for the service time, and only ``REFUSED`` cuts the
+    concurrency limit.
+    """
 
     DONE = "done"
     REFUSED = "refused"
@@ -51,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnAway:
-    """Effect: refuse the attempt; it was not run."""
+    """Effect: refuse the attempt, which was not run."""
 
     attempt_id: str
     reason: outcomes.Reason
@@ -60,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Abort:
-    """Effect: cancel the attempt at the upstream: nobody waits for it."""
+    """Effect: cancel the attempt at the upstream, as its caller has gone."""
 
     attempt_id: str
 
--- a/src/sassafrasstair/decisions/load/_queues.py
+++ b/src/sassafrasstair/decisions/load/_queues.py
@@ -1,4 +1,4 @@
-"""The short queue of attempts that wait for a free slot."""
+"""The queue of attempts that wait for a free slot."""
 
 from __future__ import annotations
 
@@ -19,55 +19,62 @@
 
 
 def highest_level(waiting: dict[str, Waiter]) -> int:
-    """Return the highest level that waits, -1 if none does."""
+    """Return the highest level with waiting work, -1 if there is none."""
     if not waiting:
         return -1
     return math.floor(max(waiter.work.rank for waiter in waiting.values()))
 
 
 def next_to_start(
-    waiting: dict[str, Waiter], used: dict[str, int], stands: int
+    waiting: dict[str, Waiter],
+    running_by_tenant: dict[str, int],
+    standing_level: int,
 ) -> Waiter:
-    """Return the one to start next: the most important.
+    """Return the attempt to start next, one of the most important.
 
-    Among equals the tenant that uses least of its share goes first; then
-    the earliest deadline. Up to the level ``stands`` the last to arrive
-    goes first: in a queue that does not empty the others would all wait
-    nearly as long as they may.
+    Within a level, the tenant that uses least of its share goes first, and
+    then the earliest deadline. Up to ``standing_level``, the last to arrive
+    goes first instead of the earliest deadline: in a standing queue, all
+    attempts would otherwise wait for nearly as long as they may.
     """
 
     def order(waiter: Waiter) -> tuple[float, float, float]:
         work = waiter.work
         level = math.floor(work.rank)
-        use = used.get(work.tenant, 0) / work.tenant_share
-        age = -waiter.arrived_at if level <= stands else work.deadline
+        use = running_by_tenant.get(work.tenant, 0) / work.tenant_share
+        age = -waiter.arrived_at if level <= standing_level else work.deadline
         return -level, use, age
 
     return min(waiting.values(), key=order)
 
 
-def next_to_refuse(waiting: dict[str, Waiter], used: dict[str, int]) -> Waiter:
-    """Return the one to turn away when the queue is full.
+def next_to_refuse(
+    waiting: dict[str, Waiter], running_by_tenant: dict[str, int]
+) -> Waiter:
+    """Return the attempt to refuse when the queue is full.
 
-    The least important; among equals one of the tenant that uses most of
-    its share, and of those the lowest rank.
+    This is one of the least important level, of the tenant that uses most of
+    its share, with the lowest rank.
     """
 
     def order(waiter: Waiter) -> tuple[float, float, float]:
         work = waiter.work
-        use = used.get(work.tenant, 0) / work.tenant_share
+        use = running_by_tenant.get(work.tenant, 0) / work.tenant_share
         return math.floor(work.rank), -use, work.rank
 
     return min(waiting.values(), key=order)
 
 
 def expired(
-    waiter: Waiter, now: float, estimate: float, patience: float
+    waiter: Waiter, now: float, estimate: float, max_wait_seconds: float
 ) -> bool:
-    """Say whether the waiter waited too long or cannot finish in time.
+    """Return whether the attempt waited too long or can't finish in time.
 
-    ``patience`` in seconds may shorten how long it may wait.
+    ``max_wait_seconds`` may shorten the wait that the attempt itself allows,
+    and ``estimate`` is its expected service time.
     """
     work = waiter.work
-    waited = now - waiter.arrived_at >= min(work.max_wait_seconds, patience)
+    waited = now - waiter.arrived_at >= min(
+        work.max_wait_seconds, max_wait_seconds
+    )
     return waited or now + estimate > work.deadline
--- a/src/sassafrasstair/decisions/load/_rank.py
+++ b/src/sassafrasstair/decisions/load/_rank.py
@@ -1,9 +1,10 @@
-"""The rank that shedding orders by: importance first, then the caller.
+"""The rank by which load is shed: importance first, then the caller.
 
 The combined priority follows DAGOR (Zhou et al., "Overload Control for
-Scaling WeChat Microservices", SoCC 2018): business priority, then a hash
-of the user, so that one caller's whole chain survives or is refused at
-the entrance, and not pieces of many chains.
+Scaling WeChat Microservices", SoCC 2018): business priority first, then a
+hash of the user. This way all calls in the chain of one caller's request are
+admitted, or the request is refused at the entrance; shedding does not fail
+single calls of many chains.
 """
 
 from __future__ import annotations
@@ -16,10 +17,10 @@
 
 
 def rank(importance: int, caller: str, epoch: int) -> float:
-    """Return the rank in [0, 10): greater is shed later.
+    """Return the rank in [0, 10); a higher rank is shed later.
 
-    ``epoch`` changes the hash now and then, so that no caller is the one
-    that is always shed.
+    A change of ``epoch`` changes the hash, so that it is not always the same
+    callers that are shed.
     """
     bounded = min(max(importance, 0), bundles.IMPORTANCE_MAX)
     digest = hashlib.blake2b(
--- a/src/sassafrasstair/decisions/load/_views.py
+++ b/src/sassafrasstair/decisions/load/_views.py
@@ -1,4 +1,4 @@
-"""What the daemon asks of a guard beside requests."""
+"""Access to the concurrency limit of a guard: its value and its slots."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 def resize(guard: _guards.Guard, slots: int) -> None:
-    """Take the slots that a new bundle gives the instance.
+    """Use the number of slots that a new bundle gives the instance.
 
-    What was learnt below the old slots is kept; a limit that stood at the
-    old slots goes to the new ones.
+    A learned limit below the old number of slots is kept, as far as it does
+    not exceed the new number. A limit equal to the old number is set to the
+    new one.
     """
     limits = guard.limit_state
     at_slots = limits.value >= limits.slots
--- a/tests/decisions/load/test_floors.py
+++ b/tests/decisions/load/test_floors.py
@@ -17,7 +17,7 @@
     start: float = 0.0,
     share: float = 1.0,
 ) -> float:
-    """Offer ranks of level 5 that callers filter by the floor."""
+    """Offer attempts of level 5, filtered by the floor as callers do."""
     rng = random.Random(1)
     now = start
     while now < start + seconds:
@@ -38,10 +38,10 @@
 
 
 def test_a_tenant_cannot_starve_another() -> None:
-    """One tenant's surge leaves another's requests alone.
+    """A surge of one tenant must not affect the requests of another.
 
-    The big tenant sends ten times the capacity, the small one a tenth of
-    it. One floor for both would refuse nine in ten of the small one's.
+    The big tenant sends ten times the capacity, and the small one a tenth of
+    it. A common floor would refuse nine in ten requests of the small tenant.
     """
     floors = _floors.new_floors(0.0)
     _offer(floors, {"big": 2000.0, "small": 20.0}, 2.0, capacity=200.0)
@@ -60,11 +60,10 @@
 
 
 def test_floor_is_gone_a_second_after_its_cause() -> None:
-    """When a surge ends, refusals must end with it.
+    """Refusals must end soon after the surge that caused them.
 
-    Callers above the floor send a fifth as much. What is below it sends
-    nothing that the guard sees, so that only the memory of it could keep
-    the floor up.
+    Demand falls to a tenth of what it was, and the guard sees no attempts
+    below the floor. The remembered demand must not keep the floor up.
     """
     floors = _floors.new_floors(0.0)
     now = _offer(floors, {"main": 1000.0}, 3.0, capacity=200.0)
--- a/tests/decisions/load/test_guards.py
+++ b/tests/decisions/load/test_guards.py
@@ -63,10 +63,10 @@
 
 
 def test_service_estimate_fades_without_samples() -> None:
-    """An instance that refuses all as too slow must be tried again.
+    """An instance that refuses all work as too slow must start work again.
 
-    One service took 8 s, so that no deadline of 5 s can be met. Nothing is
-    started, and no sample would ever correct the estimate.
+    One attempt took 8 s, so that no deadline of 5 s can be met. Nothing is
+    started any more, and no new sample would ever correct the estimate.
     """
     guard = load.new_guard(2, 0.0)
     load.offer(guard, _work("slow", deadline=20.0), 0.0)
@@ -78,10 +78,10 @@
 
 
 def test_deadlines_are_checked_again_after_a_pause() -> None:
-    """A process that slept must not start what nobody waits for.
+    """A process must not start work after a pause whose caller has gone.
 
-    A request waits, the process pauses beyond its deadline, and the slot
-    falls free in the first event after the pause.
+    A request waits, the process pauses until after its deadline, and a slot
+    becomes free in the first event after the pause.
     """
     guard = _full()
     load.offer(guard, _work("waits", deadline=2.0, queue_limit=9.0), 0.0)
@@ -164,11 +164,11 @@
 
 
 def test_patient_guard_sheds_nothing_by_rank() -> None:
-    """A service deep in a chain is asked for twice what it can do.
+    """A service deep in a chain gets twice the load that it can serve.
 
-    Shedding by rank there fails requests on which work was already spent
-    further up. A patient guard lets calls wait for as long as they may, and
-    tells its load, so that the entrances hold back.
+    Shedding by rank there would fail requests on which work was already spent
+    further up the chain. A patient guard lets calls wait for as long as they
+    allow and reports its load, so that the entrances admit fewer requests.
     """
     guard = load.new_guard(2, 0.0, patient=True)
     turned: dict[str, outcomes.Reason] = {}
@@ -182,6 +182,6 @@
             turned |= _reasons(load.finish(guard, first, load.End.DONE, now))
         turned |= _reasons(load.tick(guard, now))
         assert load.floor(guard, now) == 0.0
-    # Only what waited too long, or found too many waiting before it.
+    # Work is refused only for waiting too long or because the queue is full.
     assert set(turned.values()) == {Reason.QUEUE_DELAY, Reason.QUEUE_FULL}
     assert load.busy(guard) > 2.0
--- a/tests/decisions/load/test_limits.py
+++ b/tests/decisions/load/test_limits.py
@@ -14,10 +14,10 @@
 
 
 def test_one_cut_for_each_service_time() -> None:
-    """A burst of refusals must not take the limit to the bottom.
+    """A burst of refusals must not reduce the limit to its minimum.
 
-    Twenty attempts run when the upstream loses slots, and it refuses all
-    of them. Were each counted, the limit would fall to its least.
+    Twenty attempts are running when the upstream loses slots, and it refuses
+    all of them. If each one cut the limit, it would fall to its minimum.
     """
     limit = _limits.new_limit(20, 0.0, cold=False, warm_seconds=0.0)
     for _ in range(20):
