--- a/tests/decisions/admission/test_admissions.py
+++ b/tests/decisions/admission/test_admissions.py
@@ -1,4 +1,4 @@
-"""Admission by the load of a chain, and what is known of the chain."""
+"""Admission by the load of a chain, and the state kept about the chain."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 STEP = 0.01
 SLOTS = 40.0
 SERVICE = 0.04
-"""Seconds of work of one call at the last service of the chain."""
+"""The service time of one call at the last service of the chain."""
 
 
 def _simulate(
     demand: dict[str, tuple[int, float, int]], seconds: float
 ) -> dict[str, list[float]]:
-    """Run entrances before one service at the end of a chain.
+    """Simulate entrances in front of one service at the end of a chain.
 
-    ``demand`` maps routes to importance above the least, requests a
-    second and calls for each. Answers tell the service's load 0.2 s after
-    a request came in. Returns the share let in by route and second.
+    ``demand`` maps routes to their importance above the least, the requests
+    per second, and the calls for each request. Answers report the service's
+    load 0.2 s after a request arrived. Returns the admitted share by route
+    and second.
     """
     gates = admission.Admission()
     rng = random.Random(5)
@@ -53,10 +54,11 @@
 
 
 def test_share_settles_near_what_the_chain_can_do() -> None:
-    """A surge asks the last service of a chain for twice its capacity.
+    """A surge demands twice the capacity of the last service of a chain.
 
-    Let in whole, nearly all of the requests fail half done; cut too far,
-    the service idles. The gates must find the share between.
+    If all requests are admitted, nearly all fail after part of their work was
+    done. If too few are admitted, the service idles. The gates must find the
+    share in between.
     """
     shares = _simulate({"lookup": (0, 200.0, 10)}, 20.0)["lookup"]
     settled = shares[5:]
@@ -90,7 +92,8 @@
 def test_gate_opens_soon_when_there_is_room() -> None:
     """An overload has passed and the chain is half idle.
 
-    The entrances went on refusing three in four lookups for seconds.
+    The entrances must not go on refusing most requests for seconds; at one
+    time they refused three in four.
     """
     gates = admission.Admission()
     rng = random.Random(1)
@@ -124,9 +127,10 @@
 def test_pressure_counts_wait_not_queue_length(
     busy: float, service: float, expected: float
 ) -> None:
-    """A quick instance has a queue of half its slots, 10 ms long.
+    """A fast instance has a queue of half its slots, a wait of 10 ms.
 
-    The entrances refused half of the lookups for it.
+    When the length of the queue counted, the entrances refused half of the
+    lookups for it.
     """
     assert admission.pressure(busy, service) == pytest.approx(expected)
 
@@ -163,7 +167,7 @@
 
 
 def test_callee_load_expires_when_not_reported() -> None:
-    """The service below has gone; its last load must not stay for ever."""
+    """The last load of a callee that has gone must not count forever."""
     chains = admission.CalleeLoads()
     admission.observe_inner_load(chains, "r", 5, 3.0, 100.0)
     admission.observe_inner_load(chains, "q", 5, 0.5, 100.0)
@@ -172,10 +176,10 @@
 
 
 def test_load_heard_of_a_chain_falls_with_few_answers() -> None:
-    """A chain was full, is now nearly empty, and few requests are let in.
+    """A chain was full and is nearly empty now, and few requests are admitted.
 
-    Each answer moved the average by a tenth, so that one answer a second
-    kept it high for long, and nothing more was let in.
+    When each answer moved the average by a tenth, one answer per second left
+    it high for a long time, and nothing more was admitted.
     """
     chains = admission.CalleeLoads()
     for at in range(20):
@@ -197,9 +201,9 @@
 def test_gate_opens_by_time_however_few_ask(per_second: float) -> None:
     """An overload of three seconds is over, at one of hundreds of entrances.
 
-    It gets two requests a second on the route. Where its gate opened with
-    each of them, it refused lookups for ten seconds more though there was
-    room.
+    It gets two requests per second on the route. When its share grew by a
+    fixed amount for each of them, it refused lookups for ten more seconds
+    although there was room.
     """
     gates = admission.Admission()
     rng = random.Random(3)
--- a/tests/decisions/admission/test_parents.py
+++ b/tests/decisions/admission/test_parents.py
@@ -1,4 +1,4 @@
-"""Whose part a call is, by when it and the requests here expire."""
+"""The parent request of a call, found by their deadlines."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Request:
-    """A request at the own upstream."""
+    """A request that runs at the upstream on this VM."""
 
     deadline: float
     rank: float
@@ -41,9 +41,9 @@
 ) -> None:
     """An important request makes eight calls to a service that is full.
 
-    Its calls waited behind those of requests that matter less. Those with a
-    deadline of their own expire sooner than their request: they had the rank
-    of whatever expired next.
+    Without its rank, its calls would wait behind those of less important
+    requests. Calls with a deadline of their own expire earlier than their
+    request, and must not get the rank of the request that expires next.
     """
     parents = admission.Parents()
     assert admission.parent_rank(parents, "r", expires, RUNNING) == rank
@@ -54,7 +54,7 @@
 
 
 def _busy(rng: random.Random) -> list[Request]:
-    """Return thirty requests; the important have more time left."""
+    """Return thirty requests; important ones have more time left."""
     kinds = [("order", 9, 0.25), ("lookup", 7, 0.0), ("upload", 8, 1.0)]
     return [
         Request(10.3 + 0.4 * rng.random() + more, level + rng.random(), route)
@@ -64,10 +64,11 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_calls_of_important_requests_keep_their_importance(seed: int) -> None:
-    """Each request but uploads makes calls with 0.6 to 0.7 s of their own.
+    """Orders and lookups make calls with a timeout of 0.6 to 0.7 s.
 
-    Orders have more time left than that, so that most of their calls expire
-    before them; uploads have most, and lent their rank to these calls.
+    Orders have more time left than that, so most of their calls expire before
+    them. Uploads have the most time left but make no calls, and their rank
+    must not be given to the calls of orders.
     """
     rng = random.Random(seed)
     parents = admission.Parents()
--- a/tests/decisions/calls/test_late_answers.py
+++ b/tests/decisions/calls/test_late_answers.py
@@ -12,10 +12,11 @@
 
 
 def test_late_and_doubled_answers_are_dropped() -> None:
-    """A lookup is retried, and its first attempt's answer comes late.
+    """A lookup is retried, and the first attempt's answer arrives late.
 
-    Taken for the second one's it would refuse a lookup that is about to
-    be answered, or give the caller two answers.
+    If it were taken for the answer of the second attempt, the lookup would
+    be refused although it is about to be answered, or the caller would get
+    two answers.
     """
     entrance = calls.new_entrance("1", "a", "r")
     bundle = worlds.verify(worlds.envelope(1))
--- a/tests/decisions/calls/test_outcome_of_all.py
+++ b/tests/decisions/calls/test_outcome_of_all.py
@@ -31,10 +31,11 @@
     ("first", "told"), [("unknown", "unknown"), ("not run", "not run")]
 )
 def test_a_lost_attempt_leaves_the_call_unknown(first: str, told: str) -> None:
-    """A caller is told "not run" of a request that ran.
+    """The outcome of the last attempt must not hide that an earlier one ran.
 
-    The first attempt is lost after it ran; the entrance retries at another
-    instance, which cannot be reached and so did not run it.
+    The first attempt is lost after it ran. The entrance retries at another
+    instance, which can't be reached and so did not run it. The caller must
+    not be told that the request was not run.
     """
     rng = random.Random(1)
     entrance = calls.new_entrance("i", "pos-a", "tt-north")
--- a/tests/decisions/calls/test_retries.py
+++ b/tests/decisions/calls/test_retries.py
@@ -77,10 +77,11 @@
 
 
 def test_chain_makes_no_more_than_its_allowance() -> None:
-    """A lost attempt may have retried further down before it was lost.
+    """A lost attempt may have used its retries before it was lost.
 
-    The entrance gives one of its two retries down and loses the attempt.
-    Counted as unspent, the chain could make three retries in place of two.
+    The entrance grants one of its two retries to the attempt, which is lost.
+    If that retry did not count as spent, the chain could make three retries
+    instead of two.
     """
     rules = samples.bundle()
     entrance, key, effect = _begin(rules, samples.call(retries=2))
--- a/tests/decisions/calls/test_routing.py
+++ b/tests/decisions/calls/test_routing.py
@@ -71,11 +71,11 @@
 def test_slow_instance_is_left_for_a_quick_one(
     near: float, far: float, expected: str
 ) -> None:
-    """The instance of the own domain takes twelve times as long as others.
+    """The instance in the own domain takes twelve times as long as others.
 
-    It has free slots, and so got all calls of its domain, which took
-    longer than their callers could wait. Instances that only differ share
-    the work as before.
+    It has free slots, so by load alone it would get all calls of its domain,
+    and they would take longer than their callers can wait. Instances with
+    smaller differences in speed are not avoided.
     """
     routes = _peers.Routes(HERE, "region")
     _report_load(routes, "near", 0.5, 1.0, near)
@@ -88,7 +88,7 @@
 def _answer_for_a_while(
     routes: _peers.Routes, near: float, far: float
 ) -> float:
-    """Let instances answer for a while; return when the last did."""
+    """Let all instances answer for 2 s; return the time of the last answer."""
     now = 1.0
     for _ in range(100):
         now += 0.02
@@ -99,11 +99,11 @@
 
 
 def test_instance_that_is_slow_by_nature_keeps_its_domain() -> None:
-    """Instances differ three times in speed, and answers vary.
+    """Instances differ in speed by a factor of three, and service times vary.
 
-    The slow one of a domain was taken for an outlier again and again, and a
-    third of the calls crossed to another domain on a calm day, for bytes
-    that are dear and no answer that came in better time.
+    If the slow instance of a domain is taken for an outlier, calls leave the
+    domain without being answered sooner, and traffic between domains is
+    expensive. This happened to a third of the calls under normal load.
     """
     routes = _peers.Routes(HERE, "region")
     now = _answer_for_a_while(routes, near=0.06, far=0.02)
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("near", [0.02, 0.06])
 def test_instance_that_has_become_slow_is_left_soon(near: float) -> None:
-    """An instance turns five times as slow; the others are as usual."""
+    """An instance becomes five times as slow, and the others do not change."""
     routes = _peers.Routes(HERE, "region")
     now = _answer_for_a_while(routes, near=near, far=0.02)
     _report_load(routes, "near", 0.5, now + 0.1, 5.0 * near)
@@ -121,7 +121,7 @@
 
 
 def test_slow_instance_is_asked_again_after_a_while() -> None:
-    """Nobody would else learn that it is quick again."""
+    """Without calls, nothing would show that the instance is fast again."""
     routes = _peers.Routes(HERE, "region")
     _report_load(routes, "near", 0.5, 1.0, 1.2)
     for at in (1.0, 2.2):
@@ -141,9 +141,9 @@
 
 
 def test_own_network_fault_does_not_eject_all() -> None:
-    """One VM's broken network must not make it refuse everything.
+    """A fault in a VM's own network must not make it refuse everything.
 
-    All attempts fail at once, so that each instance looks like an outlier.
+    All attempts fail at once, so that every instance looks broken.
     """
     routes = _peers.Routes(HERE, "region")
     for target in TARGETS:
@@ -157,9 +157,9 @@
 def test_nothing_is_sent_where_no_ping_is_answered() -> None:
     """A failure domain is cut off and has no instance of a service.
 
-    Each call to it was held for four connections that could not be made,
-    or was lost on a kept one, and its client could not try again. The first
-    ping that is answered brings the service back.
+    If calls were still sent, each would wait for four connections that can't
+    be made, or would be lost on a kept connection, and its client could not
+    retry it. The first answered ping makes the service usable again.
     """
     routes = _peers.Routes(HERE, "region", try_unreachable=False)
     for target in TARGETS:
@@ -181,10 +181,10 @@
 
 
 def test_silent_instance_is_pinged_at_once() -> None:
-    """A VM that vanishes tells nobody.
+    """A VM disappears without notice while attempts to it are under way.
 
-    Attempts to it are under way and none is answered. Waiting for their
-    deadlines would send it seconds of further work.
+    If the entrance waited for their deadlines before it pinged the VM, it
+    would send more work there for seconds.
     """
     routes = _peers.Routes(HERE, "region")
     _report_load(routes, "near", 0.1, 1.0)
@@ -196,10 +196,10 @@
 
 
 def test_silent_instance_gets_nothing_while_its_ping_is_under_way() -> None:
-    """The VM of the own domain's instance goes dark.
+    """The VM of the instance in the own domain disappears.
 
-    For the half second of the ping all calls of the domain were still sent
-    there, and those that must not run twice were lost.
+    A ping takes up to half a second. If calls were still sent to the VM
+    meanwhile, those that must not run twice would be lost.
     """
     routes = _peers.Routes(HERE, "region")
     _report_load(routes, "near", 0.1, 1.0)
@@ -220,9 +220,10 @@
 
 
 def test_instance_that_started_again_is_judged_anew() -> None:
-    """An instance failed, was ejected and has started again under its id.
+    """An instance failed, was ejected and has restarted under the same id.
 
-    It was left alone, and its old load and latency were held against it.
+    It must be usable at once, without the load, latency and failures that
+    were recorded before the restart.
     """
     routes = _peers.Routes(HERE, "region", try_unreachable=False)
     _report_load(routes, "near", 5.0, 1.0, service=3.0)
--- a/tests/decisions/calls/test_shed_floors.py
+++ b/tests/decisions/calls/test_shed_floors.py
@@ -15,7 +15,7 @@
 def _report_floor(
     entrance: calls.Entrance, rules: bundles.Bundle, floor: float, now: float
 ) -> None:
-    """Let one call through that answers with the floor."""
+    """Make one call whose answer reports the floor."""
     taken = calls.Call("c", "intake", "lookup", "main", "x", now + 1)
     key, sent = calls.begin_call(
         entrance, rules, taken, samples.TARGETS, now, RNG
@@ -51,10 +51,10 @@
 def test_refused_at_the_entrance_while_the_floor_is_fresh(
     floor: float, after: float, refused: bool
 ) -> None:
-    """No floor outlives its cause by more than a second.
+    """A floor must not outlive its cause by more than a second.
 
-    A floor at which nothing passes brings no answer that would lower it,
-    so that it has to fall by itself.
+    If a floor is so high that nothing passes, no answer can lower it, so it
+    has to decay by itself.
     """
     rules = samples.bundle()
     entrance = calls.new_entrance("me", "domain-a", "region")
@@ -73,8 +73,8 @@
 def test_own_service_is_left_out_of_the_floor_below() -> None:
     """Instances of one service must not keep each other's floor alive.
 
-    Each hears the others' floor and would answer with it, long after the
-    load that caused it is gone.
+    Each receives the floors of the others and would report them in its own
+    answers, long after the load that caused them is gone.
     """
     rules = samples.bundle()
     entrance = calls.new_entrance("me", "domain-a", "region")
