--- a/src/sassafrasstair/decisions/admission/_admissions.py
+++ b/src/sassafrasstair/decisions/admission/_admissions.py
@@ -49,9 +49,9 @@
 The growth depends on the elapsed time and not on the number of updates. An
 entrance that gets two requests per second on a route makes only as many
 updates; with a fixed growth for each of them, its gate took 10 s or more to
-open. With growth by time, 0.92 to 0.93 of the worth is served while all
-instances are cold (130 entrances, ``tests/loads/chains``, mean of three
-seeds)."""
+open. With growth by time, the entrances serve 0.92 to 0.93 of the worth that
+``tests/loads/chains`` assigns to requests while all instances are cold (130
+entrances, mean of three seeds)."""
 MIN_SHARE = 0.02
 """The share never falls below this: without any requests no answer would
 report the load."""
--- a/src/sassafrasstair/decisions/admission/_averages.py
+++ b/src/sassafrasstair/decisions/admission/_averages.py
@@ -17,7 +17,7 @@
 def weight(elapsed: float, min_weight: float) -> float:
     """Return the weight of an answer ``elapsed`` seconds after the last one.
 
-    It is ``least`` or more, so that answers that arrive at the same moment
-    count too.
+    It is at least ``min_weight``, so that answers that arrive at the same
+    moment count too.
     """
     return max(min_weight, 1.0 - math.exp(-max(0.0, elapsed) / SMOOTH_SECONDS))
--- a/src/sassafrasstair/decisions/admission/_chains.py
+++ b/src/sassafrasstair/decisions/admission/_chains.py
@@ -48,13 +48,13 @@
 ) -> None:
     """Add the load reported with the answer to an upstream's call."""
     chains.inner_routes.add(route)
-    known = chains.loads.get((route, importance))
-    if known is None:
+    average = chains.loads.get((route, importance))
+    if average is None:
         chains.loads[route, importance] = AveragedLoad(load, now)
         return
-    weight = _averages.weight(now - known.heard_at, MIN_WEIGHT)
-    known.load += weight * (load - known.load)
-    known.heard_at = now
+    weight = _averages.weight(now - average.heard_at, MIN_WEIGHT)
+    average.load += weight * (load - average.load)
+    average.heard_at = now
 
 
 def mark_called_by_clients(chains: CalleeLoads, route: str) -> None:
@@ -72,14 +72,14 @@
 ) -> float:
     """Return the greatest load among the services called from here.
 
-    Only loads reported for requests of the importance ``level`` count.
+    Only loads reported for requests of the given importance count.
     """
     return max(
         (
-            known.load
-            for (_, known_importance), known in chains.loads.items()
+            average.load
+            for (_, known_importance), average in chains.loads.items()
             if known_importance == importance
-            and now - known.heard_at < FADE_SECONDS
+            and now - average.heard_at < FADE_SECONDS
         ),
         default=0.0,
     )
--- a/src/sassafrasstair/decisions/calls/_floors.py
+++ b/src/sassafrasstair/decisions/calls/_floors.py
@@ -54,16 +54,16 @@
 
     The lowest counts because routing can send the request to that instance.
     """
-    heard = floors.by_class.get(key)
-    if not heard:
+    by_vm = floors.by_class.get(key)
+    if not by_vm:
         return 0.0
-    for vm in [vm for vm, floor in heard.items() if _is_old(floor, now)]:
+    for vm in [vm for vm, floor in by_vm.items() if _is_outdated(floor, now)]:
         # The floor of an instance that has left would decay to 0 and then
         # be the lowest, as if that instance still accepted everything.
-        del heard[vm]
-    if not heard:
+        del by_vm[vm]
+    if not by_vm:
         del floors.by_class[key]
-    return min((decayed(floor, now) for floor in heard.values()), default=0.0)
+    return min((decayed(floor, now) for floor in by_vm.values()), default=0.0)
 
 
 def refusing_vms(
@@ -73,11 +73,11 @@
     now: float,
 ) -> frozenset[str]:
     """Return the VMs whose reported floor is above the rank."""
-    heard = floors.by_class.get(key, {})
+    by_vm = floors.by_class.get(key, {})
     return frozenset(
-        vm for vm, floor in heard.items() if rank < decayed(floor, now)
+        vm for vm, floor in by_vm.items() if rank < decayed(floor, now)
     )
 
 
-def _is_old(floor: Floor, now: float) -> bool:
+def _is_outdated(floor: Floor, now: float) -> bool:
     return now - floor.heard_at >= FORGET_SECONDS
--- a/src/sassafrasstair/decisions/calls/_retries.py
+++ b/src/sassafrasstair/decisions/calls/_retries.py
@@ -39,7 +39,7 @@
 
 
 def retries_to_grant(retries_left: int, leaf: bool) -> int:
-    """Return how many of the chain's ``left`` retries an attempt may use.
+    """Return how many of the chain's ``retries_left`` an attempt may use.
 
     A service that calls no other (``leaf``) gets none. Otherwise one retry
     is kept back if there is more than one: if the attempt is lost, all
--- a/src/sassafrasstair/decisions/calls/_routing.py
+++ b/src/sassafrasstair/decisions/calls/_routing.py
@@ -191,16 +191,16 @@
     more than all other decisions about the call.
     """
     service = targets[0].service
-    known = routes.targets_by_service.get(service)
+    grouped = routes.targets_by_service.get(service)
     if (
-        known is not None
-        and known.targets is targets
-        and known.usability_changes == routes.usability_changes
-        and now - known.sorted_at < SORT_SECONDS
+        grouped is not None
+        and grouped.targets is targets
+        and grouped.usability_changes == routes.usability_changes
+        and now - grouped.sorted_at < SORT_SECONDS
     ):
-        return known
+        return grouped
     usable = _usable(routes, targets)
-    known = _peers.SortedTargets(
+    grouped = _peers.SortedTargets(
         targets,
         [each for each in usable if _in_same_domain(routes, each)],
         [each for each in usable if each.region == routes.region],
@@ -209,8 +209,8 @@
         routes.usability_changes,
         now,
     )
-    routes.targets_by_service[service] = known
-    return known
+    routes.targets_by_service[service] = grouped
+    return grouped
 
 
 def _in_same_domain(routes: _peers.Routes, target: _messages.Target) -> bool:
@@ -254,16 +254,16 @@
     wait for a connection that can't be made, or the attempt would be lost on
     a connection that is already broken.
     """
-    known = routes.peers
+    peers = routes.peers
     reachable = [
         target
         for target in targets
-        if target.vm not in known or not known[target.vm].unreachable
+        if target.vm not in peers or not peers[target.vm].unreachable
     ]
     kept = [
         target
         for target in reachable
-        if target.vm not in known or not known[target.vm].ejected
+        if target.vm not in peers or not peers[target.vm].ejected
     ]
     if len(reachable) - len(kept) > EJECTED_SHARE_MAX * len(reachable):
         kept = reachable
@@ -287,9 +287,9 @@
     )
     scored = [
         ScoredTarget(
-            targets[at],
-            expected_delay(routes, targets[at].vm, now, fastest_seconds),
+            targets[index],
+            expected_delay(routes, targets[index].vm, now, fastest_seconds),
         )
-        for at in drawn
+        for index in drawn
     ]
     return min(scored, key=lambda each: each.expected_delay)
--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -218,8 +218,8 @@
     """
     running = sum(
         count
-        for known, count in guard.running_by_level.items()
-        if known >= level
+        for running_level, count in guard.running_by_level.items()
+        if running_level >= level
     )
     waiting = sum(
         math.floor(waiter.work.rank) >= level
@@ -285,7 +285,7 @@
             effects.append(_turn_away_expired(guard, waiter, now))
         else:
             effects.append(_start(guard, waiter.work, now))
-    _note_emptied(guard, now)
+    _record_emptied(guard, now)
     return effects
 
 
@@ -336,7 +336,7 @@
     return sum(emptied <= since for emptied in guard.emptied_at) - 1
 
 
-def _note_emptied(guard: Guard, now: float) -> None:
+def _record_emptied(guard: Guard, now: float) -> None:
     """Record which levels have no waiting work at or above them."""
     top = _queues.highest_level(guard.waiting)
     for level in range(top + 1, len(guard.emptied_at)):
--- a/src/sassafrasstair/decisions/load/_limits.py
+++ b/src/sassafrasstair/decisions/load/_limits.py
@@ -10,8 +10,8 @@
 import dataclasses
 
 COLD_SHARE = 0.25
-CUT = 0.8
-LEAST_SHARE = 0.125
+CUT_FACTOR = 0.8
+MIN_SHARE = 0.125
 
 
 @dataclasses.dataclass(slots=True)
@@ -59,8 +59,8 @@
     if now < limit.cut_at + service_time:
         return
     limit.cut_at = now
-    least = max(1.0, LEAST_SHARE * limit.slots)
-    limit.value = max(least, CUT * limit.value)
+    minimum = max(1.0, MIN_SHARE * limit.slots)
+    limit.value = max(minimum, CUT_FACTOR * limit.value)
 
 
 def succeeded(limit: Limit) -> None:
--- a/src/sassafrasstair/decisions/load/_queues.py
+++ b/src/sassafrasstair/decisions/load/_queues.py
@@ -53,8 +53,8 @@
 ) -> Waiter:
     """Return the attempt to refuse when the queue is full.
 
-    This is one of the least important level, of the tenant that uses most of
-    its share, with the lowest rank.
+    It comes from the least important level. Within that level, the tenant
+    that uses most of its share is chosen, and then the lowest rank.
     """
 
     def order(waiter: Waiter) -> tuple[float, float, float]:
--- a/src/sassafrasstair/decisions/requests/_budgets.py
+++ b/src/sassafrasstair/decisions/requests/_budgets.py
@@ -56,9 +56,9 @@
 
 
 def slack_part(
-    rules: BudgetRules, service: str, hosts: abc.Iterable[str], own: str
+    rules: BudgetRules, service: str, hosts: abc.Iterable[str], own_host: str
 ) -> float:
-    """Return the part of the slack that the daemon at ``own`` may use.
+    """Return the part of the slack that the daemon at ``own_host`` may use.
 
     ``hosts`` are the hosts of the other daemons. All daemons get an equal
     part if that is at least one repeat. Otherwise there are fewer repeats
@@ -73,7 +73,7 @@
     others = list(hosts)
     if repeats >= len(others) + 1:
         return repeats / (len(others) + 1)
-    own_key = _order_key(service, own)
+    own_key = _order_key(service, own_host)
     position = sum(_order_key(service, host) < own_key for host in others)
     return 1.0 if position < math.floor(repeats) else 0.0
 
@@ -102,8 +102,8 @@
 
 
 def _drop_before(counts: dict[int, int], since: int) -> None:
-    for old in [key for key in counts if key < since]:
-        del counts[old]
+    for second in [key for key in counts if key < since]:
+        del counts[second]
 
 
 def _order_key(service: str, host: str) -> bytes:
--- a/src/sassafrasstair/decisions/requests/_progress.py
+++ b/src/sassafrasstair/decisions/requests/_progress.py
@@ -143,7 +143,7 @@
 
 def retry_after(route: policies.Route, rng: random.Random) -> float:
     """Return after how many seconds a refused client should retry."""
-    least = max(
+    minimum = max(
         RETRY_AFTER_MIN_SECONDS, RETRY_AFTER_OBJECTIVE_SHARE * route.objective
     )
-    return rng.uniform(least, 2.0 * least)
+    return rng.uniform(minimum, 2.0 * minimum)
--- a/tests/decisions/calls/test_outcome_of_all.py
+++ b/tests/decisions/calls/test_outcome_of_all.py
@@ -28,9 +28,11 @@
 
 
 @pytest.mark.parametrize(
-    ("first", "told"), [("unknown", "unknown"), ("not run", "not run")]
+    ("first", "expected"), [("unknown", "unknown"), ("not run", "not run")]
 )
-def test_a_lost_attempt_leaves_the_call_unknown(first: str, told: str) -> None:
+def test_a_lost_attempt_leaves_the_call_unknown(
+    first: str, expected: str
+) -> None:
     """The outcome of the last attempt must not hide that an earlier one ran.
 
     The first attempt is lost after it ran. The entrance retries at another
@@ -55,4 +57,4 @@
         assert now_effect is not None
         effect = now_effect
     assert isinstance(effect, calls.Refuse)
-    assert effect.outcome.value == told
+    assert effect.outcome.value == expected
--- a/tests/decisions/load/test_floors.py
+++ b/tests/decisions/load/test_floors.py
@@ -17,7 +17,7 @@
     start: float = 0.0,
     share: float = 1.0,
 ) -> float:
-    """Offer attempts of level 5, filtered by the floor as callers do."""
+    """Offer attempts of level 5 that callers have filtered by the floor."""
     rng = random.Random(1)
     now = start
     while now < start + seconds:
--- a/tests/decisions/load/test_guards.py
+++ b/tests/decisions/load/test_guards.py
@@ -171,17 +171,17 @@
     allow and reports its load, so that the entrances admit fewer requests.
     """
     guard = load.new_guard(2, 0.0, patient=True)
-    turned: dict[str, outcomes.Reason] = {}
+    refused: dict[str, outcomes.Reason] = {}
     for step in range(100):
         now = step * 0.01
         for name in (f"a{step}", f"b{step}"):
             work = _work(name, 0.5, deadline=now + 1.0, queue_limit=0.15)
-            turned |= _reasons(load.offer(guard, work, now))
+            refused |= _reasons(load.offer(guard, work, now))
         if guard.running:
             first = next(iter(guard.running))
-            turned |= _reasons(load.finish(guard, first, load.End.DONE, now))
-        turned |= _reasons(load.tick(guard, now))
+            refused |= _reasons(load.finish(guard, first, load.End.DONE, now))
+        refused |= _reasons(load.tick(guard, now))
         assert load.floor(guard, now) == 0.0
     # Work is refused only for waiting too long or because the queue is full.
-    assert set(turned.values()) == {Reason.QUEUE_DELAY, Reason.QUEUE_FULL}
+    assert set(refused.values()) == {Reason.QUEUE_DELAY, Reason.QUEUE_FULL}
     assert load.busy(guard) > 2.0
--- a/tests/decisions/requests/test_budgets.py
+++ b/tests/decisions/requests/test_budgets.py
@@ -89,8 +89,8 @@
             if requests.allow_repeat(windows[own], rules, now):
                 repeats.append(now)
     hypothesis.note(f"{len(repeats)} repeats, {restarts} restarts")
-    spare = 0.5 * rules.slack
-    assert _worst_excess(rules, sent, repeats) <= -spare + restarts
+    margin = 0.5 * rules.slack
+    assert _worst_excess(rules, sent, repeats) <= -margin + restarts
 
 
 @pytest.mark.parametrize("daemons", [1, 16, 195, 1_333])
