--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -1,9 +1,10 @@
-"""Which VMs cannot be reached, and what is told of it.
+"""Failure detection: liveness checks, suspicion and local ejection.
 
-A VM is judged only by members of its own failure domain, and only after
-helpers failed to reach it too; so a cut between failure domains sends no
-rumours and leaves nothing to take back when it heals. Daemons elsewhere
-bar it for themselves and ask its domain for a judgement.
+A VM is suspected only by members of its own failure domain, and only after
+helpers failed to reach it too. A partition between failure domains
+therefore causes no rumours, and nothing has to be retracted when it heals.
+Daemons in other domains eject the VM locally and ask a member of its domain
+for a check.
 """
 
 from __future__ import annotations
@@ -22,25 +23,28 @@
     import random
 
 HELPERS = 2
-MOST_CHECKS = 16
+MAX_CHECKS = 16
+# Seconds.
 CHECK_TIMEOUT = 1.6
-SUSPECTED_FOR = 6.0
-GONE_KEPT_FOR = 3600.0
-RETRY_FIRST = 2.0
-RETRY_LONGEST = 15.0
-FAILURES_TO_BAR = 2
-MOST_RETRIES = 3
+SUSPICION_TIMEOUT = 6.0
+GONE_RETENTION = 3600.0
+MIN_RETRY_INTERVAL = 2.0
+MAX_RETRY_INTERVAL = 15.0
+# Consecutive failed contacts after which a VM gets no work from here.
+FAILURES_TO_EJECT = 2
+# Probes of ejected VMs per tick.
+MAX_RETRIES = 3
 
 
-def check(
+def start_check(
     node: _states.Node,
     vm: str,
     reply_to: str,
-    whole: bool,
+    with_helpers: bool,
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Test ``vm``, for ``reply_to`` if not empty; with helpers if whole."""
+    """Probe ``vm`` and report to ``reply_to``, unless that is empty."""
     member = node.members.get(vm)
     if (
         member is None
@@ -48,21 +52,25 @@
         or member.liveness == _messages.GONE
     ):
         return []
-    running = node.checks.get(vm)
-    if running is not None:
-        return _join_check(node, running, vm, reply_to, whole, rng)
-    if len(node.checks) >= MOST_CHECKS:
+    current = node.checks.get(vm)
+    if current is not None:
+        return _extend_check(node, current, vm, reply_to, with_helpers, rng)
+    if len(node.checks) >= MAX_CHECKS:
         return []
-    begun = _states.Check(now, whole)
-    node.checks[vm] = begun
+    check = _states.Check(now, with_helpers)
+    node.checks[vm] = check
     if reply_to:
-        begun.reply_to.add(reply_to)
+        check.reply_to.add(reply_to)
     effects = [_summaries.probe(node, vm)]
-    return effects + (_ask(node, begun, vm, rng) if whole else [])
+    return effects + (
+        _ask_helpers(node, check, vm, rng) if with_helpers else []
+    )
 
 
-def alive(node: _states.Node, vm: str, now: float) -> list[_effects.Effect]:
-    """Take in that ``vm`` was reached or has called."""
+def record_success(
+    node: _states.Node, vm: str, now: float
+) -> list[_effects.Effect]:
+    """Record that ``vm`` was reached or has sent a message."""
     member = node.members.get(vm)
     if member is None or vm == node.local_record.vm:
         return []
@@ -71,113 +79,123 @@
     if member.ejected:
         member.ejected = False
         node.ejected.discard(vm)
-        _members.hold(node, member, now)
-        _members.changed(node, roster=_is_own(node, member))
-    effects = _end_check(node, vm, reached=True)
-    return effects + _reaches.reached(node, member.record.failure_domain, now)
+        _members.start_hold_down(node, member, now)
+        _members.invalidate_caches(node, membership=_is_own(node, member))
+    effects = _record_direct_result(node, vm, reached=True)
+    return effects + _reaches.record_success(
+        node, member.record.failure_domain, now
+    )
 
 
-def failed(
+def record_failure(
     node: _states.Node, vm: str, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Take in that this daemon could not reach ``vm``."""
+    """Record that this daemon could not reach ``vm``."""
     member = node.members.get(vm)
     if (
         member is None
         or vm == node.local_record.vm
         or now < node.ignore_failures_until
     ):
-        # After a pause all timeouts look like failures of others, though
-        # it was this process that did not run: they count for nothing.
+        # After a pause of this process all its exchanges time out, which
+        # says nothing about the peers: such failures are ignored.
         return []
     member.failures += 1
-    if member.failures >= FAILURES_TO_BAR:
-        _bar(node, member, now)
-    effects = _end_check(node, vm, reached=False)
-    own = member.record.failure_domain == node.local_record.failure_domain
-    if not own:
-        effects += _reaches.missed(node, member, now, rng)
-    running = node.checks.get(vm)
-    cut = _reaches.is_cut(node, member.record.failure_domain)
-    if running is None and not cut and not _judged(member):
-        effects += check(node, vm, "", whole=True, now=now, rng=rng)
-    return effects + _judge(node, vm, now)
-
-
-def result(
+    if member.failures >= FAILURES_TO_EJECT:
+        _eject(node, member, now)
+    effects = _record_direct_result(node, vm, reached=False)
+    in_own_domain = (
+        member.record.failure_domain == node.local_record.failure_domain
+    )
+    if not in_own_domain:
+        effects += _reaches.record_failure(node, member, now, rng)
+    current = node.checks.get(vm)
+    unreachable = _reaches.is_unreachable(node, member.record.failure_domain)
+    if current is None and not unreachable and not _is_not_serving(member):
+        effects += start_check(
+            node, vm, "", with_helpers=True, now=now, rng=rng
+        )
+    return effects + _suspect_if_confirmed(node, vm, now)
+
+
+def record_helper_result(
     node: _states.Node, message: _messages.ProbeResult, now: float
 ) -> list[_effects.Effect]:
-    """Take in what a helper found."""
-    running = node.checks.get(message.vm)
-    if running is None:
+    """Record the probe result of a helper."""
+    check = node.checks.get(message.vm)
+    if check is None:
         return []
-    running.results[message.sender] = message.reached
-    return _judge(node, message.vm, now)
+    check.helper_results[message.sender] = message.reached
+    return _suspect_if_confirmed(node, message.vm, now)
 
 
-def review(
+def run_due_probes(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Return the probes and judgements that time has brought due."""
+    """Drop expired checks and return the probes that are due."""
     _expire_checks(node, now)
-    effects = _retry_barred(node, now, rng)
-    return effects + _reaches.review(node, now, rng)
+    effects = _probe_ejected(node, now, rng)
+    return effects + _reaches.probe_unreachable(node, now, rng)
 
 
-def review_members(node: _states.Node, now: float) -> list[_effects.Effect]:
-    """Turn long suspicion into gone, and forget what is long gone.
+def expire_members(node: _states.Node, now: float) -> list[_effects.Effect]:
+    """Mark long suspected members as gone and remove those long gone.
 
-    Each daemon does so by itself: a rumour of it would tell nobody more
-    than the suspicion that all have heard of.
+    Each daemon does so by itself: a rumour would add nothing to the
+    suspicion, which has already reached all daemons.
     """
     effects: list[_effects.Effect] = []
     for vm in sorted(node.not_serving):
         member = node.members[vm]
         age = now - member.changed_at
-        if member.liveness == _messages.SUSPECTED and age > SUSPECTED_FOR:
-            effects += _declare(node, vm, _messages.GONE, now)
-        elif member.liveness == _messages.GONE and age > GONE_KEPT_FOR:
-            _members.forget(node, vm)
+        if member.liveness == _messages.SUSPECTED and age > SUSPICION_TIMEOUT:
+            effects += _set_liveness(node, vm, _messages.GONE, now)
+        elif member.liveness == _messages.GONE and age > GONE_RETENTION:
+            _members.remove(node, vm)
     return effects
 
 
-def _join_check(
+def _extend_check(
     node: _states.Node,
-    running: _states.Check,
+    check: _states.Check,
     vm: str,
     reply_to: str,
-    whole: bool,
+    with_helpers: bool,
     rng: random.Random,
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
-    if reply_to and running.direct is not None:
-        effects.append(_report_to(node, vm, reply_to, running.direct))
+    if reply_to and check.direct_result is not None:
+        effects.append(_report_to(node, vm, reply_to, check.direct_result))
     elif reply_to:
-        running.reply_to.add(reply_to)
-    if whole and not running.whole:
-        running.whole = True
-        effects += _ask(node, running, vm, rng)
+        check.reply_to.add(reply_to)
+    if with_helpers and not check.with_helpers:
+        check.with_helpers = True
+        effects += _ask_helpers(node, check, vm, rng)
     return effects
 
 
-def _ask(
+def _ask_helpers(
     node: _states.Node,
-    running: _states.Check,
+    check: _states.Check,
     vm: str,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Ask helpers: for an own-domain VM one at home and one elsewhere."""
+    """Ask two helpers to probe ``vm``.
+
+    For a VM of the own failure domain, one helper is in that domain and one
+    in another; otherwise both are in the domain of the VM.
+    """
     domain = node.members[vm].record.failure_domain
-    own = domain == node.local_record.failure_domain
-    scopes = (True, False) if own else (True, True)
+    in_own_domain = domain == node.local_record.failure_domain
+    in_domain_flags = (True, False) if in_own_domain else (True, True)
     chosen: set[str] = set()
-    for home in scopes:
-        helper = _helper(node, vm, domain, home, chosen, rng)
+    for in_domain in in_domain_flags:
+        helper = _choose_helper(node, vm, domain, in_domain, chosen, rng)
         if helper is not None:
             chosen.add(helper)
-    running.asked += len(chosen)
+    check.helpers_asked += len(chosen)
     request = _messages.ProbeRequest(
-        vm, node.local_record.address, with_helpers=not own
+        vm, node.local_record.address, with_helpers=not in_own_domain
     )
     return [
         _effects.Exchange(
@@ -189,11 +207,11 @@
     ]
 
 
-def _helper(
+def _choose_helper(
     node: _states.Node,
     vm: str,
     domain: str,
-    home: bool,
+    in_domain: bool,
     chosen: set[str],
     rng: random.Random,
 ) -> str | None:
@@ -201,26 +219,26 @@
         same = member.record.failure_domain == domain
         name = member.record.vm
         return (
-            same == home
+            same == in_domain
             and name != vm
             and name not in chosen
             and not member.failures
             and _members.is_member(member)
-            and not _reaches.is_cut(node, member.record.failure_domain)
+            and not _reaches.is_unreachable(node, member.record.failure_domain)
         )
 
     return _subsets.random_member(node, rng, accept)
 
 
-def _end_check(
+def _record_direct_result(
     node: _states.Node, vm: str, reached: bool
 ) -> list[_effects.Effect]:
-    running = node.checks.get(vm)
-    if running is None or running.direct is not None:
+    check = node.checks.get(vm)
+    if check is None or check.direct_result is not None:
         return []
-    running.direct = reached
-    waiting = sorted(running.reply_to)
-    running.reply_to.clear()
+    check.direct_result = reached
+    waiting = sorted(check.reply_to)
+    check.reply_to.clear()
     if reached:
         del node.checks[vm]
     return [_report_to(node, vm, address, reached) for address in waiting]
@@ -233,47 +251,53 @@
     return _effects.Exchange(address, message, _effects.PROBE_TIMEOUT)
 
 
-def _judge(node: _states.Node, vm: str, now: float) -> list[_effects.Effect]:
-    """Suspect ``vm`` if this daemon may, and enough is known."""
-    running = node.checks.get(vm)
-    if running is None or not running.whole or running.direct is not False:
+def _suspect_if_confirmed(
+    node: _states.Node, vm: str, now: float
+) -> list[_effects.Effect]:
+    """Suspect ``vm`` if it is in the own domain and the results suffice."""
+    check = node.checks.get(vm)
+    if (
+        check is None
+        or not check.with_helpers
+        or check.direct_result is not False
+    ):
         return []
-    own = (
+    in_own_domain = (
         node.members[vm].record.failure_domain
         == node.local_record.failure_domain
     )
-    if not own:
+    if not in_own_domain:
         return []
-    # One daemon that is itself cut off, or a broken link between two,
-    # would have a healthy VM shunned by all: a helper must have failed
-    # to reach it as well, and none may have reached it.
-    if any(running.results.values()):
+    # A daemon that is itself partitioned, or a broken link between two
+    # daemons, would deprive a healthy VM of all work. Therefore a helper
+    # must have failed to reach it as well, and none may have reached it.
+    if any(check.helper_results.values()):
         del node.checks[vm]
         return []
-    if running.asked and not running.results:
+    if check.helpers_asked and not check.helper_results:
         return []
     del node.checks[vm]
-    return _declare(node, vm, _messages.SUSPECTED, now)
+    return _set_liveness(node, vm, _messages.SUSPECTED, now)
 
 
-def _declare(
-    node: _states.Node, vm: str, life: int, now: float
+def _set_liveness(
+    node: _states.Node, vm: str, liveness: int, now: float
 ) -> list[_effects.Effect]:
     member = node.members[vm]
     rumour = _messages.Rumour(
-        vm, member.incarnation, member.revision, life, member.leaving
+        vm, member.incarnation, member.revision, liveness, member.leaving
     )
     if not _members.merge(node, rumour, now):
         return []
     event = "member_gone"
-    if life == _messages.SUSPECTED:
+    if liveness == _messages.SUSPECTED:
         event = "member_suspected"
-        _members.mark_hot(node, vm)
+        _members.queue_rumour(node, vm)
     fields = {"vm": vm, "incarnation": member.incarnation}
     return [_effects.ReportEvent(event, fields)]
 
 
-def _judged(member: _states.Member) -> bool:
+def _is_not_serving(member: _states.Member) -> bool:
     return member.liveness != _messages.SERVING
 
 
@@ -281,16 +305,18 @@
     return member.record.failure_domain == node.local_record.failure_domain
 
 
-def _bar(node: _states.Node, member: _states.Member, now: float) -> None:
-    wait = RETRY_FIRST * 2 ** min(member.failures - FAILURES_TO_BAR, 4)
-    member.next_probe_at = now + min(wait, RETRY_LONGEST)
+def _eject(node: _states.Node, member: _states.Member, now: float) -> None:
+    wait = MIN_RETRY_INTERVAL * 2 ** min(
+        member.failures - FAILURES_TO_EJECT, 4
+    )
+    member.next_probe_at = now + min(wait, MAX_RETRY_INTERVAL)
     if not member.ejected:
         member.ejected = True
         node.ejected.add(member.record.vm)
-        _members.changed(node, roster=_is_own(node, member))
+        _members.invalidate_caches(node, membership=_is_own(node, member))
 
 
-def _retry_barred(
+def _probe_ejected(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     effects: list[_effects.Effect] = []
@@ -298,16 +324,16 @@
         member = node.members[vm]
         if now < member.next_probe_at or vm in node.checks:
             continue
-        if _reaches.is_cut(node, member.record.failure_domain):
+        if _reaches.is_unreachable(node, member.record.failure_domain):
             continue
-        if len(effects) >= MOST_RETRIES:
+        if len(effects) >= MAX_RETRIES:
             break
-        member.next_probe_at = now + RETRY_LONGEST * rng.uniform(0.8, 1.2)
+        member.next_probe_at = now + MAX_RETRY_INTERVAL * rng.uniform(0.8, 1.2)
         effects.append(_summaries.probe(node, vm))
     return effects
 
 
 def _expire_checks(node: _states.Node, now: float) -> None:
-    for vm, running in list(node.checks.items()):
-        if now - running.started > CHECK_TIMEOUT:
+    for vm, check in list(node.checks.items()):
+        if now - check.started_at > CHECK_TIMEOUT:
             del node.checks[vm]
