--- a/tests/decisions/calls/test_shed_floors.py
+++ b/tests/decisions/calls/test_shed_floors.py
@@ -12,10 +12,10 @@
 RNG = random.Random(1)
 
 
-def _told(
+def _report_floor(
     entrance: calls.Entrance, rules: bundles.Bundle, floor: float, now: float
 ) -> None:
-    """Let one call through that answers with the floor."""
+    """Make one call whose answer reports the floor."""
     taken = calls.Call("c", "intake", "lookup", "main", "x", now + 1)
     key, sent = calls.begin_call(
         entrance, rules, taken, samples.TARGETS, now, RNG
@@ -51,14 +51,14 @@
 def test_refused_at_the_entrance_while_the_floor_is_fresh(
     floor: float, after: float, refused: bool
 ) -> None:
-    """No floor outlives its cause by more than a second.
+    """A floor must not outlive its cause by more than a second.
 
-    A floor at which nothing passes brings no answer that would lower it,
-    so that it has to fall by itself.
+    If a floor is so high that nothing passes, no answer can lower it, so it
+    has to decay by itself.
     """
     rules = samples.bundle()
     entrance = calls.new_entrance("me", "domain-a", "region")
-    _told(entrance, rules, floor, 1.0)
+    _report_floor(entrance, rules, floor, 1.0)
     taken = calls.Call("d", "intake", "lookup", "main", "me", 5.0)
     _, effect = calls.begin_call(
         entrance, rules, taken, samples.TARGETS, 1.0 + after, RNG
@@ -73,12 +73,12 @@
 def test_own_service_is_left_out_of_the_floor_below() -> None:
     """Instances of one service must not keep each other's floor alive.
 
-    Each hears the others' floor and would answer with it, long after the
-    load that caused it is gone.
+    Each receives the floors of the others and would report them in its own
+    answers, long after the load that caused them is gone.
     """
     rules = samples.bundle()
     entrance = calls.new_entrance("me", "domain-a", "region")
-    _told(entrance, rules, 6.0, 1.0)
+    _report_floor(entrance, rules, 6.0, 1.0)
     assert calls.floor(entrance, "intake", "lookup", 1.0, "main") == 6.0
     below = calls.max_callee_floor(
         entrance, rules, "intake", "lookup", 1.0, "main"
