--- a/src/sassafrasstair/bench/_capacity_bundles.py
+++ b/src/sassafrasstair/bench/_capacity_bundles.py
@@ -56,17 +56,17 @@
     return bundles.approve(text, _keys()[0], KEY_NAME)
 
 
-def verify(approved: bytes) -> bundles.Approved:
+def verify(approved: bytes) -> bundles.ApprovedBundle:
     """Return the bundle in ``approved``, its signature checked."""
     return bundles.verify(approved, {KEY_NAME: _keys()[1]})
 
 
 @functools.lru_cache(maxsize=64)
-def verify_once(approved: bytes) -> bundles.Approved:
+def verify_once(approved: bytes) -> bundles.ApprovedBundle:
     """Return what ``verify`` does, worked out once for a whole fleet."""
     return verify(approved)
 
 
 @functools.cache
 def _keys() -> tuple[bytes, bytes]:
-    return _signatures.new_pair()
+    return _signatures.new_key_pair()
--- a/src/sassafrasstair/bench/_capacity_fleets.py
+++ b/src/sassafrasstair/bench/_capacity_fleets.py
@@ -54,7 +54,7 @@
     lost.
     """
 
-    verify: abc.Callable[[bytes], bundles.Approved]
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle]
     platform: _capacity_platform.Platform
     rng: random.Random
     loss: float = 0.0
--- a/src/sassafrasstair/bench/_capacity_warm.py
+++ b/src/sassafrasstair/bench/_capacity_warm.py
@@ -22,7 +22,7 @@
 def warm_node(
     records: list[fleet.Record],
     number: int,
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
     approved: bytes,
 ) -> fleet.Node:
     """Return the state of one daemon that knows all of a quiet fleet."""
--- a/src/sassafrasstair/bundles/__init__.py
+++ b/src/sassafrasstair/bundles/__init__.py
@@ -7,7 +7,7 @@
 from sassafrasstair.bundles._differences import differences
 from sassafrasstair.bundles._envelopes import Approval
 from sassafrasstair.bundles._envelopes import approve
-from sassafrasstair.bundles._envelopes import Approved
+from sassafrasstair.bundles._envelopes import ApprovedBundle
 from sassafrasstair.bundles._envelopes import decode
 from sassafrasstair.bundles._envelopes import digest
 from sassafrasstair.bundles._envelopes import Envelope
@@ -16,7 +16,7 @@
 from sassafrasstair.bundles._envelopes import verify
 from sassafrasstair.bundles._errors import BundleError
 from sassafrasstair.bundles._errors import Defect
-from sassafrasstair.bundles._errors import KeyFault
+from sassafrasstair.bundles._errors import InvalidKeyError
 from sassafrasstair.bundles._schema import Bundle
 from sassafrasstair.bundles._schema import BUNDLE_FORMAT
 from sassafrasstair.bundles._schema import IMPORTANCE_MAX
@@ -32,13 +32,13 @@
     "IMPORTANCE_MAX",
     "MAX_BUNDLE_BYTES",
     "Approval",
-    "Approved",
+    "ApprovedBundle",
     "Bundle",
     "BundleError",
     "Change",
     "Defect",
     "Envelope",
-    "KeyFault",
+    "InvalidKeyError",
     "Refusal",
     "RequestClass",
     "RetryBudget",
--- a/src/sassafrasstair/bundles/_checks.py
+++ b/src/sassafrasstair/bundles/_checks.py
@@ -15,7 +15,7 @@
     from sassafrasstair.bundles import _schema
 
 
-MAX_STEP = 1_000
+MAX_INCREASE = 1_000
 """How far a version may pass the one that it supersedes.
 
 Versions never go back, so a digit too many would be in force for good:
@@ -51,9 +51,9 @@
 def _version(bundle: _schema.Bundle) -> abc.Iterator[str]:
     if bundle.version <= bundle.supersedes:
         yield f"version: wants more than supersedes, {bundle.supersedes}"
-    most = bundle.supersedes + MAX_STEP
+    most = bundle.supersedes + MAX_INCREASE
     if bundle.version > most:
-        yield f"version: wants at most {most}, supersedes and {MAX_STEP}"
+        yield f"version: wants at most {most}, supersedes and {MAX_INCREASE}"
 
 
 def _sections(bundle: _schema.Bundle) -> abc.Iterator[str]:
--- a/src/sassafrasstair/bundles/_envelopes.py
+++ b/src/sassafrasstair/bundles/_envelopes.py
@@ -46,7 +46,7 @@
     ] = ()
 
 
-class Approved(msgspec.Struct, frozen=True):
+class ApprovedBundle(msgspec.Struct, frozen=True):
     """A bundle that passed every check.
 
     ``digest`` is the SHA-256 of ``payload`` in hex. ``approved_by`` names
@@ -59,7 +59,7 @@
     approved_by: tuple[str, ...]
 
 
-def verify(envelope: bytes, keys: abc.Mapping[str, bytes]) -> Approved:
+def verify(envelope: bytes, keys: abc.Mapping[str, bytes]) -> ApprovedBundle:
     """Return the bundle in ``envelope`` if one of ``keys`` approved it.
 
     ``keys`` maps names to 32 raw public bytes. Signatures by names that
@@ -71,7 +71,7 @@
     opened = open_envelope(envelope)
     payload = opened.payload.encode()
     approved_by = _signers(payload, opened.approvals, keys)
-    return Approved(
+    return ApprovedBundle(
         bundle=decode(payload),
         payload=payload,
         digest=digest(payload),
@@ -81,8 +81,8 @@
 
 def approve(
     payload: bytes,
-    private: bytes,
-    name: str,
+    private_key: bytes,
+    key_name: str,
     approvals: tuple[Approval, ...] = (),
 ) -> bytes:
     """Return the envelope of ``payload``, signed under the key's name.
@@ -95,12 +95,14 @@
     from sassafrasstair.bundles import _signatures
 
     decode(payload)
-    signature = base64.b64encode(_signatures.sign(payload, private)).decode()
-    kept = [approval for approval in approvals if approval.key != name]
+    signature = base64.b64encode(
+        _signatures.sign(payload, private_key)
+    ).decode()
+    kept = [approval for approval in approvals if approval.key != key_name]
     envelope = msgspec.json.encode(
         Envelope(
             payload=payload.decode(),
-            approvals=(*kept, Approval(key=name, signature=signature)),
+            approvals=(*kept, Approval(key=key_name, signature=signature)),
         )
     )
     open_envelope(envelope)
@@ -127,7 +129,7 @@
     """Return a new private and public key, 32 raw bytes each."""
     from sassafrasstair.bundles import _signatures
 
-    return _signatures.new_pair()
+    return _signatures.new_key_pair()
 
 
 def digest(payload: bytes) -> str:
--- a/src/sassafrasstair/bundles/_errors.py
+++ b/src/sassafrasstair/bundles/_errors.py
@@ -33,5 +33,5 @@
         return "; ".join(self.details)
 
 
-class KeyFault(Exception):
+class InvalidKeyError(Exception):
     """Bytes that are no Ed25519 key."""
--- a/src/sassafrasstair/bundles/_signatures.py
+++ b/src/sassafrasstair/bundles/_signatures.py
@@ -29,13 +29,13 @@
     return True
 
 
-def new_pair() -> tuple[bytes, bytes]:
+def new_key_pair() -> tuple[bytes, bytes]:
     """Return a new private and public key, 32 raw bytes each."""
     key = signing.SigningKey.generate()
     return bytes(key), bytes(key.verify_key)
 
 
-def public_of(private: bytes) -> bytes:
+def public_key_of(private: bytes) -> bytes:
     """Return the 32 raw public bytes of a private key."""
     return bytes(_private_key(private).verify_key)
 
@@ -44,4 +44,6 @@
     try:
         return signing.SigningKey(private)
     except (exceptions.CryptoError, ValueError) as error:
-        raise _errors.KeyFault("wants 32 bytes of a private key") from error
+        raise _errors.InvalidKeyError(
+            "wants 32 bytes of a private key"
+        ) from error
--- a/src/sassafrasstair/callers/_app.py
+++ b/src/sassafrasstair/callers/_app.py
@@ -40,10 +40,10 @@
 
 
 def create_app(
-    call: CallHandler,
-    ticket: TicketHandler,
-    leaving: abc.Callable[[], bool],
-    refused: RefusalHandler,
+    handle_call: CallHandler,
+    handle_ticket: TicketHandler,
+    is_leaving: abc.Callable[[], bool],
+    on_refusal: RefusalHandler,
 ) -> litestar.Litestar:
     """Return the application; ``call`` and ``ticket`` decide.
 
@@ -56,16 +56,16 @@
         scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         http = typing.cast("types.HTTPScope", scope)
-        answer = _replies.Answering(send, http["method"], leaving())
-        await _serve_call(call, http, receive, answer, refused)
+        answer = _replies.Answering(send, http["method"], is_leaving())
+        await _serve_call(handle_call, http, receive, answer, on_refusal)
 
     @litestar.asgi(TICKET_PREFIX, is_mount=True, copy_scope=False)
     async def tickets(
         scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         http = typing.cast("types.HTTPScope", scope)
-        answer = _replies.Answering(send, http["method"], leaving())
-        await _serve_ticket(ticket, http, answer, refused)
+        answer = _replies.Answering(send, http["method"], is_leaving())
+        await _serve_ticket(handle_ticket, http, answer, on_refusal)
 
     return litestar.Litestar(
         route_handlers=[calls, tickets],
@@ -152,10 +152,10 @@
         path=f"/{rest}?{query}" if query else f"/{rest}",
         headers=own,
         fields=fields,
-        body=body,
-        length=_length(headers),
-        more=more,
-        parts=incoming.parts,
+        first_part=body,
+        body_length=_length(headers),
+        has_more_parts=more,
+        remaining_parts=incoming.parts,
     )
 
 
--- a/src/sassafrasstair/callers/_bodies.py
+++ b/src/sassafrasstair/callers/_bodies.py
@@ -13,8 +13,8 @@
 
     from litestar import types
 
-FIRST_BODY_BYTES = 65_536
-FIRST_BODY_SECONDS = 30.0
+FIRST_PART_BYTES = 65_536
+FIRST_PART_SECONDS = 30.0
 
 
 class TooSlow(Exception):
@@ -46,7 +46,7 @@
     no deadline yet that would end it, and a planned stop waits for it.
     """
     try:
-        async with asyncio.timeout(FIRST_BODY_SECONDS):
+        async with asyncio.timeout(FIRST_PART_SECONDS):
             return await _first_part(incoming)
     except TimeoutError as error:
         raise TooSlow from error
@@ -62,7 +62,7 @@
 
 async def _first_part(incoming: Incoming) -> tuple[bytes, bool]:
     collected = bytearray()
-    while len(collected) < FIRST_BODY_BYTES:
+    while len(collected) < FIRST_PART_BYTES:
         chunk = await anext(incoming.parts, None)
         if chunk is None:
             return bytes(collected), False
--- a/src/sassafrasstair/callers/_replies.py
+++ b/src/sassafrasstair/callers/_replies.py
@@ -49,7 +49,7 @@
             "headers": _headers(answering, reply),
         }
     )
-    if reply.parts is None:
+    if reply.remaining_parts is None:
         await _send_body(answering, reply.body, more=False)
         return
     try:
@@ -69,17 +69,17 @@
     # and drops what is sent to a caller that is gone, and waits for ever
     # for one that does not read; the callee would go on with work for
     # nobody, or a planned stop never end. Closing the parts cancels it.
-    assert reply.parts is not None
+    assert reply.remaining_parts is not None
     watching = None
     if incoming is not None:
         watching = asyncio.ensure_future(_bodies.wait_until_gone(incoming))
     try:
         async with (
-            asyncio.timeout(reply.timeout),
-            contextlib.aclosing(reply.parts),
+            asyncio.timeout(reply.send_timeout),
+            contextlib.aclosing(reply.remaining_parts),
         ):
             await _send_body(answering, reply.body, more=True)
-            async for part in reply.parts:
+            async for part in reply.remaining_parts:
                 if incoming is not None and incoming.gone:
                     raise _Vanished
                 await _send_body(answering, part, more=True)
@@ -105,7 +105,7 @@
     """
     bare = reply.status in NO_LENGTH_STATUSES
     keeps = not bare and (
-        reply.parts is not None or answering.method == "HEAD"
+        reply.remaining_parts is not None or answering.method == "HEAD"
     )
     headers = [
         (name.encode("latin-1"), value.encode("latin-1"))
--- a/src/sassafrasstair/callers/_request.py
+++ b/src/sassafrasstair/callers/_request.py
@@ -50,9 +50,9 @@
     tenant: str
     caller: str
     timeout: float
-    repeat: int
+    repeat_count: int
     ticket: str
-    context: str
+    parent_attempt_id: str
     child_key: str
 
 
@@ -69,10 +69,10 @@
     path: str
     headers: Headers
     fields: Fields
-    body: bytes
-    length: int
-    more: bool
-    parts: abc.AsyncIterator[bytes]
+    first_part: bytes
+    body_length: int
+    has_more_parts: bool
+    remaining_parts: abc.AsyncIterator[bytes]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -86,8 +86,8 @@
     status: int
     headers: Headers
     body: bytes = b""
-    parts: abc.AsyncGenerator[bytes, None] | None = None
-    timeout: float = 0.0
+    remaining_parts: abc.AsyncGenerator[bytes, None] | None = None
+    send_timeout: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -122,9 +122,9 @@
         tenant=tenant,
         caller=caller or tenant,
         timeout=_number(values, TIMEOUT, MAX_TIMEOUT_MS) / 1000,
-        repeat=_number(values, REPEAT, MAX_REPEAT),
+        repeat_count=_number(values, REPEAT, MAX_REPEAT),
         ticket=_token(values, TICKET),
-        context=context,
+        parent_attempt_id=context,
         child_key=_token(values, CHILD_KEY),
     )
 
--- a/src/sassafrasstair/configservice/_client.py
+++ b/src/sassafrasstair/configservice/_client.py
@@ -20,7 +20,7 @@
 MAX_VALUE_BYTES = 1_000_000
 """The platform holds values up to a megabyte; a greater one is refused."""
 
-MAX_ANSWER_BYTES = 6_000_000
+MAX_RESPONSE_BYTES = 6_000_000
 """Room for four greatest values in base64, which is more than we read."""
 
 CONNECT_SECONDS = 1.0
@@ -179,10 +179,10 @@
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
-        if len(body) > MAX_ANSWER_BYTES:
+        if len(body) > MAX_RESPONSE_BYTES:
             raise _errors.PlatformError(
                 _errors.Reason.TOO_LARGE,
-                f"answer is over {MAX_ANSWER_BYTES} bytes",
+                f"answer is over {MAX_RESPONSE_BYTES} bytes",
             )
     return bytes(body)
 
--- a/src/sassafrasstair/console/commands/bundle/approve.py
+++ b/src/sassafrasstair/console/commands/bundle/approve.py
@@ -41,7 +41,7 @@
         envelope = bundles.approve(
             source.payload, key.private_bytes, key.name, source.approvals
         )
-    except (bundles.BundleError, bundles.KeyFault) as error:
+    except (bundles.BundleError, bundles.InvalidKeyError) as error:
         raise _errors.BadInputError(f"{source.path}: {error}") from error
     if twice := bundles.duplicate_keys(source.payload):
         raise _errors.BadInputError(f"{source.path}: {'; '.join(twice)}")
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -32,7 +32,7 @@
     local_record: _messages.Record,
     incarnation: str,
     seeds: tuple[str, ...],
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
     now: float,
     rng: random.Random,
 ) -> _states.Node:
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -128,7 +128,7 @@
     local_record: _messages.Record
     incarnation: str
     seeds: tuple[str, ...]
-    verify: abc.Callable[[bytes], bundles.Approved]
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle]
     started_at: float
     # Membership.
     revision: int = 0
--- a/src/sassafrasstair/decisions/fleet/_versions.py
+++ b/src/sassafrasstair/decisions/fleet/_versions.py
@@ -23,7 +23,7 @@
 DIGEST_BYTES = 16
 
 
-def bundle_id(approved: bundles.Approved) -> _messages.BundleId:
+def bundle_id(approved: bundles.ApprovedBundle) -> _messages.BundleId:
     """Return the position of a bundle in the total order.
 
     The digest covers the payload and not the envelope: the same payload
--- a/src/sassafrasstair/operators/__init__.py
+++ b/src/sassafrasstair/operators/__init__.py
@@ -5,13 +5,13 @@
 import typing
 
 from sassafrasstair.operators._status import BundleId
-from sassafrasstair.operators._status import Conflict
-from sassafrasstair.operators._status import Entrance
+from sassafrasstair.operators._status import ConflictingBundles
+from sassafrasstair.operators._status import EntranceStatus
 from sassafrasstair.operators._status import Health
-from sassafrasstair.operators._status import InForce
-from sassafrasstair.operators._status import Instance
-from sassafrasstair.operators._status import Platform
-from sassafrasstair.operators._status import Refused
+from sassafrasstair.operators._status import InForceBundle
+from sassafrasstair.operators._status import InstanceLoad
+from sassafrasstair.operators._status import PlatformStatus
+from sassafrasstair.operators._status import RefusedBundle
 from sassafrasstair.operators._status import State
 from sassafrasstair.operators._status import Status
 
@@ -24,13 +24,13 @@
 
 __all__ = [
     "BundleId",
-    "Conflict",
-    "Entrance",
+    "ConflictingBundles",
+    "EntranceStatus",
     "Health",
-    "InForce",
-    "Instance",
-    "Platform",
-    "Refused",
+    "InForceBundle",
+    "InstanceLoad",
+    "PlatformStatus",
+    "RefusedBundle",
     "State",
     "Status",
     "create_app",
@@ -38,7 +38,7 @@
 
 
 def create_app(
-    status: abc.Callable[[], Status], counts: metrics.Metrics
+    current_status: abc.Callable[[], Status], registry: metrics.Metrics
 ) -> litestar.Litestar:
     """Return the ASGI application; see ``_application``.
 
@@ -47,4 +47,4 @@
     """
     from sassafrasstair.operators import _application
 
-    return _application.create_app(status, counts)
+    return _application.create_app(current_status, registry)
--- a/src/sassafrasstair/operators/_application.py
+++ b/src/sassafrasstair/operators/_application.py
@@ -19,7 +19,7 @@
 
 
 def create_app(
-    status: abc.Callable[[], _status.Status], counts: metrics.Metrics
+    current_status: abc.Callable[[], _status.Status], registry: metrics.Metrics
 ) -> litestar.Litestar:
     """Return the ASGI application.
 
@@ -29,11 +29,11 @@
 
     @litestar.get("/status")
     async def get_status() -> _status.Status:
-        return status()
+        return current_status()
 
     @litestar.get("/health")
     async def get_health() -> litestar.Response[_status.Health]:
-        state = status().state
+        state = current_status().state
         serving = state is _status.State.SERVING
         return litestar.Response(
             _status.Health(state),
@@ -42,7 +42,9 @@
 
     @litestar.get("/metrics")
     async def get_metrics() -> response.Stream:
-        return response.Stream(_parts(counts), media_type=metrics.CONTENT_TYPE)
+        return response.Stream(
+            _parts(registry), media_type=metrics.CONTENT_TYPE
+        )
 
     return litestar.Litestar(
         [get_status, get_health, get_metrics],
--- a/src/sassafrasstair/operators/_status.py
+++ b/src/sassafrasstair/operators/_status.py
@@ -26,7 +26,7 @@
     digest: str = ""
 
 
-class InForce(msgspec.Struct, frozen=True):
+class InForceBundle(msgspec.Struct, frozen=True):
     """The bundle in force; version 0 if there is none yet."""
 
     bundle: BundleId = BundleId()
@@ -35,7 +35,7 @@
     age_seconds: float = 0.0
 
 
-class Refused(msgspec.Struct, frozen=True):
+class RefusedBundle(msgspec.Struct, frozen=True):
     """A bundle that was refused whole, and why.
 
     ``source`` is the platform's key or the VM that passed it on.
@@ -47,7 +47,7 @@
     age_seconds: float = 0.0
 
 
-class Conflict(msgspec.Struct, frozen=True):
+class ConflictingBundles(msgspec.Struct, frozen=True):
     """Two approved bundles of one version; ``dropped`` lost."""
 
     version: int
@@ -55,7 +55,7 @@
     dropped: str
 
 
-class Instance(msgspec.Struct, frozen=True):
+class InstanceLoad(msgspec.Struct, frozen=True):
     """Load of the upstream on this VM.
 
     ``limit`` is how many requests may run now, of the ``slots`` that the
@@ -69,7 +69,7 @@
     shed_floor: float = 0.0
 
 
-class Entrance(msgspec.Struct, frozen=True):
+class EntranceStatus(msgspec.Struct, frozen=True):
     """Calls that callers made of this daemon.
 
     ``retry_tokens`` is what is left of the budget towards each service,
@@ -81,7 +81,7 @@
     shed_floors: dict[str, float] = {}
 
 
-class Platform(msgspec.Struct, frozen=True):
+class PlatformStatus(msgspec.Struct, frozen=True):
     """How this daemon stands to the platform.
 
     ``watching`` is true for the few that watch for their failure domain;
@@ -102,15 +102,15 @@
     region: str
     incarnation: str
     state: State
-    in_force: InForce = InForce()
+    in_force: InForceBundle = InForceBundle()
     newest_seen: BundleId = BundleId()
-    refused_bundles: tuple[Refused, ...] = ()
-    conflicts: tuple[Conflict, ...] = ()
+    refused_bundles: tuple[RefusedBundle, ...] = ()
+    conflicts: tuple[ConflictingBundles, ...] = ()
     members: int = 0
     members_by_domain: dict[str, int] = {}
-    platform: Platform = Platform()
-    instance: Instance = Instance()
-    entrance: Entrance = Entrance()
+    platform: PlatformStatus = PlatformStatus()
+    instance: InstanceLoad = InstanceLoad()
+    entrance: EntranceStatus = EntranceStatus()
     counters: dict[str, int] = {}
 
 
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -191,9 +191,9 @@
         method=request.method,
         path=request.path,
         headers=request.headers,
-        body=request.body,
-        body_length=request.length,
-        more=request.more,
+        body=request.first_part,
+        body_length=request.body_length,
+        more=request.has_more_parts,
     )
 
 
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -78,7 +78,7 @@
             "no approved bundle is in force yet",
             NOT_READY_RETRY_AFTER,
         )
-    if request.fields.context:
+    if request.fields.parent_attempt_id:
         return _prepare_child(entry, bundle, request)
     if entry.leaving:
         return _refuse(
@@ -114,7 +114,7 @@
         return refusal
     if not fields.ticket and refusal.reason is not _Reason.PARENT_GONE:
         return refusal
-    repeat = max(fields.repeat, refusal.reason is _Reason.PARENT_GONE)
+    repeat = max(fields.repeat_count, refusal.reason is _Reason.PARENT_GONE)
     told = once.entrance_refusal(repeat, refusal.reason).outcome
     return dataclasses.replace(refusal, outcome=told)
 
@@ -139,7 +139,7 @@
     entry: Entry, bundle: bundles.Bundle, request: callers.Request
 ) -> PreparedCall | callers.Refusal:
     fields = request.fields
-    length = max(request.length, len(request.body))
+    length = max(request.body_length, len(request.first_part))
     refusal = check_class(
         bundle, request.service, fields.request_class, length
     )
@@ -161,7 +161,7 @@
         tenant=fields.tenant,
         caller=fields.caller,
         deadline=entry.clock.monotonic() + timeout,
-        repeat=fields.repeat,
+        repeat=fields.repeat_count,
         retries=rules.retries,
         ticket=fields.ticket if rules.once else "",
     )
@@ -173,7 +173,7 @@
 def _prepare_child(
     entry: Entry, bundle: bundles.Bundle, request: callers.Request
 ) -> PreparedCall | callers.Refusal:
-    parent = entry.slot.attempts.get(request.fields.context)
+    parent = entry.slot.attempts.get(request.fields.parent_attempt_id)
     if parent is None:
         # Nobody waits for the parent's work any more, so its upstream's
         # further calls would be work that no answer accounts for.
@@ -185,7 +185,7 @@
             "the parent request has ended",
         )
     run = parent.run
-    length = max(request.length, len(request.body))
+    length = max(request.body_length, len(request.first_part))
     refusal = check_class(bundle, request.service, run.request_class, length)
     if refusal is not None:
         return refusal
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -64,7 +64,7 @@
     keys: dict[str, bytes],
     approvals: dict[bytes, tuple[str, ...]],
     envelope: bytes,
-) -> bundles.Approved:
+) -> bundles.ApprovedBundle:
     approved = bundles.verify(envelope, keys)
     if len(approvals) >= MAX_APPROVALS:
         del approvals[next(iter(approvals))]
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -40,7 +40,7 @@
             for digest, reason in shown["refused"].items()
         ),
         conflicts=tuple(
-            operators.Conflict(
+            operators.ConflictingBundles(
                 int(version),
                 control.conflict_winners.get(version, ""),
                 dropped,
@@ -49,7 +49,7 @@
         ),
         members=members["serving"],
         members_by_domain=_members_by_domain(control),
-        platform=operators.Platform(
+        platform=operators.PlatformStatus(
             watching=shown["watching"],
             reachable=shown["platform_failures"] == 0,
             heard_seconds=_age(control, control.platform_heard_at),
@@ -85,12 +85,12 @@
     control: _control.Control,
     entry: _entries.Entry,
     shown: dict[str, typing.Any] | None,
-) -> operators.InForce:
+) -> operators.InForceBundle:
     bundle = entry.bundle()
     held = control.node.in_force
     if bundle is None or shown is None or held is None:
-        return operators.InForce()
-    return operators.InForce(
+        return operators.InForceBundle()
+    return operators.InForceBundle(
         bundle=operators.BundleId(shown["version"], shown["digest"]),
         mesh=bundle.mesh,
         approved_by=control.approvals.get(held.envelope_digest, ()),
@@ -100,10 +100,12 @@
 
 def _refused(
     control: _control.Control, digest: str, text: str
-) -> operators.Refused:
+) -> operators.RefusedBundle:
     source, since = control.refused_bundles.get(digest, ("", None))
     reason, _, detail = text.partition(": ")
-    return operators.Refused(source, reason, detail, _age(control, since))
+    return operators.RefusedBundle(
+        source, reason, detail, _age(control, since)
+    )
 
 
 def _members_by_domain(control: _control.Control) -> dict[str, int]:
@@ -128,10 +130,10 @@
     return operators.BundleId(held[-1]["version"], held[-1]["digest"])
 
 
-def _instance(slot: _slots.Slot) -> operators.Instance:
+def _instance(slot: _slots.Slot) -> operators.InstanceLoad:
     bundle = slot.bundle()
     service = bundle.services.get(slot.service) if bundle else None
-    return operators.Instance(
+    return operators.InstanceLoad(
         slots=service.slots if service else 0,
         limit=load.limit(slot.guard, slot.clock.monotonic()),
         running=len(slot.guard.running),
@@ -140,10 +142,10 @@
     )
 
 
-def _entrance(entry: _entries.Entry) -> operators.Entrance:
+def _entrance(entry: _entries.Entry) -> operators.EntranceStatus:
     now = entry.clock.monotonic()
     floors = calls.floors(entry.entrance, now)
-    return operators.Entrance(
+    return operators.EntranceStatus(
         in_flight=entry.in_flight,
         retry_tokens=calls.retry_tokens(entry.entrance),
         shed_floors={"/".join(key): floor for key, floor in floors.items()},
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -79,7 +79,7 @@
 ) -> daemons.Message:
     """Return the reply; raise at once what ends the body's passing on."""
     timeout = message.remaining_ms / 1000
-    if not request.more:
+    if not request.has_more_parts:
         return await entry.ask(transfer.vm, message, timeout)
     asking = asyncio.ensure_future(entry.ask(transfer.vm, message, timeout))
     pump = asyncio.ensure_future(_pump(entry, transfer, request, timeout))
@@ -137,10 +137,10 @@
     if not await _wanted(entry, transfer, begin, timeout):
         return
     transfer.body_consumed = True
-    digest = _attempts.new_digest(request.body)
-    length = len(request.body)
+    digest = _attempts.new_digest(request.first_part)
+    length = len(request.first_part)
     sequence = 0
-    async for data in _chunked(request.parts):
+    async for data in _chunked(request.remaining_parts):
         sequence += 1
         length += len(data)
         if length > transfer.max_body:
--- a/tests/bundles/test_envelopes.py
+++ b/tests/bundles/test_envelopes.py
@@ -12,8 +12,8 @@
 from sassafrasstair import bundles
 from sassafrasstair.bundles import _signatures
 
-PRIVATE, PUBLIC = _signatures.new_pair()
-OTHER_PRIVATE, OTHER_PUBLIC = _signatures.new_pair()
+PRIVATE, PUBLIC = _signatures.new_key_pair()
+OTHER_PRIVATE, OTHER_PUBLIC = _signatures.new_key_pair()
 KEYS = {"ops-1": PUBLIC}
 
 DOCUMENT: dict[str, typing.Any] = {
--- a/tests/console/test_status_command.py
+++ b/tests/console/test_status_command.py
@@ -20,25 +20,27 @@
     region="tt-north",
     incarnation="i1",
     state=operators.State.SERVING,
-    in_force=operators.InForce(operators.BundleId(7, "abcdef0123")),
+    in_force=operators.InForceBundle(operators.BundleId(7, "abcdef0123")),
     members=4,
-    instance=operators.Instance(160, 31.5, 30, 2, 4.25),
+    instance=operators.InstanceLoad(160, 31.5, 30, 2, 4.25),
 )
 LEAVING = msgspec.structs.replace(SERVING, state=operators.State.LEAVING)
 REFUSING = msgspec.structs.replace(
     SERVING,
-    refused_bundles=(operators.Refused("bundles/all", "unsigned", "why"),),
+    refused_bundles=(
+        operators.RefusedBundle("bundles/all", "unsigned", "why"),
+    ),
 )
 SOURCELESS = msgspec.structs.replace(
     SERVING,
-    refused_bundles=(operators.Refused("", "unsigned"),),
-    conflicts=(operators.Conflict(7, "", "a"),),
+    refused_bundles=(operators.RefusedBundle("", "unsigned"),),
+    conflicts=(operators.ConflictingBundles(7, "", "a"),),
 )
 CONFLICT = msgspec.structs.replace(
-    SERVING, conflicts=(operators.Conflict(7, "b", "a"),)
+    SERVING, conflicts=(operators.ConflictingBundles(7, "b", "a"),)
 )
 OLD = msgspec.structs.replace(
-    SERVING, in_force=operators.InForce(operators.BundleId(6, "ff"))
+    SERVING, in_force=operators.InForceBundle(operators.BundleId(6, "ff"))
 )
 OLD_ELSEWHERE = msgspec.structs.replace(OLD, failure_domain="pos-b")
 FEED = forwarding.FeedStatus(
--- a/tests/decisions/fleet/conftest.py
+++ b/tests/decisions/fleet/conftest.py
@@ -39,11 +39,11 @@
     )
 
 
-def _verify(envelope: bytes) -> bundles.Approved:
+def _verify(envelope: bytes) -> bundles.ApprovedBundle:
     digest = bundles.digest(envelope)
     try:
         bundle = msgspec.json.decode(envelope, type=bundles.Bundle)
-        return bundles.Approved(bundle, envelope, digest, ())
+        return bundles.ApprovedBundle(bundle, envelope, digest, ())
     except msgspec.MsgspecError as error:
         raise bundles.BundleError(
             bundles.Defect.BAD_VALUE, str(error)
@@ -76,7 +76,7 @@
 
 
 @pytest.fixture
-def verify() -> abc.Callable[[bytes], bundles.Approved]:
+def verify() -> abc.Callable[[bytes], bundles.ApprovedBundle]:
     return _verify
 
 
--- a/tests/decisions/fleet/test_members.py
+++ b/tests/decisions/fleet/test_members.py
@@ -112,7 +112,7 @@
 
 
 def test_same_seed_gives_same_effects(
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
 ) -> None:
     seen = []
     for _ in range(2):
@@ -123,7 +123,7 @@
 
 
 def test_differing_members_are_fetched(
-    node: fleet.Node, verify: abc.Callable[[bytes], bundles.Approved]
+    node: fleet.Node, verify: abc.Callable[[bytes], bundles.ApprovedBundle]
 ) -> None:
     """A rumour is no longer sent before it has reached every daemon.
 
--- a/tests/decisions/fleet/test_versions.py
+++ b/tests/decisions/fleet/test_versions.py
@@ -38,7 +38,7 @@
 def test_same_bundle_in_force_in_any_order(
     node: fleet.Node,
     make_bundle: MakeBundle,
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
     offers: list[tuple[int, tuple[str, ...]]],
     expected: int,
     kept: set[int],
@@ -65,7 +65,7 @@
 def test_conflicting_bundles_are_resolved_alike_and_reported(
     node: fleet.Node,
     make_bundle: MakeBundle,
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
 ) -> None:
     """Two operators approve version 2 at once, with different payloads.
 
@@ -143,7 +143,7 @@
 
 def test_order_depends_on_the_signed_text(
     make_bundle: MakeBundle,
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
 ) -> None:
     """Parts of a mesh could stay on different bundles of one version.
 
--- a/tests/decisions/fleet/test_watch_start.py
+++ b/tests/decisions/fleet/test_watch_start.py
@@ -9,7 +9,7 @@
     from sassafrasstair import bundles
 
 
-def _refuse(envelope: bytes) -> bundles.Approved:
+def _refuse(envelope: bytes) -> bundles.ApprovedBundle:
     raise AssertionError("no bundle is offered here")
 
 
--- a/tests/fuzz/members.py
+++ b/tests/fuzz/members.py
@@ -120,7 +120,7 @@
 def place(bundle: bundles.Bundle) -> fleet.BundleId:
     text = msgspec.json.encode(bundle)
     digest = bundles.digest(text)
-    return fleet.bundle_id(bundles.Approved(bundle, text, digest, ()))
+    return fleet.bundle_id(bundles.ApprovedBundle(bundle, text, digest, ()))
 
 
 def take_in_force(daemon: daemons.Daemon, bundle: bundles.Bundle) -> None:
--- a/tests/fuzz/worlds.py
+++ b/tests/fuzz/worlds.py
@@ -71,8 +71,8 @@
 
 
 @functools.cache
-def approved(text: bytes) -> bundles.Approved:
-    return bundles.verify(text, {"op": _signatures.public_of(PRIVATE)})
+def approved(text: bytes) -> bundles.ApprovedBundle:
+    return bundles.verify(text, {"op": _signatures.public_key_of(PRIVATE)})
 
 
 def verify(text: bytes) -> bundles.Bundle:
--- a/tests/operators/test_application.py
+++ b/tests/operators/test_application.py
@@ -17,8 +17,12 @@
     region="tt-north",
     incarnation="i1",
     state=operators.State.SERVING,
-    in_force=operators.InForce(operators.BundleId(7, "ab"), "m", ("ops-1",)),
-    refused_bundles=(operators.Refused("bundles/all", "unsigned", "why"),),
+    in_force=operators.InForceBundle(
+        operators.BundleId(7, "ab"), "m", ("ops-1",)
+    ),
+    refused_bundles=(
+        operators.RefusedBundle("bundles/all", "unsigned", "why"),
+    ),
 )
 
 
