--- a/src/sassafrasstair/bundles/_checks.py
+++ b/src/sassafrasstair/bundles/_checks.py
@@ -23,9 +23,16 @@
 """
 
 
-def faults(bundle: _schema.Bundle) -> list[str]:
+def find_faults(bundle: _schema.Bundle) -> list[str]:
     """Return every fault of ``bundle``, in the order of its sections."""
-    checks = (_version, _sections, _rollout, _services, _cycles, _classes)
+    checks = (
+        _check_version,
+        _check_sections,
+        _check_rollout,
+        _check_services,
+        _check_cycles,
+        _check_classes,
+    )
     return [line for check in checks for line in check(bundle)]
 
 
@@ -35,34 +42,34 @@
     JSON decoders keep the last one, silently: an operator who adds a class
     that exists already would approve something other than what they read.
     """
-    twice: list[str] = []
+    duplicates: list[str] = []
 
-    def note(pairs: list[tuple[str, object]]) -> None:
+    def record_duplicates(pairs: list[tuple[str, object]]) -> None:
         seen: set[str] = set()
         for key, _ in pairs:
             if key in seen:
-                twice.append(f"{key}: wants each key once in its object")
+                duplicates.append(f"{key}: wants each key once in its object")
             seen.add(key)
 
-    json.loads(payload, object_pairs_hook=note)
-    return twice
+    json.loads(payload, object_pairs_hook=record_duplicates)
+    return duplicates
 
 
-def _version(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_version(bundle: _schema.Bundle) -> abc.Iterator[str]:
     if bundle.version <= bundle.supersedes:
         yield f"version: wants more than supersedes, {bundle.supersedes}"
-    most = bundle.supersedes + MAX_INCREASE
-    if bundle.version > most:
-        yield f"version: wants at most {most}, supersedes and {MAX_INCREASE}"
+    limit = bundle.supersedes + MAX_INCREASE
+    if bundle.version > limit:
+        yield f"version: wants at most {limit}, supersedes and {MAX_INCREASE}"
 
 
-def _sections(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_sections(bundle: _schema.Bundle) -> abc.Iterator[str]:
     for name in ("failure_domains", "services", "classes", "tenants"):
         if not getattr(bundle, name):
             yield f"{name}: wants one entry at least"
 
 
-def _rollout(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_rollout(bundle: _schema.Bundle) -> abc.Iterator[str]:
     if len(set(bundle.rollout)) != len(bundle.rollout):
         yield "rollout: wants each failure domain once"
     for name in bundle.rollout:
@@ -70,7 +77,7 @@
             yield f"rollout: wants names from failure_domains, not {name}"
 
 
-def _services(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_services(bundle: _schema.Bundle) -> abc.Iterator[str]:
     for name, service in bundle.services.items():
         for callee in service.calls:
             if callee not in bundle.services:
@@ -80,7 +87,7 @@
                 )
 
 
-def _cycles(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_cycles(bundle: _schema.Bundle) -> abc.Iterator[str]:
     """Refuse services that call themselves by way of others.
 
     Slots of such services wait for each other when all are taken: under
@@ -94,13 +101,13 @@
         yield f"services: wants no cycle of calls: {cycle}"
 
 
-def _classes(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_classes(bundle: _schema.Bundle) -> abc.Iterator[str]:
     for name, rules in bundle.classes.items():
-        for line in _class(bundle, rules):
+        for line in _check_class(bundle, rules):
             yield f"classes.{name}.{line}"
 
 
-def _class(
+def _check_class(
     bundle: _schema.Bundle, rules: _schema.RequestClass
 ) -> abc.Iterator[str]:
     refusal = rules.refusal
--- a/src/sassafrasstair/bundles/_envelopes.py
+++ b/src/sassafrasstair/bundles/_envelopes.py
@@ -70,7 +70,7 @@
     """
     opened = open_envelope(envelope)
     payload = opened.payload.encode()
-    approved_by = _signers(payload, opened.approvals, keys)
+    approved_by = _verified_signers(payload, opened.approvals, keys)
     return ApprovedBundle(
         bundle=decode(payload),
         payload=payload,
@@ -119,7 +119,7 @@
     """Return the bundle in the text, checked for itself; no signature."""
     _check_size(payload)
     bundle = _decode(payload, _schema.Bundle)
-    faults = _checks.faults(bundle)
+    faults = _checks.find_faults(bundle)
     if faults:
         raise _errors.BundleError(_errors.Defect.INCONSISTENT, *faults)
     return bundle
@@ -137,7 +137,7 @@
     return hashlib.sha256(payload).hexdigest()
 
 
-def _signers(
+def _verified_signers(
     payload: bytes,
     approvals: tuple[Approval, ...],
     keys: abc.Mapping[str, bytes],
@@ -156,7 +156,7 @@
             f"approvals: wants a key of the settings, not {names}",
         )
     for approval in known:
-        signature = _signature(approval)
+        signature = _decode_signature(approval)
         if not _signatures.is_valid(payload, signature, keys[approval.key]):
             raise _errors.BundleError(
                 _errors.Defect.BAD_SIGNATURE,
@@ -165,7 +165,7 @@
     return tuple(dict.fromkeys(approval.key for approval in known))
 
 
-def _signature(approval: Approval) -> bytes:
+def _decode_signature(approval: Approval) -> bytes:
     try:
         return base64.b64decode(approval.signature, validate=True)
     except (binascii.Error, ValueError):
--- a/src/sassafrasstair/bundles/_signatures.py
+++ b/src/sassafrasstair/bundles/_signatures.py
@@ -10,20 +10,22 @@
 
 from sassafrasstair.bundles import _errors
 
-_CONTEXT = b"sassafrasstair bundle 1\n"
+_SIGNED_PREFIX = b"sassafrasstair bundle 1\n"
 """Signed before the text, so that a signature made for anything else
 with the same key can never approve a bundle."""
 
 
-def sign(payload: bytes, private: bytes) -> bytes:
+def sign(payload: bytes, private_key: bytes) -> bytes:
     """Return the signature of ``payload`` by the 32 raw private bytes."""
-    return _private_key(private).sign(_CONTEXT + payload).signature
+    return _private_key(private_key).sign(_SIGNED_PREFIX + payload).signature
 
 
-def is_valid(payload: bytes, signature: bytes, public: bytes) -> bool:
+def is_valid(payload: bytes, signature: bytes, public_key: bytes) -> bool:
     """Return whether ``signature`` is that of the 32 raw public bytes."""
     try:
-        signing.VerifyKey(public).verify(_CONTEXT + payload, signature)
+        signing.VerifyKey(public_key).verify(
+            _SIGNED_PREFIX + payload, signature
+        )
     except (exceptions.CryptoError, ValueError):
         return False
     return True
@@ -35,14 +37,14 @@
     return bytes(key), bytes(key.verify_key)
 
 
-def public_key_of(private: bytes) -> bytes:
+def public_key_of(private_key: bytes) -> bytes:
     """Return the 32 raw public bytes of a private key."""
-    return bytes(_private_key(private).verify_key)
+    return bytes(_private_key(private_key).verify_key)
 
 
-def _private_key(private: bytes) -> signing.SigningKey:
+def _private_key(raw_key: bytes) -> signing.SigningKey:
     try:
-        return signing.SigningKey(private)
+        return signing.SigningKey(raw_key)
     except (exceptions.CryptoError, ValueError) as error:
         raise _errors.InvalidKeyError(
             "wants 32 bytes of a private key"
--- a/src/sassafrasstair/callers/_app.py
+++ b/src/sassafrasstair/callers/_app.py
@@ -34,7 +34,7 @@
 
 CALL_PREFIX = "/v1/call"
 TICKET_PREFIX = "/v1/ticket"
-CREATED = 201
+HTTP_CREATED = 201
 
 _LOG = logging.getLogger(__name__)
 
@@ -56,16 +56,16 @@
         scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         http = typing.cast("types.HTTPScope", scope)
-        answer = _replies.Answering(send, http["method"], is_leaving())
-        await _serve_call(handle_call, http, receive, answer, on_refusal)
+        responder = _replies.Responder(send, http["method"], is_leaving())
+        await _serve_call(handle_call, http, receive, responder, on_refusal)
 
     @litestar.asgi(TICKET_PREFIX, is_mount=True, copy_scope=False)
     async def tickets(
         scope: types.Scope, receive: types.Receive, send: types.Send
     ) -> None:
         http = typing.cast("types.HTTPScope", scope)
-        answer = _replies.Answering(send, http["method"], is_leaving())
-        await _serve_ticket(handle_ticket, http, answer, on_refusal)
+        responder = _replies.Responder(send, http["method"], is_leaving())
+        await _serve_ticket(handle_ticket, http, responder, on_refusal)
 
     return litestar.Litestar(
         route_handlers=[calls, tickets],
@@ -75,25 +75,25 @@
 
 
 async def _serve_call(
-    call: CallHandler,
+    handle_call: CallHandler,
     scope: types.HTTPScope,
     receive: types.Receive,
-    answer: _replies.Answering,
-    refused: RefusalHandler,
+    responder: _replies.Responder,
+    on_refusal: RefusalHandler,
 ) -> None:
     headers = _headers(scope)
-    incoming = _bodies.Incoming(receive)
+    messages = _bodies.RequestMessages(receive)
     try:
-        request = await _read(scope, headers, incoming)
-        reply = await _until_gone(call, request, incoming)
+        request = await _read_request(scope, headers, messages)
+        reply = await _run_until_disconnect(handle_call, request, messages)
     except _request.CallerGone:
         return
     except _request.Malformed as error:
-        reply = _malformed(headers, error)
-        refused(reply)
-    except _bodies.TooSlow:
-        reply = _too_slow(headers)
-        refused(reply)
+        reply = _malformed_refusal(headers, error)
+        on_refusal(reply)
+    except _bodies.BodyTimeout:
+        reply = _body_timeout_refusal(headers)
+        on_refusal(reply)
     except Exception:
         # A fault of ours: the caller gets a refusal that is true whatever
         # was done by then, instead of the server's plain text or nothing.
@@ -101,66 +101,72 @@
         reply = _request.Refusal(
             outcomes.Outcome.UNKNOWN, outcomes.Reason.INTERNAL_FAULT
         )
-        refused(reply)
-    await _replies.send(answer, reply, incoming)
+        on_refusal(reply)
+    await _replies.send(responder, reply, messages)
 
 
 async def _serve_ticket(
-    ticket: TicketHandler,
+    handle_ticket: TicketHandler,
     scope: types.HTTPScope,
-    answer: _replies.Answering,
-    refused: RefusalHandler,
+    responder: _replies.Responder,
+    on_refusal: RefusalHandler,
 ) -> None:
-    service = _path(scope, TICKET_PREFIX).strip("/")
+    service = _path_below(scope, TICKET_PREFIX).strip("/")
     try:
         fields = _request.read_fields(_headers(scope))
-        reply = await ticket(service, fields)
+        reply = await handle_ticket(service, fields)
     except _request.Malformed as error:
-        reply = _malformed((), error)
-        refused(reply)
+        reply = _malformed_refusal((), error)
+        on_refusal(reply)
     except Exception:
         # Nothing runs for a ticket that its caller does not get.
         _LOG.exception("event=ticket_fault path=%s", scope["path"])
         reply = _request.Refusal(
             outcomes.Outcome.NOT_RUN, outcomes.Reason.INTERNAL_FAULT
         )
-        refused(reply)
+        on_refusal(reply)
     if isinstance(reply, _request.Refusal):
-        await _replies.send(answer, reply, None)
+        await _replies.send(responder, reply, None)
         return
     body = b'{"ticket":"%s","expires_in_ms":%d}' % (
         reply.ticket.encode(),
         int(reply.expires_in * 1000),
     )
     json = (("content-type", "application/json"),)
-    await _replies.send(answer, _request.Reply(CREATED, json, body), None)
+    await _replies.send(
+        responder, _request.Reply(HTTP_CREATED, json, body), None
+    )
 
 
-async def _read(
+async def _read_request(
     scope: types.HTTPScope,
     headers: _request.Headers,
-    incoming: _bodies.Incoming,
+    messages: _bodies.RequestMessages,
 ) -> _request.Request:
     fields = _request.read_fields(headers)
-    own = _request.own_headers(headers)
-    service, _, rest = _path(scope, CALL_PREFIX).lstrip("/").partition("/")
+    forwarded = _request.forwarded_headers(headers)
+    service, _, rest = (
+        _path_below(scope, CALL_PREFIX).lstrip("/").partition("/")
+    )
     query = scope["query_string"].decode("latin-1")
-    body, more = await _bodies.first_part(incoming)
+    body, has_more_parts = await _bodies.read_first_part(messages)
     return _request.Request(
         method=scope["method"],
         service=service,
         path=f"/{rest}?{query}" if query else f"/{rest}",
-        headers=own,
+        headers=forwarded,
         fields=fields,
         first_part=body,
-        body_length=_length(headers),
-        has_more_parts=more,
-        remaining_parts=incoming.parts,
+        body_length=_content_length(headers),
+        has_more_parts=has_more_parts,
+        remaining_parts=messages.body_parts,
     )
 
 
-async def _until_gone(
-    call: CallHandler, request: _request.Request, incoming: _bodies.Incoming
+async def _run_until_disconnect(
+    handle_call: CallHandler,
+    request: _request.Request,
+    messages: _bodies.RequestMessages,
 ) -> _request.Reply | _request.Refusal:
     """Run the call; cancel it and raise if the caller goes away.
 
@@ -168,21 +174,21 @@
     a task for the call as well would cost each call some more time.
     """
     task = typing.cast("asyncio.Task[None]", asyncio.current_task())
-    watching = asyncio.ensure_future(_cancel_when_gone(incoming, task))
+    watcher = asyncio.ensure_future(_cancel_on_disconnect(messages, task))
     try:
-        return await call(request)
+        return await handle_call(request)
     except asyncio.CancelledError:
-        if not incoming.gone or task.uncancel():
+        if not messages.disconnected or task.uncancel():
             raise
         raise _request.CallerGone from None
     finally:
-        watching.cancel()
+        watcher.cancel()
 
 
-async def _cancel_when_gone(
-    incoming: _bodies.Incoming, task: asyncio.Task[None]
+async def _cancel_on_disconnect(
+    messages: _bodies.RequestMessages, task: asyncio.Task[None]
 ) -> None:
-    await _bodies.wait_until_gone(incoming)
+    await _bodies.wait_for_disconnect(messages)
     task.cancel()
 
 
@@ -193,37 +199,37 @@
     )
 
 
-def _path(scope: types.HTTPScope, prefix: str) -> str:
+def _path_below(scope: types.HTTPScope, prefix: str) -> str:
     raw = scope.get("raw_path") or str(scope["path"]).encode()
     text = raw.decode("latin-1").partition("?")[0]
     return text.removeprefix(prefix)
 
 
-def _length(headers: _request.Headers) -> int:
+def _content_length(headers: _request.Headers) -> int:
     for name, value in headers:
         if name == "content-length" and value.isdigit():
             return int(value)
     return -1
 
 
-def _malformed(
+def _malformed_refusal(
     headers: _request.Headers, error: _request.Malformed
 ) -> _request.Refusal:
     return _request.Refusal(
-        _outcome(headers), outcomes.Reason.MALFORMED, 0.0, str(error)
+        _refusal_outcome(headers), outcomes.Reason.MALFORMED, 0.0, str(error)
     )
 
 
-def _too_slow(headers: _request.Headers) -> _request.Refusal:
+def _body_timeout_refusal(headers: _request.Headers) -> _request.Refusal:
     return _request.Refusal(
-        _outcome(headers),
+        _refusal_outcome(headers),
         outcomes.Reason.DEADLINE_PASSED,
         0.0,
         "the body's beginning did not come in time",
     )
 
 
-def _outcome(headers: _request.Headers) -> outcomes.Outcome:
+def _refusal_outcome(headers: _request.Headers) -> outcomes.Outcome:
     if _request.may_have_run(headers):
         return outcomes.Outcome.UNKNOWN
     return outcomes.Outcome.NOT_RUN
--- a/src/sassafrasstair/callers/_bodies.py
+++ b/src/sassafrasstair/callers/_bodies.py
@@ -17,12 +17,12 @@
 FIRST_PART_SECONDS = 30.0
 
 
-class TooSlow(Exception):
+class BodyTimeout(Exception):
     """The body's first part did not come within its time."""
 
 
 @dataclasses.dataclass(slots=True)
-class Incoming:
+class RequestMessages:
     """One request's messages from the server.
 
     Only one reader may wait for a message: ``parts`` until ``ended`` is
@@ -30,16 +30,18 @@
     """
 
     receive: types.Receive
-    parts: abc.AsyncGenerator[bytes, None] = dataclasses.field(init=False)
-    ended: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
-    gone: bool = False
+    body_parts: abc.AsyncGenerator[bytes, None] = dataclasses.field(init=False)
+    body_ended: asyncio.Event = dataclasses.field(
+        default_factory=asyncio.Event
+    )
+    disconnected: bool = False
 
     def __post_init__(self) -> None:
         """Begin the body; nothing is read yet."""
-        self.parts = _parts(self)
+        self.body_parts = _read_body_parts(self)
 
 
-async def first_part(incoming: Incoming) -> tuple[bytes, bool]:
+async def read_first_part(messages: RequestMessages) -> tuple[bytes, bool]:
     """Return the body's beginning and whether more may follow.
 
     Raises ``TooSlow`` when a caller sends its head and then nothing: it has
@@ -47,39 +49,41 @@
     """
     try:
         async with asyncio.timeout(FIRST_PART_SECONDS):
-            return await _first_part(incoming)
+            return await _collect_first_part(messages)
     except TimeoutError as error:
-        raise TooSlow from error
+        raise BodyTimeout from error
 
 
-async def wait_until_gone(incoming: Incoming) -> None:
+async def wait_for_disconnect(messages: RequestMessages) -> None:
     """Return when the caller has gone away; body messages are dropped."""
-    await incoming.ended.wait()
-    while (await incoming.receive())["type"] != "http.disconnect":
+    await messages.body_ended.wait()
+    while (await messages.receive())["type"] != "http.disconnect":
         pass
-    incoming.gone = True
+    messages.disconnected = True
 
 
-async def _first_part(incoming: Incoming) -> tuple[bytes, bool]:
+async def _collect_first_part(messages: RequestMessages) -> tuple[bytes, bool]:
     collected = bytearray()
     while len(collected) < FIRST_PART_BYTES:
-        chunk = await anext(incoming.parts, None)
+        chunk = await anext(messages.body_parts, None)
         if chunk is None:
             return bytes(collected), False
         collected += chunk
     return bytes(collected), True
 
 
-async def _parts(incoming: Incoming) -> abc.AsyncGenerator[bytes, None]:
+async def _read_body_parts(
+    messages: RequestMessages,
+) -> abc.AsyncGenerator[bytes, None]:
     more = True
     while more:
-        received = await incoming.receive()
+        received = await messages.receive()
         message = typing.cast("dict[str, typing.Any]", received)
         if message["type"] == "http.disconnect":
             raise _request.CallerGone
         chunk = message.get("body", b"")
         more = bool(message.get("more_body", False))
         if not more:
-            incoming.ended.set()
+            messages.body_ended.set()
         if chunk:
             yield chunk
--- a/src/sassafrasstair/callers/_request.py
+++ b/src/sassafrasstair/callers/_request.py
@@ -11,20 +11,20 @@
 
     from sassafrasstair import outcomes
 
-MAX_NAME = 63
-MAX_TOKEN = 256
+MAX_NAME_CHARS = 63
+MAX_TOKEN_CHARS = 256
 MAX_TIMEOUT_MS = 3_600_000
-MAX_REPEAT = 1_000
+MAX_REPEAT_COUNT = 1_000
 MAX_DIGITS = 12
-PREFIX = "sassafras-"
-CONTEXT = "sassafras-context"
-CLASS = "sassafras-class"
-TENANT = "sassafras-tenant"
-CALLER = "sassafras-caller"
-TIMEOUT = "sassafras-timeout-ms"
-REPEAT = "sassafras-repeat"
-TICKET = "sassafras-ticket"
-CHILD_KEY = "sassafras-child-key"
+HEADER_PREFIX = "sassafras-"
+CONTEXT_HEADER = "sassafras-context"
+CLASS_HEADER = "sassafras-class"
+TENANT_HEADER = "sassafras-tenant"
+CALLER_HEADER = "sassafras-caller"
+TIMEOUT_HEADER = "sassafras-timeout-ms"
+REPEAT_HEADER = "sassafras-repeat"
+TICKET_HEADER = "sassafras-ticket"
+CHILD_KEY_HEADER = "sassafras-child-key"
 
 Headers = tuple[tuple[str, str], ...]
 
@@ -110,22 +110,22 @@
 
 def read_fields(headers: Headers) -> Fields:
     """Return what the headers say; raise ``Malformed`` naming the first."""
-    values = _own_values(headers)
-    context = _token(values, CONTEXT)
-    tenant = _token(values, TENANT)
-    caller = _token(values, CALLER)
-    request_class = _token(values, CLASS)
+    values = _sassafras_values(headers)
+    context = _read_token(values, CONTEXT_HEADER)
+    tenant = _read_token(values, TENANT_HEADER)
+    caller = _read_token(values, CALLER_HEADER)
+    request_class = _read_token(values, CLASS_HEADER)
     if not context and not request_class:
-        raise Malformed(f"{CLASS} is missing: name the request's class")
+        raise Malformed(f"{CLASS_HEADER} is missing: name the request's class")
     return Fields(
         request_class=request_class,
         tenant=tenant,
         caller=caller or tenant,
-        timeout=_number(values, TIMEOUT, MAX_TIMEOUT_MS) / 1000,
-        repeat_count=_number(values, REPEAT, MAX_REPEAT),
-        ticket=_token(values, TICKET),
+        timeout=_read_number(values, TIMEOUT_HEADER, MAX_TIMEOUT_MS) / 1000,
+        repeat_count=_read_number(values, REPEAT_HEADER, MAX_REPEAT_COUNT),
+        ticket=_read_token(values, TICKET_HEADER),
         parent_attempt_id=context,
-        child_key=_token(values, CHILD_KEY),
+        child_key=_read_token(values, CHILD_KEY_HEADER),
     )
 
 
@@ -135,27 +135,34 @@
     Of such a request only the ticket's owner can say "not run". A count of
     repeats that can't be read is taken for one.
     """
-    values = _own_values(headers)
-    return bool(values.get(TICKET)) and values.get(REPEAT, "0") != "0"
+    values = _sassafras_values(headers)
+    return (
+        bool(values.get(TICKET_HEADER))
+        and values.get(REPEAT_HEADER, "0") != "0"
+    )
 
 
-def own_headers(headers: Headers) -> Headers:
+def forwarded_headers(headers: Headers) -> Headers:
     """Return the caller's own headers, without the ``Sassafras-*`` ones.
 
     Raises ``Malformed`` for a value that is neither ASCII nor UTF-8: the
     upstream's client library could not send it unchanged.
     """
-    own = tuple(
-        (name, value) for name, value in headers if not name.startswith(PREFIX)
+    forwarded = tuple(
+        (name, value)
+        for name, value in headers
+        if not name.startswith(HEADER_PREFIX)
     )
-    for name, value in own:
+    for name, value in forwarded:
         if not value.isascii():
             _check_utf8(name, value)
-    return own
+    return forwarded
 
 
-def _own_values(headers: Headers) -> dict[str, str]:
-    return {name: text for name, text in headers if name.startswith(PREFIX)}
+def _sassafras_values(headers: Headers) -> dict[str, str]:
+    return {
+        name: text for name, text in headers if name.startswith(HEADER_PREFIX)
+    }
 
 
 def _check_utf8(name: str, value: str) -> None:
@@ -165,16 +172,18 @@
         raise Malformed(f"{name} is not ASCII or UTF-8") from error
 
 
-def _token(values: dict[str, str], name: str) -> str:
+def _read_token(values: dict[str, str], name: str) -> str:
     text = values.get(name, "")
-    if len(text) > MAX_TOKEN or not text.isprintable():
-        raise Malformed(f"{name} is not a text of up to {MAX_TOKEN} signs")
+    if len(text) > MAX_TOKEN_CHARS or not text.isprintable():
+        raise Malformed(
+            f"{name} is not a text of up to {MAX_TOKEN_CHARS} signs"
+        )
     return text
 
 
-def _number(values: dict[str, str], name: str, most: int) -> int:
+def _read_number(values: dict[str, str], name: str, maximum: int) -> int:
     text = values.get(name, "0")
     is_number = text.isascii() and text.isdigit()
-    if not is_number or len(text) > MAX_DIGITS or int(text) > most:
-        raise Malformed(f"{name} is not a whole number from 0 to {most}")
+    if not is_number or len(text) > MAX_DIGITS or int(text) > maximum:
+        raise Malformed(f"{name} is not a whole number from 0 to {maximum}")
     return int(text)
--- a/src/sassafrasstair/configservice/_client.py
+++ b/src/sassafrasstair/configservice/_client.py
@@ -44,14 +44,14 @@
     values: dict[str, bytes]
 
 
-class _Pair(msgspec.Struct, frozen=True, rename="pascal"):
+class _KeyValue(msgspec.Struct, frozen=True, rename="pascal"):
     """One entry of the answer; msgspec decodes the base64 of ``value``."""
 
     key: str
     value: bytes | None
 
 
-_PAIRS = msgspec.json.Decoder(list[_Pair])
+_KEY_VALUES_DECODER = msgspec.json.Decoder(list[_KeyValue])
 
 
 class Client:
@@ -66,11 +66,13 @@
     ) -> None:
         self._http = http
         self._urls = tuple(urls)
-        self._first = 0
+        self._preferred = 0
 
     async def read(self, prefix: str) -> Snapshot:
         """Return what stands under ``prefix`` now, or raise."""
-        return await self._ask(prefix, {"recurse": "true"}, READ_SECONDS)
+        return await self._fetch_snapshot(
+            prefix, {"recurse": "true"}, READ_SECONDS
+        )
 
     async def watch(self, prefix: str, index: int, wait: float) -> Snapshot:
         """Return once the index passes ``index`` or ``wait`` s are over.
@@ -82,8 +84,8 @@
             "index": str(index),
             "wait": f"{max(1, round(wait * 1000))}ms",
         }
-        longest = wait * (1 + JITTER_SHARE) + READ_SECONDS
-        snapshot = await self._ask(prefix, params, longest)
+        read_seconds = wait * (1 + JITTER_SHARE) + READ_SECONDS
+        snapshot = await self._fetch_snapshot(prefix, params, read_seconds)
         # Failure: the service is restored from an older state, its index
         # goes back, and a watch for the old index would not see changes
         # until it catches up. Index 0 makes the next watch return at once
@@ -98,20 +100,22 @@
         Sent on a connection that no watch waits on, and answered at once
         as long as the service is there.
         """
-        return await self._try_all(
-            prefix, {"keys": "true"}, INDEX_SECONDS, _index_of
+        return await self._fetch_from_any(
+            prefix, {"keys": "true"}, INDEX_SECONDS, _read_index
         )
 
     async def close(self) -> None:
         """Close the connections."""
         await self._http.close()
 
-    async def _ask(
+    async def _fetch_snapshot(
         self, prefix: str, params: dict[str, str], read_seconds: float
     ) -> Snapshot:
-        return await self._try_all(prefix, params, read_seconds, _decode)
+        return await self._fetch_from_any(
+            prefix, params, read_seconds, _decode_snapshot
+        )
 
-    async def _try_all(
+    async def _fetch_from_any(
         self,
         prefix: str,
         params: dict[str, str],
@@ -122,20 +126,20 @@
             _errors.Reason.UNREACHABLE, "no address is set"
         )
         for offset in range(len(self._urls)):
-            position = (self._first + offset) % len(self._urls)
+            position = (self._preferred + offset) % len(self._urls)
             url = self._urls[position]
             try:
-                found = await self._ask_one(
+                result = await self._fetch_from(
                     url, prefix, params, read_seconds, decode
                 )
             except _errors.PlatformError as failure:
                 error = failure
                 continue
-            self._first = position
-            return found
+            self._preferred = position
+            return result
         raise error
 
-    async def _ask_one(
+    async def _fetch_from(
         self,
         url: str,
         prefix: str,
@@ -151,7 +155,7 @@
             async with self._http.get(
                 f"{url}/v1/kv/{path}", params=params, timeout=timeout
             ) as response:
-                body = await _bounded_body(response)
+                body = await _read_bounded_body(response)
         except TimeoutError as error:
             raise _errors.PlatformError(
                 _errors.Reason.TIMEOUT, f"{url}: {error!r}"
@@ -175,7 +179,7 @@
     return Client(aiohttp.ClientSession(), [url.rstrip("/") for url in urls])
 
 
-async def _bounded_body(response: aiohttp.ClientResponse) -> bytes:
+async def _read_bounded_body(response: aiohttp.ClientResponse) -> bytes:
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
@@ -187,22 +191,24 @@
     return bytes(body)
 
 
-def _decode(
+def _decode_snapshot(
     url: str, response: aiohttp.ClientResponse, body: bytes
 ) -> Snapshot:
-    index = _index_of(url, response, body)
+    index = _read_index(url, response, body)
     if response.status == 404:
         return Snapshot(index, {})
     try:
-        pairs = _PAIRS.decode(body)
+        pairs = _KEY_VALUES_DECODER.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
         raise _errors.PlatformError(
             _errors.Reason.MALFORMED, f"{url}: {error}"
         ) from error
-    return Snapshot(index, _values(pairs))
+    return Snapshot(index, _values_by_key(pairs))
 
 
-def _index_of(url: str, response: aiohttp.ClientResponse, body: bytes) -> int:
+def _read_index(
+    url: str, response: aiohttp.ClientResponse, body: bytes
+) -> int:
     if response.status not in (200, 404):
         raise _errors.PlatformError(
             _errors.Reason.BAD_STATUS, f"{url}: {response.status}"
@@ -218,7 +224,7 @@
     return int(text)
 
 
-def _values(pairs: list[_Pair]) -> dict[str, bytes]:
+def _values_by_key(pairs: list[_KeyValue]) -> dict[str, bytes]:
     values: dict[str, bytes] = {}
     for pair in pairs:
         value = pair.value or b""
--- a/src/sassafrasstair/configservice/_vms.py
+++ b/src/sassafrasstair/configservice/_vms.py
@@ -28,13 +28,13 @@
     state: VmState
 
 
-_ENTRIES = msgspec.json.Decoder(tuple[VmEntry, ...])
+_VMS_DECODER = msgspec.json.Decoder(tuple[VmEntry, ...])
 
 
 def decode_vms(raw: bytes) -> tuple[VmEntry, ...]:
     """Return the VM list, or raise ``PlatformError`` for any bad entry."""
     try:
-        entries = _ENTRIES.decode(raw)
+        entries = _VMS_DECODER.decode(raw)
     except (msgspec.DecodeError, ValueError) as error:
         raise _malformed(f"VM list: {error}") from error
     names: set[str] = set()
--- a/src/sassafrasstair/operators/_application.py
+++ b/src/sassafrasstair/operators/_application.py
@@ -43,7 +43,7 @@
     @litestar.get("/metrics")
     async def get_metrics() -> response.Stream:
         return response.Stream(
-            _parts(registry), media_type=metrics.CONTENT_TYPE
+            _render_metrics(registry), media_type=metrics.CONTENT_TYPE
         )
 
     return litestar.Litestar(
@@ -53,13 +53,15 @@
     )
 
 
-async def _parts(counts: metrics.Metrics) -> abc.AsyncIterator[bytes]:
+async def _render_metrics(
+    registry: metrics.Metrics,
+) -> abc.AsyncIterator[bytes]:
     """Yield the metrics, letting other tasks run after each part.
 
     A daemon with many series takes tens of milliseconds to render them.
     Done in one go, every call under way would wait that long, which
     shows as a spike at each reading of the metrics.
     """
-    for part in counts.render_parts():
+    for part in registry.render_parts():
         yield part
         await asyncio.sleep(0)
--- a/src/sassafrasstair/upstreams/_client.py
+++ b/src/sassafrasstair/upstreams/_client.py
@@ -21,8 +21,8 @@
 NOT_RUN_VALUES = frozenset({"not-run", "not run"})
 CONNECT_TIMEOUT = 1.0
 KEEPALIVE_SECONDS = 30.0
-REFUSED_STATUS = 503
-HOP_BY_HOP = frozenset(
+REFUSAL_STATUS = 503
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "expect",
@@ -35,8 +35,8 @@
         "upgrade",
     }
 )
-_NOT_ADDED = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
-_NEVER_SENT = HOP_BY_HOP | {"host"}
+_NO_DEFAULT_FOR = ("Accept", "Accept-Encoding", "Content-Type", "User-Agent")
+_EXCLUDED_HEADERS = HOP_BY_HOP_HEADERS | {"host"}
 
 
 class UpstreamError(Exception):
@@ -96,7 +96,7 @@
         ),
         cookie_jar=aiohttp.DummyCookieJar(),
         auto_decompress=False,
-        skip_auto_headers=_NOT_ADDED,
+        skip_auto_headers=_NO_DEFAULT_FOR,
         timeout=aiohttp.ClientTimeout(
             total=None, sock_connect=CONNECT_TIMEOUT
         ),
@@ -120,7 +120,7 @@
         answer = await upstream.session.request(
             request.method,
             yarl.URL(upstream.url + request.path, encoded=True),
-            headers=_wire_headers(request),
+            headers=_headers_to_send(request),
             data=request.body or None,
             allow_redirects=False,
         )
@@ -135,9 +135,11 @@
         raise UpstreamError(
             outcomes.Outcome.UNKNOWN, outcomes.Reason.UPSTREAM_LOST
         ) from error
-    if answer.status == REFUSED_STATUS:
+    if answer.status == REFUSAL_STATUS:
         _raise_refusal(answer)
-    return Response(answer.status, _headers(answer), _chunks(answer))
+    return Response(
+        answer.status, _end_to_end_headers(answer), _read_chunks(answer)
+    )
 
 
 async def close(upstream: Upstream) -> None:
@@ -145,18 +147,18 @@
     await upstream.session.close()
 
 
-def _wire_headers(request: Request) -> list[tuple[str, str]]:
-    left_out = _NEVER_SENT
+def _headers_to_send(request: Request) -> list[tuple[str, str]]:
+    excluded = _EXCLUDED_HEADERS
     if isinstance(request.body, bytes):
-        left_out = _NEVER_SENT | {"content-length"}
+        excluded = _EXCLUDED_HEADERS | {"content-length"}
     return [
-        (name, _wire_text(value))
+        (name, _value_to_send(value))
         for name, value in request.headers
-        if name not in left_out
+        if name not in excluded
     ]
 
 
-def _wire_text(value: str) -> str:
+def _value_to_send(value: str) -> str:
     """Return what the library, which sends UTF-8, sends as ``value``.
 
     Header values are held as Latin-1 text, so that they are bytes to us.
@@ -165,26 +167,29 @@
 
 
 def _raise_refusal(answer: aiohttp.ClientResponse) -> typing.NoReturn:
-    said = answer.headers.get(OUTCOME_HEADER, "")
+    reported_outcome = answer.headers.get(OUTCOME_HEADER, "")
     # Keeps the connection if the refusal has come whole, as a short one
     # has: under overload a new connection for each would be more load.
     answer.release()
-    known = said in NOT_RUN_VALUES
+    did_not_run = reported_outcome in NOT_RUN_VALUES
     raise UpstreamError(
-        outcomes.Outcome.NOT_RUN if known else outcomes.Outcome.UNKNOWN,
+        outcomes.Outcome.NOT_RUN if did_not_run else outcomes.Outcome.UNKNOWN,
         outcomes.Reason.UPSTREAM_REFUSED,
     )
 
 
-def _headers(answer: aiohttp.ClientResponse) -> tuple[tuple[str, str], ...]:
+def _end_to_end_headers(
+    answer: aiohttp.ClientResponse,
+) -> tuple[tuple[str, str], ...]:
     return tuple(
         (lowered, value.decode("latin-1"))
         for name, value in answer.raw_headers
-        if (lowered := name.decode("latin-1").lower()) not in HOP_BY_HOP
+        if (lowered := name.decode("latin-1").lower())
+        not in HOP_BY_HOP_HEADERS
     )
 
 
-async def _chunks(
+async def _read_chunks(
     answer: aiohttp.ClientResponse,
 ) -> abc.AsyncGenerator[bytes, None]:
     try:
--- a/tests/bundles/test_envelopes.py
+++ b/tests/bundles/test_envelopes.py
@@ -186,6 +186,6 @@
     assert caught.value.detail
 
 
-def test_a_signature_of_the_bare_text_approves_nothing() -> None:
+def test_signature_without_the_prefix_is_invalid() -> None:
     bare = signing.SigningKey(PRIVATE).sign(text()).signature
     assert not _signatures.is_valid(text(), bare, PUBLIC)
--- a/tests/configservice/test_client.py
+++ b/tests/configservice/test_client.py
@@ -89,7 +89,7 @@
     assert snapshot == configservice.Snapshot(6, {})
 
 
-def test_second_address_answers_for_a_dead_first() -> None:
+def test_second_address_is_tried_when_the_first_is_unreachable() -> None:
     replies: dict[int, _Reply | Exception] = {
         1: _refused(),
         2: _reply(),
@@ -130,7 +130,7 @@
         ),
     ],
 )
-def test_refusal_is_whole_and_has_a_reason(
+def test_unusable_response_raises_with_its_reason(
     reply: _Reply | Exception, reason: configservice.Reason
 ) -> None:
     with pytest.raises(configservice.PlatformError) as caught:
--- a/tests/configservice/test_vms.py
+++ b/tests/configservice/test_vms.py
@@ -44,6 +44,6 @@
     assert caught.value.reason is configservice.Reason.MALFORMED
 
 
-def test_cut_list_is_refused() -> None:
+def test_truncated_list_is_refused() -> None:
     with pytest.raises(configservice.PlatformError):
         configservice.decode_vms(json.dumps([GOOD]).encode()[:-3])
--- a/tests/operators/test_application.py
+++ b/tests/operators/test_application.py
@@ -67,5 +67,5 @@
 
 
 @pytest.mark.parametrize("path", ["/status", "/health", "/metrics"])
-def test_nothing_can_be_written(path: str) -> None:
+def test_paths_are_read_only(path: str) -> None:
     assert get(path, method="POST").status_code == 405
--- a/tests/upstreams/test_client.py
+++ b/tests/upstreams/test_client.py
@@ -40,16 +40,16 @@
 
 def run(
     raw: RawUpstream,
-    story: abc.Callable[[upstreams.Upstream], abc.Awaitable[None]],
+    scenario: abc.Callable[[upstreams.Upstream], abc.Awaitable[None]],
 ) -> None:
-    async def whole() -> None:
+    async def serve_and_run() -> None:
         port = meshes.free_ports(1)[0]
         async with await asyncio.start_server(raw, "127.0.0.1", port):
             upstream = upstreams.connect(f"http://127.0.0.1:{port}")
-            await story(upstream)
+            await scenario(upstream)
             await upstreams.close(upstream)
 
-    asyncio.run(whole())
+    asyncio.run(serve_and_run())
 
 
 def request(
@@ -74,13 +74,13 @@
     """
     raw = RawUpstream(OK, b"", OK)
 
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         await read(upstream, request())
         with pytest.raises(upstreams.UpstreamError) as raised:
             await read(upstream, request())
         assert raised.value.outcome is outcomes.Outcome.UNKNOWN
 
-    run(raw, story)
+    run(raw, scenario)
     assert len(raw.heads) == 2
 
 
@@ -91,10 +91,10 @@
     value = "é".encode().decode("latin-1")
     sent = request("GET", path, ("x-name", value), ("expect", "100-continue"))
 
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         await read(upstream, sent)
 
-    run(raw, story)
+    run(raw, scenario)
     head = raw.heads[0].lower()
     assert raw.heads[0].startswith(f"GET {path} HTTP/1.1\r\n".encode())
     assert b"x-name: \xc3\xa9\r\n" in head
@@ -122,14 +122,14 @@
     ],
     ids=["head", "no content", "not modified", "odd bytes"],
 )
-def test_answer_comes_as_it_was_sent(
+def test_response_is_returned_unchanged(
     method: str, answer: bytes, headers: typing.Any, body: bytes
 ) -> None:
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         response, got = await read(upstream, request(method))
         assert (response.headers, got) == (headers, body)
 
-    run(RawUpstream(answer), story)
+    run(RawUpstream(answer), scenario)
 
 
 @pytest.mark.parametrize(
@@ -146,11 +146,11 @@
     refused = b"HTTP/1.1 503 Busy\r\n%scontent-length: 2\r\n\r\nno" % header
     raw = RawUpstream(refused, refused)
 
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         for _ in range(2):
             with pytest.raises(upstreams.UpstreamError) as raised:
                 await upstreams.send(upstream, request())
             assert raised.value.outcome is outcome
 
-    run(raw, story)
+    run(raw, scenario)
     assert (len(raw.heads), raw.connections) == (2, 1)
