--- a/tests/daemons/test_links.py
+++ b/tests/daemons/test_links.py
@@ -35,7 +35,7 @@
     ],
     ids=["not sent", "no reply", "may be sent"],
 )
-def test_errors_say_whether_it_was_sent(
+def test_errors_tell_whether_the_message_was_sent(
     listens: bool,
     message: daemons.Message,
     timeout: float,
@@ -55,7 +55,7 @@
     asyncio.run(story())
 
 
-def test_faults_of_handlers_leave_the_server_whole() -> None:
+def test_server_answers_after_handler_exceptions() -> None:
     """A daemon falls silent for all its peers, though it runs.
 
     Each fault in a handler ended a receiver that went on to count as idle,
@@ -79,7 +79,7 @@
     asyncio.run(story())
 
 
-def test_link_with_an_exchange_under_way_is_not_idle(
+def test_link_with_an_exchange_in_flight_is_not_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Answers that take more than a minute become unknown at quiet hours.
@@ -114,7 +114,7 @@
     asyncio.run(story())
 
 
-def test_cancellation_that_pynng_drops_ends_the_exchange(
+def test_cancellation_dropped_by_pynng_ends_the_exchange(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An exchange outlives its time-out without a bound.
@@ -146,7 +146,7 @@
     asyncio.run(story())
 
 
-def test_dropped_link_ends_what_is_under_way() -> None:
+def test_disconnected_link_ends_its_exchanges() -> None:
     """A shopkeeper waits ten seconds for a VM that lost its power.
 
     A call is under way when its callee falls silent; no connection is
--- a/tests/runtime/test_answers.py
+++ b/tests/runtime/test_answers.py
@@ -24,7 +24,7 @@
         ("GET", "/none", None),
     ],
 )
-def test_answer_has_its_upstreams_head(
+def test_answer_keeps_length_and_date_of_the_upstream(
     method: str, path: str, length: str | None
 ) -> None:
     """A caller that asks for a length by HEAD is told 0.
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -57,7 +57,7 @@
     asyncio.run(asyncio.wait_for(story, 4 * meshes.WAIT))
 
 
-def test_waiting_request_whose_caller_left_is_forgotten() -> None:
+def test_waiting_request_is_removed_when_its_caller_leaves() -> None:
     """A daemon that is stopped never exits, and its memory grows.
 
     Requests wait for a slot at their instance. A caller goes away, the
@@ -81,7 +81,7 @@
     run(story())
 
 
-def test_binding_whose_caller_left_ends_and_is_told_to_the_repeat() -> None:
+def test_once_only_work_continues_for_the_repeat() -> None:
     """A broker's connection breaks; its repeat says "unknown" for ever.
 
     The entrance told the owner that nobody waits, and the owner cut the
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 300_000], ids=["no body", "long body"])
-def test_request_whose_caller_left_is_cut_at_the_upstream(size: int) -> None:
+def test_request_is_cancelled_when_its_caller_leaves(size: int) -> None:
     """Under a surge upstreams work for callers that have long hung up.
 
     A caller sends its whole request and goes away before the answer. With
@@ -129,7 +129,7 @@
     run(story())
 
 
-def test_answer_whose_caller_left_is_cut_at_the_upstream() -> None:
+def test_answer_is_cancelled_when_its_caller_leaves() -> None:
     """Downloads that callers broke off go on at full speed to nobody.
 
     The server takes and drops what is sent to a caller that is gone, so
@@ -159,7 +159,7 @@
     run(story())
 
 
-def test_body_that_grows_too_large_is_cut() -> None:
+def test_body_beyond_the_limit_is_refused() -> None:
     """One caller fills an upstream's disk past the class's limit.
 
     It declares no length, so the limit could not be checked at the start,
@@ -180,7 +180,7 @@
     run(story())
 
 
-def test_repeat_without_room_for_its_body_is_not_told_not_run() -> None:
+def test_repeat_without_body_memory_joins_the_first_use() -> None:
     """A broker is told "not run" while its binding runs; it binds anew.
 
     The repeat of a large binding found no room for another large body and
@@ -216,7 +216,7 @@
         (99, {}, (429, "unknown", "too_many_repeats")),
     ],
 )
-def test_entrance_says_not_run_of_a_first_use_alone(
+def test_entrance_reports_not_run_only_for_a_first_use(
     repeat: int, headers: dict[str, str], told: tuple[int, str, str]
 ) -> None:
     """A binding runs whose caller was told that it was not run.
@@ -241,7 +241,7 @@
     run(story())
 
 
-def test_fault_in_a_handler_is_answered(
+def test_internal_error_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A caller gets plain text, or nothing, where a daemon has a fault."""
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -57,7 +57,7 @@
     )
 
 
-def test_body_that_comes_before_its_request_is_wanted() -> None:
+def test_part_before_its_request_is_accepted() -> None:
     """A shopkeeper's upload hangs for its whole deadline, then is unknown.
 
     The entrance sends the request and asks whether its body is wanted, in
@@ -80,7 +80,7 @@
     asyncio.run(story())
 
 
-def test_doubled_request_gets_the_first_ones_answer() -> None:
+def test_duplicate_request_gets_the_same_answer() -> None:
     """A caller is told "not run" of what runs, and it runs again elsewhere.
 
     The link delivers a request twice; the second one was refused as not
@@ -106,7 +106,7 @@
     assert began == 1
 
 
-def test_cancellation_that_comes_before_its_request_holds() -> None:
+def test_cancellation_before_its_request_prevents_it() -> None:
     """An instance works for a caller that had gone before it began."""
 
     async def upstream(_: web.BaseRequest) -> web.StreamResponse:
--- a/tests/runtime/test_nested_refusals.py
+++ b/tests/runtime/test_nested_refusals.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("nested", [True, False])
-def test_only_own_refusals_cut_the_limit(nested: bool) -> None:
+def test_only_own_refusals_reduce_the_limit(nested: bool) -> None:
     """Goodput stays low though only the deepest service is overloaded.
 
     The ledger refuses; each poster passes the refusal on. The posters'
--- a/tests/runtime/test_periodic.py
+++ b/tests/runtime/test_periodic.py
@@ -5,7 +5,7 @@
 from sassafrasstair.runtime import _daemon
 
 
-def test_a_fault_does_not_end_a_periodic_step() -> None:
+def test_exception_does_not_end_a_periodic_step() -> None:
     """A daemon serves on, but its queues never expire any more.
 
     One tick meets a fault. Nothing is logged, and no tick follows.
--- a/tests/runtime/test_planned_stop.py
+++ b/tests/runtime/test_planned_stop.py
@@ -43,7 +43,7 @@
             await asyncio.sleep(pause)
 
 
-def test_stop_under_load_cuts_no_caller(
+def test_stop_under_load_breaks_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A shopkeeper's request breaks off because a VM is replaced.
@@ -70,7 +70,7 @@
     assert ends["close"] == CALLERS
 
 
-def test_stop_finishes_answers_that_are_being_passed_on() -> None:
+def test_stop_waits_for_answers_in_transfer() -> None:
     """A download ends in the middle because its entrance is replaced."""
     go = asyncio.Event()
 
@@ -96,7 +96,7 @@
     asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
 
 
-def test_stop_of_a_callee_waits_for_what_its_upstream_runs(
+def test_stop_of_a_callee_waits_for_running_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A lookup is lost because the VM that runs it is replaced.
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -68,7 +68,7 @@
     return task
 
 
-def test_a_doubled_request_is_not_told_as_not_run() -> None:
+def test_duplicate_request_is_not_refused_while_waiting() -> None:
     """A lookup is delivered twice and its caller hears "not run".
 
     The second copy finds the first one waiting and is refused; its
@@ -88,7 +88,7 @@
     asyncio.run(asyncio.wait_for(story(), WAIT))
 
 
-def test_a_refusal_by_the_owner_voids_or_joins() -> None:
+def test_refused_ticket_use_joins_or_voids() -> None:
     """A write-down is repeated while the owner has no bundle or memory.
 
     The owner refuses the repeat as "not run", though the first use waits
@@ -114,7 +114,7 @@
     asyncio.run(asyncio.wait_for(story(), WAIT))
 
 
-def test_a_cancelled_use_does_not_end_what_another_joined() -> None:
+def test_cancelled_use_does_not_end_a_joined_repeat() -> None:
     """A shopkeeper gives up on a slow write-down and asks again.
 
     The repeat joins the first use's execution. The cancellation of the
@@ -147,7 +147,7 @@
         ("", 0, Reason.PARENT_GONE, outcomes.Outcome.UNKNOWN),
     ],
 )
-def test_an_early_refusal_of_a_repeat_is_unknown(
+def test_early_refusal_of_a_repeat_is_unknown(
     ticket: str,
     repeat: int,
     reason: outcomes.Reason,
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("seconds", [0.0, 1.0, 3.0, 8.6, 30.0, 100.0])
-def test_bundle_after_an_absence_is_heard_of_in_time(
+def test_bundle_after_an_outage_is_noticed_in_time(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Requests are served by a bundle that was superseded 47 s before.
@@ -139,7 +139,7 @@
     loops.run(test())
 
 
-def test_calm_watch_costs_a_check_now_and_then() -> None:
+def test_idle_watch_calls_only_for_checks() -> None:
     """The platform's rate is for all readers: 36 watches in 1,300 daemons."""
 
     async def test() -> None:
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -40,7 +40,7 @@
         ("9.1", b"whole", Reason.PEER_LOST),
     ],
 )
-def test_only_the_whole_answer_of_the_own_attempt_is_passed_on(
+def test_truncated_or_foreign_answer_is_rejected(
     attempt_id: str, body: bytes, reason: outcomes.Reason
 ) -> None:
     """A shopkeeper sees half a valuation, or another shop's.
@@ -66,7 +66,7 @@
         ([daemons.NoContent()], False),
     ],
 )
-def test_a_long_answer_that_is_cut_short_raises(
+def test_incomplete_long_answer_raises(
     parts: list[daemons.Message], is_whole: bool
 ) -> None:
     """A large survey photo arrives damaged and is taken for whole."""
