--- a/src/sassafrasstair/bench/_capacity_fleets.py
+++ b/src/sassafrasstair/bench/_capacity_fleets.py
@@ -276,7 +276,7 @@
         if not self._runs(flight.sender, flight.node):
             return
         self._count(flight, 0)
-        effects = fleet.unreachable(
+        effects = fleet.update_after_failed_exchange(
             flight.node, flight.receiver, self.now, self.rng
         )
         self.perform(flight.sender, effects)
--- a/src/sassafrasstair/bench/_capacity_warm.py
+++ b/src/sassafrasstair/bench/_capacity_warm.py
@@ -91,7 +91,7 @@
 
 def _quiet(node: fleet.Node, rng: random.Random) -> None:
     node.transmissions_left.clear()
-    node.unshared_records.clear()
+    node.records_to_send.clear()
     node.push_pending = False
     node.bundle_push_pending = False
     node.next_gossip_at = rng.random()
--- a/src/sassafrasstair/decisions/fleet/__init__.py
+++ b/src/sassafrasstair/decisions/fleet/__init__.py
@@ -41,7 +41,7 @@
 from sassafrasstair.decisions.fleet._nodes import process_reply
 from sassafrasstair.decisions.fleet._nodes import set_leaving
 from sassafrasstair.decisions.fleet._nodes import tick
-from sassafrasstair.decisions.fleet._nodes import unreachable
+from sassafrasstair.decisions.fleet._nodes import update_after_failed_exchange
 from sassafrasstair.decisions.fleet._queries import address_of
 from sassafrasstair.decisions.fleet._queries import in_force
 from sassafrasstair.decisions.fleet._queries import incarnation_of
@@ -97,5 +97,5 @@
     "status",
     "targets",
     "tick",
-    "unreachable",
+    "update_after_failed_exchange",
 ]
--- a/src/sassafrasstair/decisions/fleet/_fetches.py
+++ b/src/sassafrasstair/decisions/fleet/_fetches.py
@@ -118,12 +118,14 @@
     if peer.members_checksum == _members.checksum(node):
         node.vm_list_index = max(node.vm_list_index, peer.vm_list_index)
         return []
-    if now < node.next_sync_at and not (lacks_vm_list and not node.syncing):
+    if now < node.next_sync_at and not (
+        lacks_vm_list and not node.sync_pending
+    ):
         return []
     if node.transmissions_left and not lacks_vm_list:
         return []
     node.next_sync_at = now + SYNC_INTERVAL
-    node.syncing = True
+    node.sync_pending = True
     request = _messages.MembersFetch(tuple(node.bucket_checksums))
     return [_effects.Exchange(peer.address, request)]
 
@@ -141,7 +143,7 @@
     node: _states.Node, reply: _messages.MembersReply, now: float
 ) -> tuple[_messages.Rumour, ...]:
     """Return the rumours in ``reply``; raise ``BadMessage`` if invalid."""
-    node.syncing = False
+    node.sync_pending = False
     # The traffic budget leaves one kilobyte per second for this. After a
     # large table, the next fetch waits until its bytes fit the budget.
     wait = len(reply.compressed_rumours) / SYNC_BYTES_PER_SECOND
--- a/src/sassafrasstair/decisions/fleet/_members.py
+++ b/src/sassafrasstair/decisions/fleet/_members.py
@@ -48,7 +48,7 @@
     )
 
 
-def is_member(member: _states.Member) -> bool:
+def is_serving(member: _states.Member) -> bool:
     """Return whether ``member`` is believed to take part in gossip."""
     return member.liveness == _messages.SERVING
 
@@ -78,15 +78,15 @@
     member = node.members.get(rumour.vm)
     if member is None:
         return _add(node, rumour, now)
-    if _is_known(member, rumour):
+    if _is_redundant(member, rumour):
         return False
-    before = _state_key(member)
-    _toggle_checksum(node, member)
+    old_state = _merged_state(member)
+    _xor_into_checksum(node, member)
     _merge_into(member, rumour)
-    _toggle_checksum(node, member)
-    if _state_key(member) == before:
+    _xor_into_checksum(node, member)
+    if _merged_state(member) == old_state:
         return False
-    _apply_change(node, member, before, now)
+    _apply_change(node, member, old_state, now)
     return True
 
 
@@ -115,7 +115,7 @@
         node.transmissions_left[vm] = transmissions
 
 
-def piggyback(
+def take_rumours(
     node: _states.Node,
     receiver: str,
     known: abc.Collection[_messages.Rumour] = (),
@@ -124,7 +124,7 @@
 
     Rumours in ``known``, which the receiver has just sent, are left out.
     """
-    known_vms = {rumour.vm for rumour in known if _is_current(node, rumour)}
+    known_vms = {rumour.vm for rumour in known if _matches_table(node, rumour)}
     candidates = [vm for vm in node.transmissions_left if vm not in known_vms]
     chosen = sorted(
         candidates, key=node.transmissions_left.__getitem__, reverse=True
@@ -191,31 +191,31 @@
         invalidate_caches(node)
 
 
-def mark_record_shared(node: _states.Node, vm: str) -> None:
+def stop_sending_record(node: _states.Node, vm: str) -> None:
     """Note that peers already have the record of ``vm``."""
-    node.unshared_records.discard(vm)
+    node.records_to_send.discard(vm)
 
 
 def remove(node: _states.Node, vm: str) -> None:
     """Remove ``vm`` from the table."""
     member = node.members.pop(vm)
-    _toggle_checksum(node, member)
+    _xor_into_checksum(node, member)
     if node.by_address.get(member.record.address) == vm:
         del node.by_address[member.record.address]
     node.transmissions_left.pop(vm, None)
     node.ejected.discard(vm)
     node.held_down.discard(vm)
     node.not_serving.discard(vm)
-    node.unshared_records.discard(vm)
+    node.records_to_send.discard(vm)
     invalidate_caches(node, membership=True)
 
 
-def _is_current(node: _states.Node, rumour: _messages.Rumour) -> bool:
+def _matches_table(node: _states.Node, rumour: _messages.Rumour) -> bool:
     member = node.members.get(rumour.vm)
-    return member is not None and _is_known(member, rumour)
+    return member is not None and _is_redundant(member, rumour)
 
 
-def _is_known(member: _states.Member, rumour: _messages.Rumour) -> bool:
+def _is_redundant(member: _states.Member, rumour: _messages.Rumour) -> bool:
     """Return whether ``rumour`` equals the state of ``member``."""
     return (
         rumour.incarnation == member.incarnation
@@ -234,9 +234,9 @@
     _merge_into(member, rumour)
     node.members[rumour.vm] = member
     node.by_address[rumour.record.address] = rumour.vm
-    _toggle_checksum(node, member)
+    _xor_into_checksum(node, member)
     _track_not_serving(node, member)
-    node.unshared_records.add(rumour.vm)
+    node.records_to_send.add(rumour.vm)
     invalidate_caches(node, membership=True)
     return True
 
@@ -261,7 +261,7 @@
         member.platform_unreachable = rumour.platform_unreachable
         member.revision = rumour.revision
         member.liveness = rumour.liveness
-    _apply_record(member, rumour.record)
+    _apply_listed_leaving(member, rumour.record)
 
 
 def _replace_incarnation(
@@ -277,7 +277,7 @@
         member.record = rumour.record
 
 
-def _apply_record(
+def _apply_listed_leaving(
     member: _states.Member, record: _messages.Record | None
 ) -> None:
     if record is None or record.vm != member.record.vm:
@@ -289,24 +289,24 @@
 def _apply_change(
     node: _states.Node,
     member: _states.Member,
-    before: tuple[str, int, int, bool, bool],
+    old_state: tuple[str, int, int, bool, bool],
     now: float,
 ) -> None:
     node.by_address[member.record.address] = member.record.vm
     member.changed_at = now
     _track_not_serving(node, member)
-    was_not_serving = before[2] != _messages.SERVING
+    was_not_serving = old_state[2] != _messages.SERVING
     if was_not_serving and member.liveness == _messages.SERVING:
         member.ejected = False
         member.failures = 0
         node.ejected.discard(member.record.vm)
         start_hold_down(node, member, now)
-    if before[2:] != _state_key(member)[2:]:
+    if old_state[2:] != _merged_state(member)[2:]:
         invalidate_caches(node, membership=True)
     # A change from suspected to gone does not affect calls and can wait
     # for the next rounds. Otherwise the loss of a rack would be pushed
     # twice.
-    if _takes_work(before[2], before[3]) != _takes_work(
+    if _takes_work(old_state[2], old_state[3]) != _takes_work(
         member.liveness, member.leaving
     ):
         node.push_pending = True
@@ -323,7 +323,7 @@
     return liveness == _messages.SERVING and not leaving
 
 
-def _state_key(member: _states.Member) -> tuple[str, int, int, bool, bool]:
+def _merged_state(member: _states.Member) -> tuple[str, int, int, bool, bool]:
     return (
         member.incarnation,
         member.revision,
@@ -338,15 +338,15 @@
     if node.transmissions_left[vm] in (0, PRIORITY_OFFSET):
         del node.transmissions_left[vm]
     member = node.members[vm]
-    return rumour_of(member, with_record=vm in node.unshared_records)
+    return rumour_of(member, with_record=vm in node.records_to_send)
 
 
-def _toggle_checksum(node: _states.Node, member: _states.Member) -> None:
+def _xor_into_checksum(node: _states.Node, member: _states.Member) -> None:
     # Members that are gone are left out of the checksums: daemons remove
     # them at different times, which must not count as a difference.
     if member.liveness == _messages.GONE:
         return
-    value = _digest(f"{member.record.vm} {_state_key(member)}")
+    value = _digest(f"{member.record.vm} {_merged_state(member)}")
     node.bucket_checksums[bucket_of(member.record.vm)] ^= value
 
 
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -71,10 +71,10 @@
         effects += _suspicions.expire_members(node, now)
     _members.end_hold_downs(node, now)
     effects += _fetches.retry_overdue(node, now)
-    effects += _spreads.settle(node, now, rng)
+    effects += _spreads.settle_if_ready(node, now, rng)
     effects += _platform.update_watch(node, now, rng)
     effects += _spreads.gossip_if_due(node, now, rng)
-    return effects + _spreads.flush(node, now, rng)
+    return effects + _spreads.push_if_due(node, now, rng)
 
 
 def handle_request(
@@ -103,7 +103,7 @@
         effects += _suspicions.record_helper_result(node, message, now)
     else:
         reply = None
-    return reply, effects + _spreads.flush(node, now, rng)
+    return reply, effects + _spreads.push_if_due(node, now, rng)
 
 
 def process_reply(
@@ -119,32 +119,32 @@
         node, node.by_address.get(peer_address, ""), now
     )
     if isinstance(message, _messages.GossipReply):
-        node.settled_by_address[peer_address] = message.settled
+        node.peer_settled_by_address[peer_address] = message.settled
         effects += _process_summary(node, message, now, rng)
-        effects += _spreads.settle(node, now, rng)
+        effects += _spreads.settle_if_ready(node, now, rng)
     elif isinstance(message, _messages.BundleReply):
         effects += _fetches.process_bundle_reply(
             node, message, peer_address, now
         )
-        effects += _spreads.settle(node, now, rng)
+        effects += _spreads.settle_if_ready(node, now, rng)
     elif isinstance(message, _messages.MembersReply):
         effects += _process_members_reply(node, message, now)
-    return effects + _spreads.flush(node, now, rng)
+    return effects + _spreads.push_if_due(node, now, rng)
 
 
-def unreachable(
+def update_after_failed_exchange(
     node: _states.Node,
     peer_address: str,
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
     """Process the failure of an ``Exchange`` with ``peer_address``."""
-    node.syncing = False
+    node.sync_pending = False
     effects = _detect_pause(node, now)
     effects += _fetches.process_lost_peer(node, peer_address, now)
     vm = node.by_address.get(peer_address, "")
     effects += _suspicions.record_failure(node, vm, now, rng)
-    return effects + _spreads.flush(node, now, rng)
+    return effects + _spreads.push_if_due(node, now, rng)
 
 
 def process_platform_bundles(
@@ -156,19 +156,19 @@
 ) -> list[_effects.Effect]:
     """Process the values of the platform's bundle keys at ``index``."""
     effects = _platform.process_bundles(node, envelopes)
-    return effects + _spreads.flush(node, now, rng)
+    return effects + _spreads.push_if_due(node, now, rng)
 
 
 def process_platform_vms(
     node: _states.Node,
     records: list[_messages.Record],
-    index: int,
+    vm_list_index: int,
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
     """Process the platform's VM list at ``index``."""
-    effects = _platform.process_vms(node, records, index, now)
-    return effects + _spreads.flush(node, now, rng)
+    effects = _platform.process_vms(node, records, vm_list_index, now)
+    return effects + _spreads.push_if_due(node, now, rng)
 
 
 def process_platform_failure(
@@ -176,7 +176,7 @@
 ) -> list[_effects.Effect]:
     """Process a lost or overflowed watch, or a failed read."""
     effects = _platform.process_failure(node, rng)
-    return effects + _spreads.flush(node, now, rng)
+    return effects + _spreads.push_if_due(node, now, rng)
 
 
 def set_leaving(
@@ -194,8 +194,8 @@
     )
     if _members.merge(node, rumour, now):
         _members.queue_rumour(node, node.local_record.vm)
-    node.next_flush_at = now
-    return _spreads.flush(node, now, rng)
+    node.next_push_at = now
+    return _spreads.push_if_due(node, now, rng)
 
 
 def observe_call(
@@ -267,7 +267,7 @@
         effects += _suspicions.record_success(node, peer.vm, now)
     for rumour in peer.rumours:
         effects += _process_rumour(node, rumour, now)
-    effects += _reaches.check_peer_report(
+    effects += _reaches.probe_on_peer_report(
         node, peer.vm, peer.unreachable_domains, now, rng
     )
     effects += _fetches.fetch_missing(node, peer.bundle_ids, peer.address, now)
@@ -330,5 +330,5 @@
             effects += _process_own_rumour(node, rumour, now)
         else:
             _members.merge(node, rumour, now)
-        _members.mark_record_shared(node, rumour.vm)
+        _members.stop_sending_record(node, rumour.vm)
     return effects
--- a/src/sassafrasstair/decisions/fleet/_platform.py
+++ b/src/sassafrasstair/decisions/fleet/_platform.py
@@ -45,7 +45,7 @@
 def process_vms(
     node: _states.Node,
     records: abc.Sequence[_messages.Record],
-    index: int,
+    vm_list_index: int,
     now: float,
 ) -> list[_effects.Effect]:
     """Apply the VM list and queue rumours about what it changes."""
@@ -56,26 +56,26 @@
             _members.queue_rumour(node, record.vm)
             if record.vm == node.local_record.vm:
                 effects.append(_effects.ReportEvent("listed_as_leaving", {}))
-        elif index > node.vm_list_index > 0:
-            _members.mark_record_shared(node, record.vm)
+        elif vm_list_index > node.vm_list_index > 0:
+            _members.stop_sending_record(node, record.vm)
     states: dict[str, str] = {each.vm: each.state for each in records}
-    if index < node.vm_list_index:
+    if vm_list_index < node.vm_list_index:
         # A platform restored from an older copy does not list some VMs yet,
         # and dropping those would leave services without instances. Only a
         # VM that it has listed since its restore and lists no more counts as
         # removed.
-        if index > node.restored_index:
-            _drop_missing(node, node.restored_states, states, now)
-        node.restored_states, node.restored_index = states, index
+        if vm_list_index > node.restored_index:
+            _mark_missing_gone(node, node.restored_states, states, now)
+        node.restored_states, node.restored_index = states, vm_list_index
         return effects
-    _drop_missing(node, node.listed_states, states, now)
+    _mark_missing_gone(node, node.listed_states, states, now)
     node.restored_states, node.restored_index = {}, 0
     node.listed_states = states
-    node.vm_list_index = index
+    node.vm_list_index = vm_list_index
     return effects
 
 
-def _drop_missing(
+def _mark_missing_gone(
     node: _states.Node,
     previous: abc.Iterable[str],
     present: abc.Container[str],
@@ -98,7 +98,7 @@
     node.read_pending = True
     delay = rng.uniform(0.0, min(max_delay, MAX_BACKOFF))
     if node.platform_failures == FAILURES_TO_REPORT:
-        _announce_reachability(node, unreachable=True)
+        _set_platform_unreachable(node, unreachable=True)
     return [_effects.ReadPlatform(delay)]
 
 
@@ -138,11 +138,11 @@
 def _record_platform_success(node: _states.Node) -> None:
     node.read_pending = False
     if node.platform_failures >= FAILURES_TO_REPORT:
-        _announce_reachability(node, unreachable=False)
+        _set_platform_unreachable(node, unreachable=False)
     node.platform_failures = 0
 
 
-def _announce_reachability(node: _states.Node, unreachable: bool) -> None:
+def _set_platform_unreachable(node: _states.Node, unreachable: bool) -> None:
     own_member = node.members[node.local_record.vm]
     node.revision += 1
     rumour = _messages.Rumour(
--- a/src/sassafrasstair/decisions/fleet/_reaches.py
+++ b/src/sassafrasstair/decisions/fleet/_reaches.py
@@ -25,7 +25,7 @@
 UNREACHABLE_FAILURES = 3
 # Seconds.
 PROBE_INTERVAL = 2.0
-PROBES_PER_CHECK = 3
+PROBES_PER_DOMAIN = 3
 
 
 def is_unreachable(node: _states.Node, domain: str) -> bool:
@@ -34,7 +34,7 @@
     return reach is not None and reach.unreachable
 
 
-def check_peer_report(
+def probe_on_peer_report(
     node: _states.Node,
     sender: str,
     domains: tuple[str, ...],
@@ -49,7 +49,7 @@
     effects: list[_effects.Effect] = []
     for domain in domains:
         if domain != own and not is_unreachable(node, domain):
-            effects += _probe_if_due(node, domain, PROBES_PER_CHECK, now, rng)
+            effects += _probe_if_due(node, domain, PROBES_PER_DOMAIN, now, rng)
     for domain, reach in node.reachability.items():
         if reach.unreachable and domain not in domains:
             effects += _probe_if_due(node, domain, 1, now, rng)
@@ -113,7 +113,7 @@
     if reach.unreachable:
         return []
     if len(reach.failed_at) < _failure_threshold(node, domain):
-        return _probe_if_due(node, domain, PROBES_PER_CHECK, now, rng)
+        return _probe_if_due(node, domain, PROBES_PER_DOMAIN, now, rng)
     reach.unreachable = True
     reach.changed_at = now
     reach.next_probe_at = now + PROBE_INTERVAL
@@ -124,7 +124,7 @@
 
 def _failure_threshold(node: _states.Node, domain: str) -> int:
     serving = sum(
-        member.record.failure_domain == domain and _members.is_member(member)
+        member.record.failure_domain == domain and _members.is_serving(member)
         for member in node.members.values()
     )
     return max(1, min(UNREACHABLE_FAILURES, serving))
--- a/src/sassafrasstair/decisions/fleet/_spreads.py
+++ b/src/sassafrasstair/decisions/fleet/_spreads.py
@@ -26,7 +26,7 @@
 FANOUT_OTHER = 1
 BUNDLE_FANOUT_OWN = 3
 BUNDLE_FANOUT_OTHER = 2
-FLUSH_INTERVAL = 0.25
+PUSH_INTERVAL = 0.25
 TOKENS_PER_SECOND = 2.0
 MAX_TOKENS = 24.0
 # The first rounds after a start ask more peers, and a seed.
@@ -43,7 +43,7 @@
 ) -> list[_effects.Effect]:
     """Return the periodic gossip exchange if it is due."""
     if not node.settled:
-        return _ask_peers(node, rng)
+        return _gossip_during_bootstrap(node, rng)
     if now < node.next_gossip_at:
         return []
     node.next_gossip_at = now + GOSSIP_INTERVAL * rng.uniform(0.9, 1.1)
@@ -62,7 +62,7 @@
     return [_gossip(node, node.members[vm].record.address, vm)]
 
 
-def flush(
+def push_if_due(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Push urgent updates without waiting for the next round."""
@@ -72,7 +72,7 @@
         node.bundle_push_pending = False
         others = BUNDLE_FANOUT_OTHER if node.watching else 0
         effects += _push_to_random(node, BUNDLE_FANOUT_OWN, others, rng)
-    if not node.push_pending or now < node.next_flush_at:
+    if not node.push_pending or now < node.next_push_at:
         return effects
     elapsed = max(0.0, now - node.tokens_refilled_at)
     node.push_tokens = min(
@@ -82,12 +82,12 @@
     if node.push_tokens < FANOUT_OWN + FANOUT_OTHER:
         return effects
     node.push_pending = False
-    node.next_flush_at = now + FLUSH_INTERVAL
+    node.next_push_at = now + PUSH_INTERVAL
     node.push_tokens -= FANOUT_OWN + FANOUT_OTHER
     return effects + _push_to_partners(node, rng)
 
 
-def settle(
+def settle_if_ready(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
     """Mark this daemon as settled once it knows enough to serve."""
@@ -112,10 +112,14 @@
     # back in force, whereas settled peers have the newer one. Answers of
     # peers that have only just started themselves do not count.
     settled_peers = [
-        name for name, settled in node.settled_by_address.items() if settled
+        name
+        for name, settled in node.peer_settled_by_address.items()
+        if settled
     ]
     own_domain_peers = [
-        address for address in settled_peers if _is_own(node, address)
+        address
+        for address in settled_peers
+        if _is_in_own_domain(node, address)
     ]
     if len(own_domain_peers) >= MIN_SETTLED_PEERS:
         return True
@@ -124,14 +128,14 @@
     serving_addresses = {
         member.record.address
         for vm, member in node.members.items()
-        if vm != node.local_record.vm and _members.is_member(member)
+        if vm != node.local_record.vm and _members.is_serving(member)
     }
     return bool(settled_peers) and serving_addresses.union(node.seeds) <= set(
         settled_peers
     )
 
 
-def _is_own(node: _states.Node, address: str) -> bool:
+def _is_in_own_domain(node: _states.Node, address: str) -> bool:
     member = node.members.get(node.by_address.get(address, ""))
     if member is None:
         return False
@@ -144,7 +148,7 @@
     return others if other else node.gossip_round - others
 
 
-def _ask_peers(
+def _gossip_during_bootstrap(
     node: _states.Node, rng: random.Random
 ) -> list[_effects.Effect]:
     """Gossip with a few peers that have not answered as settled yet."""
@@ -153,7 +157,7 @@
     def unanswered(member: _states.Member) -> bool:
         address = member.record.address
         return (
-            not node.settled_by_address.get(address)
+            not node.peer_settled_by_address.get(address)
             and address not in addresses
         )
 
@@ -247,7 +251,7 @@
 ) -> bool:
     return (
         member.record.vm not in chosen
-        and _members.is_member(member)
+        and _members.is_serving(member)
         and not member.ejected
         and not _reaches.is_unreachable(node, member.record.failure_domain)
     )
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -151,14 +151,14 @@
     checks: dict[str, Check] = dataclasses.field(default_factory=dict)
     ejected: set[str] = dataclasses.field(default_factory=set)
     not_serving: set[str] = dataclasses.field(default_factory=set)
-    unshared_records: set[str] = dataclasses.field(default_factory=set)
+    records_to_send: set[str] = dataclasses.field(default_factory=set)
     held_down: set[str] = dataclasses.field(default_factory=set)
     failed_calls: set[str] = dataclasses.field(default_factory=set)
     reachability: dict[str, DomainReachability] = dataclasses.field(
         default_factory=dict
     )
     next_sync_at: float = -1e9
-    syncing: bool = False
+    sync_pending: bool = False
     # Caches: the targets are valid for one ``usability_version``, the
     # partners and the choice of watchers for one ``membership_version``.
     partners_version: int = -1
@@ -174,7 +174,7 @@
     )
     in_force: StoredBundle | None = None
     settled: bool = False
-    settled_by_address: dict[str, bool] = dataclasses.field(
+    peer_settled_by_address: dict[str, bool] = dataclasses.field(
         default_factory=dict
     )
     fetches: dict[_messages.BundleId, PendingFetch] = dataclasses.field(
@@ -195,7 +195,7 @@
     last_tick_at: float = 0.0
     next_gossip_at: float = 0.0
     next_expiry_at: float = 0.0
-    next_flush_at: float = 0.0
+    next_push_at: float = 0.0
     tokens_refilled_at: float = 0.0
     pending_effects: list[_effects.Effect] = dataclasses.field(
         default_factory=list
--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -164,7 +164,7 @@
     by_domain: dict[str, list[str]] = {}
     for vm, member in node.members.items():
         domain = member.record.failure_domain
-        if domain != node.local_record.failure_domain and _members.is_member(
+        if domain != node.local_record.failure_domain and _members.is_serving(
             member
         ):
             by_domain.setdefault(domain, []).append(vm)
@@ -201,7 +201,7 @@
     for vm, member in node.members.items():
         if member.record.failure_domain != domain:
             continue
-        if _members.is_member(member):
+        if _members.is_serving(member):
             yield vm
 
 
--- a/src/sassafrasstair/decisions/fleet/_summaries.py
+++ b/src/sassafrasstair/decisions/fleet/_summaries.py
@@ -38,5 +38,5 @@
             for name, reach in node.reachability.items()
             if reach.unreachable
         ),
-        _members.piggyback(node, receiver, known),
+        _members.take_rumours(node, receiver, known),
     )
--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -28,12 +28,12 @@
 CHECK_TIMEOUT = 1.6
 SUSPICION_TIMEOUT = 6.0
 GONE_RETENTION = 3600.0
-MIN_RETRY_INTERVAL = 2.0
-MAX_RETRY_INTERVAL = 15.0
+MIN_PROBE_INTERVAL = 2.0
+MAX_PROBE_INTERVAL = 15.0
 # Consecutive failed contacts after which a VM gets no work from here.
 FAILURES_TO_EJECT = 2
 # Probes of ejected VMs per tick.
-MAX_RETRIES = 3
+MAX_PROBES_PER_TICK = 3
 
 
 def start_check(
@@ -80,7 +80,9 @@
         member.ejected = False
         node.ejected.discard(vm)
         _members.start_hold_down(node, member, now)
-        _members.invalidate_caches(node, membership=_is_own(node, member))
+        _members.invalidate_caches(
+            node, membership=_is_in_own_domain(node, member)
+        )
     effects = _record_direct_result(node, vm, reached=True)
     return effects + _reaches.record_success(
         node, member.record.failure_domain, now
@@ -223,7 +225,7 @@
             and name != vm
             and name not in chosen
             and not member.failures
-            and _members.is_member(member)
+            and _members.is_serving(member)
             and not _reaches.is_unreachable(node, member.record.failure_domain)
         )
 
@@ -301,19 +303,21 @@
     return member.liveness != _messages.SERVING
 
 
-def _is_own(node: _states.Node, member: _states.Member) -> bool:
+def _is_in_own_domain(node: _states.Node, member: _states.Member) -> bool:
     return member.record.failure_domain == node.local_record.failure_domain
 
 
 def _eject(node: _states.Node, member: _states.Member, now: float) -> None:
-    wait = MIN_RETRY_INTERVAL * 2 ** min(
+    wait = MIN_PROBE_INTERVAL * 2 ** min(
         member.failures - FAILURES_TO_EJECT, 4
     )
-    member.next_probe_at = now + min(wait, MAX_RETRY_INTERVAL)
+    member.next_probe_at = now + min(wait, MAX_PROBE_INTERVAL)
     if not member.ejected:
         member.ejected = True
         node.ejected.add(member.record.vm)
-        _members.invalidate_caches(node, membership=_is_own(node, member))
+        _members.invalidate_caches(
+            node, membership=_is_in_own_domain(node, member)
+        )
 
 
 def _probe_ejected(
@@ -326,9 +330,9 @@
             continue
         if _reaches.is_unreachable(node, member.record.failure_domain):
             continue
-        if len(effects) >= MAX_RETRIES:
+        if len(effects) >= MAX_PROBES_PER_TICK:
             break
-        member.next_probe_at = now + MAX_RETRY_INTERVAL * rng.uniform(0.8, 1.2)
+        member.next_probe_at = now + MAX_PROBE_INTERVAL * rng.uniform(0.8, 1.2)
         effects.append(_summaries.probe(node, vm))
     return effects
 
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -166,7 +166,7 @@
         )
         decoded = _decoded(reply)
     except (daemons.PeerError, fleet.BadMessage):
-        effects = fleet.unreachable(
+        effects = fleet.update_after_failed_exchange(
             control.node,
             effect.address,
             control.clock.monotonic(),
--- a/tests/decisions/fleet/test_members.py
+++ b/tests/decisions/fleet/test_members.py
@@ -99,7 +99,7 @@
     sent = [
         rumour.vm
         for _ in range(100)
-        for rumour in _members.piggyback(node, "")
+        for rumour in _members.take_rumours(node, "")
     ]
     assert 0 < sent.count(RECORD.vm) <= 3 * 3
 
@@ -159,7 +159,9 @@
     _members.merge(node, _rumour("1", 0, _messages.SERVING), 0.0)
     fleet.tick(node, 1.0, rng)
     for _ in range(2):
-        fleet.unreachable(node, RECORD.address, 1.0 + gap, rng)
+        fleet.update_after_failed_exchange(
+            node, RECORD.address, 1.0 + gap, rng
+        )
     assert node.members[RECORD.vm].ejected is barred
 
 
@@ -178,10 +180,10 @@
         )
         rumour = fleet.Rumour(other.vm, "1", 0, 0, record=other)
         _members.merge(node, rumour, 0.0)
-    fleet.unreachable(node, RECORD.address, 0.1, rng)
+    fleet.update_after_failed_exchange(node, RECORD.address, 0.1, rng)
     result = fleet.ProbeResult(RECORD.vm, "helper", reached=False)
     fleet.handle_request(node, result, 0.1, rng)
-    fleet.unreachable(node, RECORD.address, 0.1, rng)
+    fleet.update_after_failed_exchange(node, RECORD.address, 0.1, rng)
     assert node.members[RECORD.vm].liveness == _messages.SERVING
 
 
--- a/tests/fuzz/members.py
+++ b/tests/fuzz/members.py
@@ -66,7 +66,7 @@
         if state.pop("open", False):
             carry_out(
                 daemon,
-                fleet.unreachable(
+                fleet.update_after_failed_exchange(
                     daemon.node, effect.address, daemon.now, daemon.rng
                 ),
             )
