--- a/src/sassafrasstair/decoding.py
+++ b/src/sassafrasstair/decoding.py
@@ -21,12 +21,12 @@
 )
 _UNKNOWN = re.compile(r"Object contains unknown field `(?P<name>.*)`")
 _MISSING = re.compile(r"Object missing required field `(?P<name>.*)`")
-_OWN_CHECK = re.compile(r"(?P<name>[a-z_]+): (?P<wanted>.*)", re.DOTALL)
+_CUSTOM_CHECK = re.compile(r"(?P<name>[a-z_]+): (?P<wanted>.*)", re.DOTALL)
 _EXPECTED = re.compile(r"Expected (?P<wanted>.*?)(?:, got (?P<got>.*))?")
-_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
-_ENTRY = "..."
+_PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+|\.\.\.)\]")
+_UNNAMED_ENTRY = "..."
 _NAME_RULE = "a name of a-z, 0-9 and -, 63 characters at most"
-_WORDS: dict[object, str] = {
+_TYPE_DESCRIPTIONS: dict[object, str] = {
     bool: "true or false",
     float: "a number",
     int: "an integer",
@@ -44,7 +44,7 @@
     def __init__(self, key: str, problem: str) -> None:
         super().__init__(f"{key or 'document'}: {problem}")
         self.key = key
-        self.wanted = problem
+        self.problem = problem
 
 
 class SyntaxFault(DecodingError):
@@ -79,29 +79,29 @@
 
 def _explain(message: str, text: bytes, kind: type) -> DecodingError:
     found = _ERROR.fullmatch(message)
-    what, path = found.group("what", "path") if found else (message, "")
-    steps = _steps(path or "")
-    if _ENTRY in steps:
-        steps = _entry_named(steps, text, kind)
-    if unknown := _UNKNOWN.fullmatch(what):
-        return _unknown_key(steps, unknown["name"], kind)
-    if missing := _MISSING.fullmatch(what):
+    problem, path = found.group("what", "path") if found else (message, "")
+    steps = _split_path(path or "")
+    if _UNNAMED_ENTRY in steps:
+        steps = _name_faulty_entry(steps, text, kind)
+    if unknown := _UNKNOWN.fullmatch(problem):
+        return _unknown_key_fault(steps, unknown["name"], kind)
+    if missing := _MISSING.fullmatch(problem):
         steps = [*steps, missing["name"]]
-        wanted = f"missing, wants {_word(_type_at(kind, steps))}"
-    elif own := _OWN_CHECK.fullmatch(what):
-        steps, wanted = [*steps, own["name"]], own["wanted"]
+        description = f"missing, wants {_describe_type(_type_at(kind, steps))}"
+    elif own := _CUSTOM_CHECK.fullmatch(problem):
+        steps, description = [*steps, own["name"]], own["wanted"]
     else:
-        wanted = _wanted(what, _type_at(kind, steps))
-    return DecodingError(".".join(steps), wanted)
+        description = _describe_mismatch(problem, _type_at(kind, steps))
+    return DecodingError(".".join(steps), description)
 
 
-def _steps(path: str) -> list[str]:
-    return [name or index for name, index in _STEP.findall(path)]
+def _split_path(path: str) -> list[str]:
+    return [name or index for name, index in _PATH_STEP.findall(path)]
 
 
-def _entry_named(steps: list[str], text: bytes, kind: type) -> list[str]:
+def _name_faulty_entry(steps: list[str], text: bytes, kind: type) -> list[str]:
     """Put the name of the faulty dictionary entry in place of "..."."""
-    at = steps.index(_ENTRY)
+    at = steps.index(_UNNAMED_ENTRY)
     section: typing.Any = msgspec.json.decode(text)
     for step in steps[:at]:
         section = section[step]
@@ -114,24 +114,26 @@
     return steps
 
 
-def _unknown_key(steps: list[str], name: str, kind: type) -> UnknownKeyFault:
+def _unknown_key_fault(
+    steps: list[str], name: str, kind: type
+) -> UnknownKeyFault:
     parent = _type_at(kind, steps)
     known = getattr(parent, "__struct_fields__", ())
     close = difflib.get_close_matches(name, known, n=1)
     hint = (
-        f"did you mean {close[0]}?" if close else f"not one of {_list(known)}"
+        f"did you mean {close[0]}?" if close else f"not one of {_join(known)}"
     )
     return UnknownKeyFault(".".join([*steps, name]), f"unknown key, {hint}")
 
 
-def _wanted(what: str, kind: object) -> str:
-    if what.startswith("Invalid enum value"):
-        return f"wants {_word(kind)}"
-    if "matching regex" in what:
+def _describe_mismatch(problem: str, kind: object) -> str:
+    if problem.startswith("Invalid enum value"):
+        return f"wants {_describe_type(kind)}"
+    if "matching regex" in problem:
         return f"wants {_NAME_RULE}"
-    expected = _EXPECTED.fullmatch(what)
+    expected = _EXPECTED.fullmatch(problem)
     if expected is None:
-        return what
+        return problem
     wanted = expected["wanted"].replace("`", "")
     got = (expected["got"] or "").replace("`", "")
     return f"wants {wanted}" + (f", not {got}" if got else "")
@@ -149,13 +151,13 @@
     return kind
 
 
-def _word(kind: object) -> str:
+def _describe_type(kind: object) -> str:
     if typing.get_origin(kind) is typing.Literal:
-        return f"one of {_list(typing.get_args(kind))}"
+        return f"one of {_join(typing.get_args(kind))}"
     if isinstance(kind, types.GenericAlias):
         kind = typing.get_origin(kind)
-    return _WORDS.get(kind, "an object")
+    return _TYPE_DESCRIPTIONS.get(kind, "an object")
 
 
-def _list(names: typing.Iterable[object]) -> str:
+def _join(names: typing.Iterable[object]) -> str:
     return ", ".join(str(name) for name in names)
--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -40,10 +40,12 @@
     latest = _confirmations.has_revocation_bound(daemon)
     call = asyncio.ensure_future(daemon.source.check(fresh, latest))
     daemon.store_checks.add(call)
-    call.add_done_callback(functools.partial(_done, daemon, now))
+    call.add_done_callback(
+        functools.partial(_handle_check_result, daemon, now)
+    )
 
 
-def _done(
+def _handle_check_result(
     daemon: _state.Daemon, sent_at: float, call: asyncio.Future[int]
 ) -> None:
     daemon.store_checks.discard(call)
@@ -72,11 +74,11 @@
             daemon.feed_woken.set()
     elif behind:
         asyncio.get_running_loop().call_later(
-            daemon.feed.timing.lag_grace, _ask_if_behind, daemon, revision
+            daemon.feed.timing.lag_grace, _recheck_if_behind, daemon, revision
         )
 
 
-def _ask_if_behind(daemon: _state.Daemon, revision: int) -> None:
+def _recheck_if_behind(daemon: _state.Daemon, revision: int) -> None:
     """Ask the store at once, if the own watch still has not told."""
     now = daemon.clock.monotonic()
     if _is_behind(daemon, revision, now):
--- a/src/sassafrasstair/forwarding/_confirmations.py
+++ b/src/sassafrasstair/forwarding/_confirmations.py
@@ -19,7 +19,7 @@
 
 HEADER = b"Sassafras-Confirmed"
 HEADER_LOWER = HEADER.lower()
-MARGIN_SHARE = 0.02
+CLOCK_MARGIN_RATIO = 0.02
 """The part of the time within which a key must stop to work that is left for
 clocks whose rates differ, and for the way of a request to its instance."""
 
@@ -35,34 +35,40 @@
     if bound is None:
         return True
     age = views.unconfirmed_seconds(daemon.view, now)
-    return age < (1.0 - MARGIN_SHARE) * bound
+    return age < (1.0 - CLOCK_MARGIN_RATIO) * bound
 
 
-def headers(daemon: _state.Daemon, held: float = 0.0) -> httpio.Fields:
+def headers(daemon: _state.Daemon, held_seconds: float = 0.0) -> httpio.Fields:
     """Return what to tell a peer that has asked, ``held`` seconds ago."""
     if not has_revocation_bound(daemon):
         return []
     now = daemon.clock.monotonic()
-    told = views.own_confirmation(daemon.view, now, held)
-    if told is None:
+    confirmation = views.own_confirmation(daemon.view, now, held_seconds)
+    if confirmation is None:
         return []
     return [
         (
             HEADER,
             b"%d %.3f %.3f"
-            % (told.version, told.age_seconds, told.held_seconds),
+            % (
+                confirmation.version,
+                confirmation.age_seconds,
+                confirmation.held_seconds,
+            ),
         )
     ]
 
 
 def receive(
-    daemon: _state.Daemon, found: abc.Mapping[bytes, bytes], asked_at: float
+    daemon: _state.Daemon,
+    request_headers: abc.Mapping[bytes, bytes],
+    asked_at: float,
 ) -> None:
     """Take what a peer that was asked at an instant confirms.
 
     To be called once its changes are applied. Raises ``WireError``.
     """
-    value = found.get(HEADER_LOWER)
+    value = request_headers.get(HEADER_LOWER)
     if value is not None and has_revocation_bound(daemon):
         views.receive_confirmation(daemon.view, _decode(value), asked_at)
 
@@ -70,9 +76,13 @@
 def _decode(value: bytes) -> views.Confirmation:
     try:
         version, age, held = value.split(b" ")
-        told = views.Confirmation(int(version), float(age), float(held))
+        confirmation = views.Confirmation(
+            int(version), float(age), float(held)
+        )
     except ValueError as error:
         raise _wire.WireError(f"confirmed: {error}") from error
-    if not (told.age_seconds >= 0.0 and told.held_seconds >= 0.0):
+    if not (
+        confirmation.age_seconds >= 0.0 and confirmation.held_seconds >= 0.0
+    ):
         raise _wire.WireError("confirmed: negative")
-    return told
+    return confirmation
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -23,7 +23,7 @@
 BATCH_SECONDS = 0.25
 """Changes that affect no decision yet are sent in batches."""
 INTERVAL_SECONDS_MIN = 0.02
-FAULT_SECONDS = 0.5
+FAULT_PAUSE_SECONDS = 0.5
 EARLIER_READERS_MAX = 3
 """A daemon of the own failure domain that comes before a reader may read the
 store, too."""
@@ -42,7 +42,7 @@
         except Exception as error:
             # One fault must not end all later updates.
             daemon.journal.note("crash_update_failed", error=repr(error))
-            await asyncio.sleep(FAULT_SECONDS)
+            await asyncio.sleep(FAULT_PAUSE_SECONDS)
         await asyncio.sleep(INTERVAL_SECONDS_MIN)
 
 
@@ -55,13 +55,13 @@
         return
     value = _crash_wire.encode(ledger.digest, reports)
     _polls.answer_with_crashes(daemon, (_crash_wire.HEADER, value))
-    for host in _receivers(daemon):
+    for host in _hosts_to_ping(daemon):
         if _crash_updates.is_in_sync(daemon, host):
             continue
         _peers.ping(daemon, host, (_crash_wire.HEADER, value))
 
 
-def _receivers(daemon: _state.Daemon) -> list[str]:
+def _hosts_to_ping(daemon: _state.Daemon) -> list[str]:
     """Return the peers that get no answers to polls here."""
     parent = daemon.feed.parent
     if parent is not None and parent != feeds.STORE:
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -19,11 +19,11 @@
 
     from sassafrasstair.forwarding import _state
 
-PAUSE_SECONDS = 0.5
-PAUSE_SECONDS_MAX = 4.0
+UPDATE_PAUSE_SECONDS = 0.5
+UPDATE_PAUSE_SECONDS_MAX = 4.0
 """Between two full updates to one peer: two daemons that evicted different
 records never come to the same digest."""
-PEERS_KEPT = 400
+PEERS_MAX = 400
 """Daemons whose digest is remembered; one is followed by 222 at most."""
 
 
@@ -32,8 +32,8 @@
     """A peer's digest, and when it may get a full update again."""
 
     digest: int
-    next: float = 0.0
-    pause: float = PAUSE_SECONDS
+    next_update_at: float = 0.0
+    update_pause: float = UPDATE_PAUSE_SECONDS
 
 
 def header(daemon: _state.Daemon, host: str) -> tuple[bytes, bytes]:
@@ -43,8 +43,8 @@
         return _crash_wire.HEADER, _crash_wire.encode(ledger.digest)
     now = daemon.clock.monotonic()
     peer = daemon.crash_peers[host]
-    peer.next = now + peer.pause
-    peer.pause = min(PAUSE_SECONDS_MAX, 2.0 * peer.pause)
+    peer.next_update_at = now + peer.update_pause
+    peer.update_pause = min(UPDATE_PAUSE_SECONDS_MAX, 2.0 * peer.update_pause)
     reports = crashes.reports_since(ledger, now)
     return _crash_wire.HEADER, _crash_wire.encode(ledger.digest, reports)
 
@@ -60,14 +60,14 @@
     peer = daemon.crash_peers.get(host)
     if peer is None or peer.digest == daemon.crash_ledger.digest:
         return False
-    return daemon.clock.monotonic() >= peer.next
+    return daemon.clock.monotonic() >= peer.next_update_at
 
 
 def receive(
-    daemon: _state.Daemon, host: str, found: abc.Mapping[bytes, bytes]
+    daemon: _state.Daemon, host: str, headers: abc.Mapping[bytes, bytes]
 ) -> None:
     """Merge the records of a peer's message."""
-    value = found.get(_crash_wire.HEADER_LOWER)
+    value = headers.get(_crash_wire.HEADER_LOWER)
     if value is None:
         return
     try:
@@ -79,7 +79,7 @@
     peer = daemon.crash_peers.pop(host, None) or PeerDigest(digest)
     peer.digest = digest
     if digest == daemon.crash_ledger.digest:
-        peer.next, peer.pause = 0.0, PAUSE_SECONDS
+        peer.next_update_at, peer.update_pause = 0.0, UPDATE_PAUSE_SECONDS
     daemon.crash_peers[host] = peer
-    if len(daemon.crash_peers) > PEERS_KEPT:
+    if len(daemon.crash_peers) > PEERS_MAX:
         del daemon.crash_peers[next(iter(daemon.crash_peers))]
--- a/src/sassafrasstair/forwarding/_crash_wire.py
+++ b/src/sassafrasstair/forwarding/_crash_wire.py
@@ -21,7 +21,7 @@
 
 HEADER = b"Sassafras-Crashes"
 HEADER_LOWER = HEADER.lower()
-_MILLIS = 1000
+_MS_PER_SECOND = 1000
 
 
 class _Record(msgspec.Struct, array_like=True, frozen=True):
@@ -29,12 +29,12 @@
 
     instance: str
     born: int
-    age: int
-    cleared: bytes
-    familiar: bytes
-    isolated: bytes
+    age_ms: int
+    cleared_bits: bytes
+    familiar_bits: bytes
+    isolated_bits: bytes
     fingerprints: bytes
-    millis: list[int]
+    elapsed_ms: list[int]
 
 
 def encode(digest: int, reports: abc.Sequence[crashes.Report] = ()) -> bytes:
@@ -42,24 +42,28 @@
     value = b"%016x" % digest
     if not reports:
         return value
-    body = msgspec.msgpack.encode([_record(report) for report in reports])
+    body = msgspec.msgpack.encode(
+        [_report_to_record(report) for report in reports]
+    )
     return value + b" " + base64.b64encode(body)
 
 
 def decode(value: bytes) -> tuple[int, list[crashes.Report]]:
     """Return the digest and the records; raises ``WireError``."""
-    digest, _, told = value.partition(b" ")
+    digest, _, encoded = value.partition(b" ")
     try:
-        if not told:
+        if not encoded:
             return int(digest, 16), []
-        body = base64.b64decode(told, validate=True)
+        body = base64.b64decode(encoded, validate=True)
         records = msgspec.msgpack.decode(body, type=list[_Record])
-        return int(digest, 16), [_report(record) for record in records]
+        return int(digest, 16), [
+            _record_to_report(record) for record in records
+        ]
     except (msgspec.MsgspecError, binascii.Error, ValueError) as error:
         raise _wire.WireError(f"crashes: {error}") from error
 
 
-def _record(report: crashes.Report) -> _Record:
+def _report_to_record(report: crashes.Report) -> _Record:
     isolated = sum(
         1 << place for place, run in enumerate(report.runs) if run.isolated
     )
@@ -67,49 +71,49 @@
     return _Record(
         report.key[0],
         report.key[1],
-        math.ceil(_MILLIS * report.age),
-        _bits(report.cleared_bits),
-        _bits(report.familiar_bits),
-        _bits(isolated),
+        math.ceil(_MS_PER_SECOND * report.age),
+        _encode_bits(report.cleared_bits),
+        _encode_bits(report.familiar_bits),
+        _encode_bits(isolated),
         b"".join(run.fingerprint.to_bytes(size, "big") for run in report.runs),
-        [round(_MILLIS * run.elapsed_seconds) for run in report.runs],
+        [round(_MS_PER_SECOND * run.elapsed_seconds) for run in report.runs],
     )
 
 
-def _report(record: _Record) -> crashes.Report:
+def _record_to_report(record: _Record) -> crashes.Report:
     size = crashes.FINGERPRINT_BYTES
-    count = len(record.millis)
+    count = len(record.elapsed_ms)
     if count > crashes.RUNS_MAX or len(record.fingerprints) != size * count:
         raise ValueError(f"{count} runs")
-    if record.age < 0 or min(record.millis, default=0) < 0:
+    if record.age_ms < 0 or min(record.elapsed_ms, default=0) < 0:
         raise ValueError("a time before its start")
-    isolated = _number(record.isolated, count)
+    isolated = _decode_bits(record.isolated_bits, count)
     runs = tuple(
         crashes.Run(
             int.from_bytes(
                 record.fingerprints[size * place : size * (place + 1)], "big"
             ),
-            millis / _MILLIS,
+            millis / _MS_PER_SECOND,
             bool(isolated >> place & 1),
         )
-        for place, millis in enumerate(record.millis)
+        for place, millis in enumerate(record.elapsed_ms)
     )
     if len({run.fingerprint for run in runs}) != count:
         raise ValueError("a request twice")
     return crashes.Report(
         (record.instance, record.born),
-        record.age / _MILLIS,
+        record.age_ms / _MS_PER_SECOND,
         runs,
-        _number(record.cleared, count),
-        _number(record.familiar, count),
+        _decode_bits(record.cleared_bits, count),
+        _decode_bits(record.familiar_bits, count),
     )
 
 
-def _bits(number: int) -> bytes:
+def _encode_bits(number: int) -> bytes:
     return number.to_bytes((number.bit_length() + 7) // 8, "big")
 
 
-def _number(bits: bytes, count: int) -> int:
+def _decode_bits(bits: bytes, count: int) -> int:
     number = int.from_bytes(bits, "big")
     if number >> count:
         raise ValueError(f"bits beyond {count} runs")
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -35,7 +35,7 @@
 
 
 def poll_head(
-    host: str, after: int, hold: float, *told: tuple[bytes, bytes]
+    host: str, after: int, hold_seconds: float, *headers: tuple[bytes, bytes]
 ) -> bytes:
     """Return the head of a poll for what changed after a revision.
 
@@ -45,21 +45,27 @@
     ``told`` are more fields.
     """
     target = b"%s?after=%d" % (VIEW_PATH, after)
-    fields = [(b"Host", host.encode()), (HEADER, b"%.3f" % hold), *told]
+    fields = [
+        (b"Host", host.encode()),
+        (HEADER, b"%.3f" % hold_seconds),
+        *headers,
+    ]
     return httpio.request_head(b"GET", target, fields, 0)
 
 
-def decode_poll(query: bytes, field: bytes | None) -> tuple[int, float | None]:
+def decode_poll(
+    query: bytes, header: bytes | None
+) -> tuple[int, float | None]:
     """Return the content and the hold; None from an older daemon.
 
     Raises ``WireError``.
     """
-    _, _, content = query.partition(b"=")
+    _, _, after = query.partition(b"=")
     try:
-        hold = None if field is None else float(field)
+        hold = None if header is None else float(header)
         if hold is not None and not 0.0 <= hold <= HOLD_SECONDS_MAX:
             raise _wire.WireError(f"feed: hold {hold}")
-        return int(content), hold
+        return int(after), hold
     except ValueError as error:
         raise _wire.WireError(f"feed: {error}") from error
 
@@ -78,24 +84,24 @@
 
 
 def decode_answer(
-    field: bytes, body: bytes
+    header: bytes, body: bytes
 ) -> tuple[feeds.PeerStatus, views.Delta]:
     """Return what a daemon tells; raises ``WireError``."""
     try:
-        parts = field.decode().split(" ")
+        parts = header.decode().split(" ")
         revision, content, lost, unsteady, leaving, age = parts
         status = feeds.PeerStatus(
             int(revision),
-            None if lost == _NOT_LOST else _seconds(lost),
-            _seconds(unsteady),
+            None if lost == _NOT_LOST else _parse_seconds(lost),
+            _parse_seconds(unsteady),
             leaving == "1",
-            _seconds(age),
+            _parse_seconds(age),
         )
         if not body:
             return status, views.Delta(int(revision), int(content))
     except ValueError as error:
         raise _wire.WireError(f"feed: {error}") from error
-    delta = _decode(body, views.Delta)
+    delta = _decode_body(body, views.Delta)
     _check_policy(delta.policy)
     return status, views.usable_delta(delta)
 
@@ -115,12 +121,12 @@
 
     Instances that can't be used are left out.
     """
-    found = _decode(body, views.Snapshot)
-    _check_policy(found.policy)
-    return views.without_unusable(found)
+    snapshot = _decode_body(body, views.Snapshot)
+    _check_policy(snapshot.policy)
+    return views.without_unusable(snapshot)
 
 
-def _decode(body: bytes, kind: type[_T]) -> _T:
+def _decode_body(body: bytes, kind: type[_T]) -> _T:
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -128,12 +134,12 @@
 
 
 def _check_policy(policy: policies.Policy | None) -> None:
-    wrong = "" if policy is None else policies.find_fault(policy)
-    if wrong:
-        raise _wire.WireError(f"view: policy: {wrong}")
+    fault = "" if policy is None else policies.find_fault(policy)
+    if fault:
+        raise _wire.WireError(f"view: policy: {fault}")
 
 
-def _seconds(value: str) -> float:
+def _parse_seconds(value: str) -> float:
     seconds = float(value)
     if not 0.0 <= seconds < math.inf:
         raise ValueError(f"not seconds: {value!r}")
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -17,10 +17,10 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-REFUSED_KEPT = 1_000
+REFUSED_ITEMS_MAX = 1_000
 """Keys of unusable items whose revision is remembered, so that each is
 logged once."""
-KEY_SHOWN = 200
+LOGGED_CHARACTERS_MAX = 200
 """Characters of a key or reason in a log line; the store takes no longer
 keys."""
 
@@ -31,12 +31,12 @@
     record_store_answer(daemon, now)
     log_refused_items(daemon, reading.refused)
     if views.UNORDERED < reading.revision < daemon.view.revision:
-        _note_outdated(daemon, reading)
-    take = views.replace_all if reading.whole else views.apply_changes
-    told = take(
+        _log_outdated_reading(daemon, reading)
+    apply = views.replace_all if reading.whole else views.apply_changes
+    news = apply(
         daemon.view, reading.changes, reading.revision, reading.content, now
     )
-    apply_news(daemon, told, "store")
+    apply_news(daemon, news, "store")
 
 
 def take_stale_reading(
@@ -61,9 +61,9 @@
     """Take what a daemon told; return whether anything became different."""
     now = daemon.clock.monotonic()
     views.note_unsteady(daemon.view, status.unsteady_seconds, now)
-    told = views.take_delta(daemon.view, delta, now)
-    apply_news(daemon, told, f"peer {host}")
-    return bool(told)
+    news = views.take_delta(daemon.view, delta, now)
+    apply_news(daemon, news, f"peer {host}")
+    return bool(news)
 
 
 def record_store_answer(
@@ -101,7 +101,7 @@
     daemon: _state.Daemon,
     verb: str,
     error: _dialect.SourceError,
-    begun: float,
+    started_at: float,
 ) -> None:
     """Log a call to the store that has no answer, once it is over."""
     now = daemon.clock.monotonic()
@@ -109,12 +109,14 @@
         "store_call_failed",
         error.reason.value,
         verb=verb,
-        waited=now - begun,
+        waited=now - started_at,
         age=_status.view_age(daemon, now),
     )
 
 
-def _note_outdated(daemon: _state.Daemon, reading: _dialect.Reading) -> None:
+def _log_outdated_reading(
+    daemon: _state.Daemon, reading: _dialect.Reading
+) -> None:
     """Log an answer that is dropped, as older than what is known."""
     _counters.count_state_change(daemon.counters, "reading_outdated")
     daemon.journal.request(
@@ -128,56 +130,60 @@
 
 
 def log_refused_items(
-    daemon: _state.Daemon, refused: abc.Iterable[_dialect.RefusedItem]
+    daemon: _state.Daemon, items: abc.Iterable[_dialect.RefusedItem]
 ) -> None:
     """Log and count each item that could not be used, once a revision."""
-    for refusal in refused:
-        if refusal.key and not _is_new(daemon, refusal):
+    for item in items:
+        if item.key and not _is_new_refusal(daemon, item):
             continue
-        reason = refusal.reason.partition(":")[0]
+        reason = item.reason.partition(":")[0]
         _counters.count_refused_item(daemon.counters, reason)
         daemon.journal.request(
             "item_refused",
             reason,
-            key=refusal.key[:KEY_SHOWN],
-            revision=refusal.revision,
-            detail=refusal.reason[:KEY_SHOWN],
+            key=item.key[:LOGGED_CHARACTERS_MAX],
+            revision=item.revision,
+            detail=item.reason[:LOGGED_CHARACTERS_MAX],
         )
 
 
 def apply_news(
     daemon: _state.Daemon,
-    told: abc.Sequence[tuple[views.News, str]],
+    changes: abc.Sequence[tuple[views.News, str]],
     source: str,
 ) -> None:
     """Log what became different, take it into use and tell it on."""
-    for news, key in told:
+    for news, key in changes:
         _counters.count_state_change(daemon.counters, news.value)
         if news is views.News.RESTARTED:
             calls.record_restart(daemon.routes, key, daemon.clock.monotonic())
-        _log(daemon, news, key, source)
-    if not told:
+        _log_news(daemon, news, key, source)
+    if not changes:
         return
     view, settings = daemon.view, daemon.settings
-    known = daemon.hosts
+    previous_hosts = daemon.hosts
     daemon.hosts = views.other_hosts(view, daemon.feed.own_host)
-    if daemon.hosts != known:
+    if daemon.hosts != previous_hosts:
         _state.update_slack_parts(daemon)
     daemon.services = views.count_services(view)
     daemon.least_importance = views.least_importance(view)
-    hosts = views.hosts_by_domain(view)
-    near = hosts.pop(settings.failure_domain, frozenset())
-    feeds.learn_hosts(daemon.feed, near, daemon.clock.monotonic())
+    hosts_by_domain = views.hosts_by_domain(view)
+    own_domain_hosts = hosts_by_domain.pop(
+        settings.failure_domain, frozenset()
+    )
+    feeds.learn_hosts(daemon.feed, own_domain_hosts, daemon.clock.monotonic())
     daemon.foreign_readers = [
-        reader for far in hosts.values() for reader in feeds.reader_hosts(far)
+        reader
+        for far in hosts_by_domain.values()
+        for reader in feeds.reader_hosts(far)
     ]
     daemon.feed.checks_for_all = feeds.is_first(
-        {*near, daemon.feed.own_host}, daemon.foreign_readers
+        {*own_domain_hosts, daemon.feed.own_host}, daemon.foreign_readers
     )
     _polls.answer_outdated(daemon)
 
 
-def _log(
+def _log_news(
     daemon: _state.Daemon, news: views.News, key: str, source: str
 ) -> None:
     view = daemon.view
@@ -205,33 +211,35 @@
         instance=key,
         revision=views.number_in_era(view.revision),
         source=source,
-        **_shown(views.instance_by_id(view, key)),
+        **_instance_fields(views.instance_by_id(view, key)),
     )
 
 
-def _is_new(daemon: _state.Daemon, refusal: _dialect.RefusedItem) -> bool:
+def _is_new_refusal(daemon: _state.Daemon, item: _dialect.RefusedItem) -> bool:
     """Return whether the item had not been refused at this revision."""
-    if daemon.refused_items.get(refusal.key) == refusal.revision:
+    if daemon.refused_items.get(item.key) == item.revision:
         return False
-    daemon.refused_items.pop(refusal.key, None)
-    daemon.refused_items[refusal.key] = refusal.revision
-    if len(daemon.refused_items) > REFUSED_KEPT:
+    daemon.refused_items.pop(item.key, None)
+    daemon.refused_items[item.key] = item.revision
+    if len(daemon.refused_items) > REFUSED_ITEMS_MAX:
         del daemon.refused_items[next(iter(daemon.refused_items))]
     return True
 
 
-def _shown(known: views.Instance | None) -> dict[str, str | int | float]:
+def _instance_fields(
+    instance: views.Instance | None,
+) -> dict[str, str | int | float]:
     """Return what a log line tells of an instance.
 
     Two entries with one address, or one instance with few slots, explain
     failures that the id alone does not.
     """
-    if known is None:
+    if instance is None:
         return {}
     return {
-        "service": known.service,
-        "address": f"{known.host}:{known.port}",
-        "slots": known.slots,
-        "cold": known.cold_seconds,
-        "born": known.born,
+        "service": instance.service,
+        "address": f"{instance.host}:{instance.port}",
+        "slots": instance.slots,
+        "cold": instance.cold_seconds,
+        "born": instance.born,
     }
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -16,12 +16,12 @@
 from sassafrasstair.forwarding import _wire
 from sassafrasstair import httpio
 
-ASK_SECONDS = 0.3
+PULL_INTERVAL_SECONDS = 0.3
 """Between two questions to peers while the store is away."""
-ASKED_WHEN_DEAF = 6
+PINGS_WHEN_STALLED = 6
 """Daemons of other failure domains that a deaf reader asks at once: those of
 two domains that read, or would next."""
-ANSWER_SECONDS = 1.0
+ANSWER_TIMEOUT_SECONDS = 1.0
 """For the answer to one; it takes milliseconds."""
 
 
@@ -32,9 +32,11 @@
     one that does.
     """
     while True:
-        await asyncio.sleep(ASK_SECONDS * (0.5 + daemon.rng.random()))
-        if _is_lost(daemon):
-            _ask_others(daemon)
+        await asyncio.sleep(
+            PULL_INTERVAL_SECONDS * (0.5 + daemon.rng.random())
+        )
+        if _lacks_store(daemon):
+            _pull_from_others(daemon)
 
 
 async def compare_with_peers(daemon: _state.Daemon) -> None:
@@ -52,10 +54,10 @@
             continue
         others = daemon.foreign_readers
         now = daemon.clock.monotonic()
-        deaf = feeds.is_stalled(
+        stalled = feeds.is_stalled(
             daemon.feed, daemon.view.store_answered_at, now
         )
-        count = min(len(others), ASKED_WHEN_DEAF if deaf else 1)
+        count = min(len(others), PINGS_WHEN_STALLED if stalled else 1)
         for host in daemon.rng.sample(others, count):
             ping(daemon, host, _crash_updates.header(daemon, host))
 
@@ -66,22 +68,28 @@
         return
     daemon.pulled_hosts.add(host)
     now = daemon.clock.monotonic()
-    known = views.knows_policy(daemon.view)
-    heard_at = daemon.view.store_answered_at
-    wait = feeds.peer_ahead_limit(daemon.feed, heard_at, now) if known else 0.0
+    knows_policy = views.knows_policy(daemon.view)
+    last_answer_at = daemon.view.store_answered_at
+    wait = (
+        feeds.peer_ahead_limit(daemon.feed, last_answer_at, now)
+        if knows_policy
+        else 0.0
+    )
     asyncio.get_running_loop().call_later(
         wait, _pull_if_behind, daemon, host, content
     )
 
 
-def _is_lost(daemon: _state.Daemon) -> bool:
+def _lacks_store(daemon: _state.Daemon) -> bool:
     if not views.knows_policy(daemon.view):
         return True
-    lost = views.lost_store_seconds(daemon.view, daemon.clock.monotonic())
-    return lost is not None and feeds.reads_store(daemon.feed)
+    lost_seconds = views.lost_store_seconds(
+        daemon.view, daemon.clock.monotonic()
+    )
+    return lost_seconds is not None and feeds.reads_store(daemon.feed)
 
 
-def _ask_others(daemon: _state.Daemon) -> None:
+def _pull_from_others(daemon: _state.Daemon) -> None:
     """Ask those of the own domain that may read the store, and one more.
 
     A host that can't be reached must not keep the others from being asked.
@@ -94,7 +102,7 @@
         )
         if host != daemon.feed.own_host
     }
-    others = _elsewhere(daemon)
+    others = _other_addresses(daemon)
     if others:
         asked.add(others[int(daemon.rng.random() * len(others))])
     for address in sorted(asked, key=str):
@@ -102,7 +110,7 @@
             _pull(daemon, address)
 
 
-def _elsewhere(daemon: _state.Daemon) -> list[_dialect.Address]:
+def _other_addresses(daemon: _state.Daemon) -> list[_dialect.Address]:
     """Return whom to ask: another failure domain, the own one, or the seeds.
 
     In a domain that is cut off only its own daemons may know more. Each is
@@ -116,17 +124,23 @@
     return found or list(daemon.settings.seeds)
 
 
-def ping(daemon: _state.Daemon, host: str, told: tuple[bytes, bytes]) -> None:
+def ping(
+    daemon: _state.Daemon, host: str, header: tuple[bytes, bytes]
+) -> None:
     """Ask a daemon how far its view goes, and tell it one field."""
-    fields = [(b"Host", host.encode()), told]
+    fields = [(b"Host", host.encode()), header]
     head = httpio.request_head(b"GET", _wire.PING_PATH, fields, 0)
     asked_at = daemon.clock.monotonic()
-    job = httpio.Job(head, functools.partial(_ponged, daemon, host, asked_at))
+    job = httpio.Job(
+        head, functools.partial(_handle_pong, daemon, host, asked_at)
+    )
     _state.pool(daemon, host).send(job)
-    asyncio.get_running_loop().call_later(ANSWER_SECONDS, _give_up, job)
+    asyncio.get_running_loop().call_later(
+        ANSWER_TIMEOUT_SECONDS, _abort_if_unanswered, job
+    )
 
 
-def _ponged(
+def _handle_pong(
     daemon: _state.Daemon,
     host: str,
     asked_at: float,
@@ -162,11 +176,15 @@
 def _pull(daemon: _state.Daemon, address: _dialect.Address) -> None:
     """Ask a daemon for what it knows more."""
     daemon.pulled_hosts.add(address.host)
-    told = _crash_updates.header(daemon, address.host)
-    head = _feed_wire.poll_head(address.host, daemon.view.revision, 0.0, told)
+    header = _crash_updates.header(daemon, address.host)
+    head = _feed_wire.poll_head(
+        address.host, daemon.view.revision, 0.0, header
+    )
     asked_at = daemon.clock.monotonic()
-    done = functools.partial(_pulled, daemon, address.host, asked_at)
-    job = httpio.Job(head, done)
+    on_done = functools.partial(
+        _handle_pull_result, daemon, address.host, asked_at
+    )
+    job = httpio.Job(head, on_done)
     if address.port == daemon.settings.daemons.port:
         connections = _state.pool(daemon, address.host)
     else:
@@ -175,16 +193,18 @@
         )
     connections.send_on_new(job)
     asyncio.get_running_loop().call_later(
-        ANSWER_SECONDS, _pull_timeout, daemon, address.host, job
+        ANSWER_TIMEOUT_SECONDS, _end_unanswered_pull, daemon, address.host, job
     )
 
 
-def _pull_timeout(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
-    if _give_up(job):
+def _end_unanswered_pull(
+    daemon: _state.Daemon, host: str, job: httpio.Job
+) -> None:
+    if _abort_if_unanswered(job):
         daemon.pulled_hosts.discard(host)
 
 
-def _give_up(job: httpio.Job) -> bool:
+def _abort_if_unanswered(job: httpio.Job) -> bool:
     """Cut a question that has no answer; return whether it had none."""
     late = job.wanted
     if late:
@@ -192,7 +212,7 @@
     return late
 
 
-def _pulled(
+def _handle_pull_result(
     daemon: _state.Daemon,
     host: str,
     asked_at: float,
@@ -203,19 +223,21 @@
         return
     _crash_updates.receive(daemon, host, result.found)
     try:
-        news = _take(daemon, host, result)
+        news = _apply_answer(daemon, host, result)
         _confirmations.receive(daemon, result.found, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
-    doubtful = feeds.reads_store(daemon.feed) and not _is_lost(daemon)
+    doubtful = feeds.reads_store(daemon.feed) and not _lacks_store(daemon)
     if news and doubtful:
         # The own watch should have told it.
         feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
         daemon.feed_woken.set()
 
 
-def _take(daemon: _state.Daemon, host: str, result: httpio.Response) -> bool:
+def _apply_answer(
+    daemon: _state.Daemon, host: str, result: httpio.Response
+) -> bool:
     field = result.found.get(_feed_wire.HEADER_LOWER)
     if field is not None:
         status, delta = _feed_wire.decode_answer(field, result.body)
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -33,7 +33,7 @@
         return
     if reading.revision >= view.revision:
         views.note_full_read(view, reading.revision)
-    _confirm(daemon, reading, asked_at)
+    _confirm_versions(daemon, reading, asked_at)
 
 
 def confirm_revision(
@@ -43,20 +43,22 @@
 
     A watch may be about to tell the change behind a greater one.
     """
-    if not _confirmations.has_revocation_bound(daemon) or _vouch(
-        daemon, revision, asked_at
-    ):
+    if not _confirmations.has_revocation_bound(
+        daemon
+    ) or _confirm_if_up_to_date(daemon, revision, asked_at):
         return
     now = daemon.clock.monotonic()
     wait = feeds.peer_ahead_limit(
         daemon.feed, daemon.view.store_answered_at, now
     )
     asyncio.get_running_loop().call_later(
-        wait, _confirm_late, daemon, revision, asked_at
+        wait, _confirm_or_read_policy, daemon, revision, asked_at
     )
 
 
-def _vouch(daemon: _state.Daemon, revision: int, asked_at: float) -> bool:
+def _confirm_if_up_to_date(
+    daemon: _state.Daemon, revision: int, asked_at: float
+) -> bool:
     view = daemon.view
     if not views.up_to_date_at(view, revision):
         return False
@@ -64,17 +66,20 @@
     return True
 
 
-def _confirm_late(
+def _confirm_or_read_policy(
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> None:
-    if _vouch(daemon, revision, asked_at) or daemon.confirming_policy:
+    if (
+        _confirm_if_up_to_date(daemon, revision, asked_at)
+        or daemon.confirming_policy
+    ):
         return
     if views.knows_policy(daemon.view) and feeds.reads_store(daemon.feed):
         daemon.confirming_policy = True
-        _state.start_task(daemon, _ask_policy(daemon))
+        _state.start_task(daemon, _read_policy(daemon))
 
 
-async def _ask_policy(daemon: _state.Daemon) -> None:
+async def _read_policy(daemon: _state.Daemon) -> None:
     """Read the policy alone: the watch has not told what has changed."""
     asked_at = daemon.clock.monotonic()
     _counters.count_store_call(daemon.counters, VERB)
@@ -86,7 +91,7 @@
     finally:
         daemon.confirming_policy = False
     _learning.log_refused_items(daemon, reading.refused)
-    if _confirm(daemon, reading, asked_at):
+    if _confirm_versions(daemon, reading, asked_at):
         views.note_full_read(daemon.view, reading.revision)
         return
     daemon.journal.note(
@@ -96,7 +101,7 @@
         daemon.feed_woken.set()
 
 
-def _confirm(
+def _confirm_versions(
     daemon: _state.Daemon, reading: _dialect.Reading, asked_at: float
 ) -> bool:
     """Confirm the policy of a reading; one that can't be used is none.
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -21,11 +21,11 @@
     from sassafrasstair.forwarding import _state
     from sassafrasstair import httpio
 
-KEPT_MAX = 300
+HELD_POLLS_MAX = 300
 """Polls kept at once; a daemon is followed by six, and by all of its
 failure domain, 222, if these know no other. More are refused,
 and whoever is refused turns to another daemon."""
-ENCODED_KEPT = 16
+ENCODED_ANSWERS_MAX = 16
 """Answers kept encoded: followers mostly ask from the same content."""
 
 
@@ -46,9 +46,9 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
     """Answer a poll, or keep it until there is news."""
-    field = exchange.request.found.get(_feed_wire.HEADER_LOWER)
+    header = exchange.request.found.get(_feed_wire.HEADER_LOWER)
     try:
-        after, hold = _feed_wire.decode_poll(query, field)
+        after, hold = _feed_wire.decode_poll(query, header)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
@@ -72,7 +72,7 @@
     if news or not hold or daemon.leaving:
         _answer(daemon, poll)
         return
-    if len(daemon.held_polls) >= KEPT_MAX:
+    if len(daemon.held_polls) >= HELD_POLLS_MAX:
         exchange.respond(503, [], b"")
         return
     daemon.held_polls.append(poll)
@@ -104,7 +104,7 @@
 
 
 def answer_with_crashes(
-    daemon: _state.Daemon, told: tuple[bytes, bytes]
+    daemon: _state.Daemon, header: tuple[bytes, bytes]
 ) -> None:
     """Answer with what is new of crashes all who may not know it."""
     due = [
@@ -114,7 +114,7 @@
     ]
     daemon.held_polls = [poll for poll in daemon.held_polls if poll not in due]
     for poll in due:
-        _answer(daemon, poll, told)
+        _answer(daemon, poll, header)
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
@@ -124,12 +124,12 @@
 
 
 def _answer_if(
-    daemon: _state.Daemon, wanted: typing.Callable[[HeldPoll], bool]
+    daemon: _state.Daemon, is_due: typing.Callable[[HeldPoll], bool]
 ) -> None:
-    due = [one for one in daemon.held_polls if wanted(one)]
+    due = [one for one in daemon.held_polls if is_due(one)]
     if not due:
         return
-    daemon.held_polls = [one for one in daemon.held_polls if not wanted(one)]
+    daemon.held_polls = [one for one in daemon.held_polls if not is_due(one)]
     for poll in due:
         _answer(daemon, poll)
 
@@ -137,24 +137,26 @@
 def _answer(
     daemon: _state.Daemon,
     poll: HeldPoll,
-    told: tuple[bytes, bytes] | None = None,
+    crash_header: tuple[bytes, bytes] | None = None,
 ) -> None:
-    body = _encoded(daemon, poll.after)
-    told = told or _crash_updates.header(daemon, poll.exchange.peer)
+    body = _encode_changes(daemon, poll.after)
+    crash_header = crash_header or _crash_updates.header(
+        daemon, poll.exchange.peer
+    )
     poll.exchange.gone = None
-    held = daemon.clock.monotonic() - poll.received_at
-    confirmed = _confirmations.headers(daemon, held)
-    fields = [status_header(daemon), told, *confirmed]
-    poll.exchange.respond(200, fields, body)
+    held_seconds = daemon.clock.monotonic() - poll.received_at
+    confirmed = _confirmations.headers(daemon, held_seconds)
+    headers = [status_header(daemon), crash_header, *confirmed]
+    poll.exchange.respond(200, headers, body)
 
 
-def _encoded(daemon: _state.Daemon, after: int) -> bytes:
+def _encode_changes(daemon: _state.Daemon, after: int) -> bytes:
     if after >= daemon.view.content:
         return b""
     body = daemon.encoded_answers.get(after)
     if body is None:
         body = _feed_wire.encode_delta(views.delta_since(daemon.view, after))
-        if len(daemon.encoded_answers) >= ENCODED_KEPT:
+        if len(daemon.encoded_answers) >= ENCODED_ANSWERS_MAX:
             daemon.encoded_answers.clear()
         daemon.encoded_answers[after] = body
     return body
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -14,7 +14,7 @@
 from sassafrasstair import httpio
 
 
-PING_SECONDS = 0.5
+PING_TIMEOUT_SECONDS = 0.5
 """A daemon that does not answer a new connection for so long is silent."""
 
 
@@ -33,30 +33,30 @@
     head = httpio.request_head(
         b"GET", _wire.PING_PATH, [(b"Host", host.encode())], 0
     )
-    job = httpio.Job(head, functools.partial(_ponged, daemon, vm, host))
+    job = httpio.Job(head, functools.partial(_handle_pong, daemon, vm, host))
     # A new connection: an old one may have gone silent by itself, and then
     # says nothing of the VM.
     _state.pool(daemon, host).send_on_new(job)
     asyncio.get_running_loop().call_later(
-        PING_SECONDS, _late, daemon, vm, host, job
+        PING_TIMEOUT_SECONDS, _handle_timeout, daemon, vm, host, job
     )
 
 
-def _ponged(
+def _handle_pong(
     daemon: _state.Daemon,
     vm: str,
     host: str,
     result: httpio.Response | httpio.Failure,
 ) -> None:
     if isinstance(result, httpio.Failure):
-        _silent(daemon, vm, host, result.value)
+        _handle_failure(daemon, vm, host, result.value)
         return
     try:
         state = _wire.decode_state(
             result.found.get(_wire.STATE_HEADER_LOWER, b"")
         )
     except _wire.WireError as error:
-        _silent(daemon, vm, host, str(error))
+        _handle_failure(daemon, vm, host, str(error))
         return
     _peers.note_peer_content(daemon, host, state.content)
     now = daemon.clock.monotonic()
@@ -66,13 +66,17 @@
     calls.probe_ended(daemon.routes, vm, not state.leaving, now)
 
 
-def _late(daemon: _state.Daemon, vm: str, host: str, job: httpio.Job) -> None:
+def _handle_timeout(
+    daemon: _state.Daemon, vm: str, host: str, job: httpio.Job
+) -> None:
     if job.wanted:
         job.abort()
-        _silent(daemon, vm, host, "timeout")
+        _handle_failure(daemon, vm, host, "timeout")
 
 
-def _silent(daemon: _state.Daemon, vm: str, host: str, reason: str) -> None:
+def _handle_failure(
+    daemon: _state.Daemon, vm: str, host: str, reason: str
+) -> None:
     now = daemon.clock.monotonic()
     peer = daemon.routes.peers.get(vm)
     if peer is not None and not peer.unreachable:
--- a/src/sassafrasstair/forwarding/_quota_wire.py
+++ b/src/sassafrasstair/forwarding/_quota_wire.py
@@ -29,9 +29,9 @@
 def decode(body: bytes, kind: type[_T]) -> _T:
     """Return the message in a body; raises ``WireError``."""
     try:
-        found = msgspec.msgpack.decode(body, type=kind)
+        message = msgspec.msgpack.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise _wire.WireError(f"quota: {error}") from error
-    if not quotas.is_valid(found):
+    if not quotas.is_valid(message):
         raise _wire.WireError("quota: an amount out of range")
-    return found
+    return message
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -23,14 +23,14 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-TICK_SECONDS = 0.2
-UPDATE_SECONDS = 0.4
+TICK_INTERVAL_SECONDS = 0.2
+UPDATE_INTERVAL_SECONDS = 0.4
 """Between two updates of another domain without news: they show that this
 allocator is there."""
-ANSWER_SECONDS = 0.3
-SETTLE_SECONDS = 4.0
+ANSWER_TIMEOUT_SECONDS = 0.3
+START_DELAY_SECONDS = 4.0
 """After its start a daemon may not know yet who comes before it."""
-IDLE_SECONDS = 3.0
+IDLE_TIMEOUT_SECONDS = 3.0
 """Without a question for so long an allocator ends if its domain has another
 one."""
 
@@ -39,23 +39,23 @@
     """Do the periodic work of the allocator, if it runs here."""
     allocation = daemon.allocation
     if allocation is None:
-        settled = now - daemon.feed.started_at >= SETTLE_SECONDS
+        settled = now - daemon.feed.started_at >= START_DELAY_SECONDS
         if settled and _is_first(daemon) and _has_limits(daemon):
             activate(daemon, now)
         return
-    if now - allocation.ticked_at < TICK_SECONDS:
+    if now - allocation.ticked_at < TICK_INTERVAL_SECONDS:
         return
     allocation.ticked_at = now
-    _use_policy(daemon, allocation, now)
+    _apply_policy(daemon, allocation, now)
     allocator = allocation.allocator
-    idle = now - allocation.asked_at >= IDLE_SECONDS
+    idle = now - allocation.asked_at >= IDLE_TIMEOUT_SECONDS
     if idle and allocator.shares.other_allocator and not _is_first(daemon):
         daemon.allocation = None
         return
     quotas.tick(allocator, now)
-    quotas.tick_shares(allocator.shares, _present(daemon), now)
-    _adopt(daemon, allocator, now)
-    _update_all(daemon, allocation, now)
+    quotas.tick_shares(allocator.shares, _known_domains(daemon), now)
+    _adopt_share(daemon, allocator, now)
+    _send_due_updates(daemon, allocation, now)
 
 
 def activate(daemon: _state.Daemon, now: float) -> _tokens.Allocation:
@@ -71,25 +71,25 @@
     allocation = _tokens.Allocation(quotas.new_allocator(shares))
     daemon.allocation = allocation
     daemon.journal.note("allocator_started", domain=domain)
-    _use_policy(daemon, allocation, now)
-    _adopt(daemon, allocation.allocator, now)
-    _update_all(daemon, allocation, now)
+    _apply_policy(daemon, allocation, now)
+    _adopt_share(daemon, allocation.allocator, now)
+    _send_due_updates(daemon, allocation, now)
     return allocation
 
 
 def grant_tokens(
-    daemon: _state.Daemon, asked: quotas.AllocationRequest
+    daemon: _state.Daemon, request: quotas.AllocationRequest
 ) -> quotas.GrantResponse:
     """Return tokens for a daemon of the own domain."""
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
     allocation.asked_at = now
-    _use_policy(daemon, allocation, now)
+    _apply_policy(daemon, allocation, now)
     allocator = allocation.allocator
     if allocator.shares.other_allocator:
         return quotas.GrantResponse(allocator.shares.other_allocator, ())
     return quotas.GrantResponse(
-        "", quotas.answer_request(allocator, asked, now)
+        "", quotas.answer_request(allocator, request, now)
     )
 
 
@@ -101,11 +101,11 @@
     answer: quotas.GrantResponse | quotas.Acknowledgement
     try:
         if path == _quota_wire.TOKENS_PATH:
-            asked = _quota_wire.decode(body, quotas.AllocationRequest)
-            answer = grant_tokens(daemon, asked)
+            request = _quota_wire.decode(body, quotas.AllocationRequest)
+            answer = grant_tokens(daemon, request)
         else:
             update = _quota_wire.decode(body, quotas.Update)
-            answer = _receive(daemon, update)
+            answer = _receive_update(daemon, update)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
@@ -113,7 +113,7 @@
     exchange.respond(200, [], _quota_wire.encode(answer))
 
 
-def _receive(
+def _receive_update(
     daemon: _state.Daemon, update: quotas.Update
 ) -> quotas.Acknowledgement:
     now = daemon.clock.monotonic()
@@ -141,7 +141,7 @@
     return any(customer.rate > 0.0 for customer in customers)
 
 
-def _use_policy(
+def _apply_policy(
     daemon: _state.Daemon, allocation: _tokens.Allocation, now: float
 ) -> None:
     version = views.active_version(daemon.view)
@@ -157,11 +157,11 @@
     quotas.set_limits(allocation.allocator, limits, now)
 
 
-def _present(daemon: _state.Daemon) -> set[str]:
+def _known_domains(daemon: _state.Daemon) -> set[str]:
     return set(views.hosts_by_domain(daemon.view))
 
 
-def _adopt(
+def _adopt_share(
     daemon: _state.Daemon, allocator: quotas.Allocator, now: float
 ) -> None:
     quotas.fill_buckets(allocator, now)
@@ -173,24 +173,26 @@
         )
 
 
-def _update_all(
+def _send_due_updates(
     daemon: _state.Daemon, allocation: _tokens.Allocation, now: float
 ) -> None:
     shares = allocation.allocator.shares
     for domain in shares.peer_domains:
         since = now - allocation.updated_at.get(domain, -math.inf)
-        due = since >= UPDATE_SECONDS or quotas.has_changes(shares, domain)
+        due = since >= UPDATE_INTERVAL_SECONDS or quotas.has_changes(
+            shares, domain
+        )
         if due and domain not in allocation.updates_in_flight:
-            _update(daemon, allocation, domain, now)
+            _send_update(daemon, allocation, domain, now)
 
 
-def _update(
+def _send_update(
     daemon: _state.Daemon,
     allocation: _tokens.Allocation,
     domain: str,
     now: float,
 ) -> None:
-    host = _contact(daemon, allocation, domain)
+    host = _allocator_host(daemon, allocation, domain)
     if not host:
         return
     allocation.updates_in_flight.add(domain)
@@ -203,15 +205,17 @@
         [(b"Host", host.encode())],
         len(body),
     )
-    done = functools.partial(_answered, daemon, allocation, domain, update)
-    job = httpio.Job(head + body, done)
+    on_done = functools.partial(
+        _handle_update_result, daemon, allocation, domain, update
+    )
+    job = httpio.Job(head + body, on_done)
     asyncio.get_running_loop().call_later(
-        ANSWER_SECONDS, _give_up, daemon, host, job, done
+        ANSWER_TIMEOUT_SECONDS, _handle_timeout, daemon, host, job, on_done
     )
     _state.pool(daemon, host).send(job)
 
 
-def _contact(
+def _allocator_host(
     daemon: _state.Daemon, allocation: _tokens.Allocation, domain: str
 ) -> str:
     """Return the host that allocates for a domain, or the next to try."""
@@ -219,25 +223,27 @@
     if known is not None:
         return known
     hosts = views.hosts_by_domain(daemon.view).get(domain, frozenset())
-    first = feeds.reader_hosts(hosts)
-    if not first:
+    candidates = feeds.reader_hosts(hosts)
+    if not candidates:
         return ""
-    return first[allocation.failed_contacts.get(domain, 0) % len(first)]
+    return candidates[
+        allocation.failed_contacts.get(domain, 0) % len(candidates)
+    ]
 
 
-def _give_up(
+def _handle_timeout(
     daemon: _state.Daemon,
     host: str,
     job: httpio.Job,
-    done: abc.Callable[[httpio.Failure], None],
+    on_done: abc.Callable[[httpio.Failure], None],
 ) -> None:
     if job.wanted:
         job.abort()
         _state.pool(daemon, host).drop_idle()
-        done(httpio.Failure.LOST)
+        on_done(httpio.Failure.LOST)
 
 
-def _answered(
+def _handle_update_result(
     daemon: _state.Daemon,
     allocation: _tokens.Allocation,
     domain: str,
@@ -245,7 +251,7 @@
     result: httpio.Response | httpio.Failure,
 ) -> None:
     allocation.updates_in_flight.discard(domain)
-    answer = _decoded(daemon, result)
+    answer = _decode_acknowledgement(daemon, result)
     if answer is None:
         allocation.peer_allocators.pop(domain, None)
         allocation.failed_contacts[domain] = (
@@ -258,16 +264,16 @@
     now = daemon.clock.monotonic()
     allocator = allocation.allocator
     quotas.fill_buckets(allocator, now)
-    held = not allocator.shares.adopting
+    had_share = not allocator.shares.adopting
     quotas.accept_acknowledgement(
         allocator.shares, domain, update, answer, now
     )
-    if held and allocator.shares.adopting:
+    if had_share and allocator.shares.adopting:
         daemon.journal.note("shares_lost", to=allocator.shares.other_allocator)
-    _adopt(daemon, allocator, now)
+    _adopt_share(daemon, allocator, now)
 
 
-def _decoded(
+def _decode_acknowledgement(
     daemon: _state.Daemon, result: httpio.Response | httpio.Failure
 ) -> quotas.Acknowledgement | None:
     if isinstance(result, httpio.Failure) or result.status != 200:
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -33,32 +33,34 @@
         before = daemon.feed.parent
         step = feeds.next_step(daemon.feed, daemon.clock.monotonic())
         if daemon.feed.parent != before:
-            _note_parent(daemon, before)
+            _log_parent(daemon, before)
         try:
-            await _take(daemon, step)
+            await _run_step(daemon, step)
         except Exception as error:
             # One fault must not end the feed of all who follow this daemon.
             daemon.journal.note("feed_failed", error=repr(error))
             await asyncio.sleep(FAULT_SECONDS)
 
 
-async def _take(daemon: _state.Daemon, step: feeds.Step) -> None:
+async def _run_step(daemon: _state.Daemon, step: feeds.Step) -> None:
     match step:
         case feeds.Sleep(seconds):
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(daemon.feed_woken.wait(), seconds)
         case feeds.Poll(host, hold, within):
-            await _ask(daemon, host, hold, within)
+            await _poll_parent(daemon, host, hold, within)
         case feeds.Read(stale):
             verb = "read_stale" if stale else "read"
-            await _read(daemon, verb, daemon.source.read(stale), stale, None)
+            await _read_store(
+                daemon, verb, daemon.source.read(stale), stale, None
+            )
         case feeds.Watch(seconds):
             after = daemon.view.revision
             watch = daemon.source.watch(after, seconds)
-            await _read(daemon, "watch", watch, False, after)
+            await _read_store(daemon, "watch", watch, False, after)
 
 
-async def _read(
+async def _read_store(
     daemon: _state.Daemon,
     verb: str,
     call: typing.Coroutine[typing.Any, typing.Any, _dialect.Reading],
@@ -72,7 +74,7 @@
     for.
     """
     _counters.count_store_call(daemon.counters, verb)
-    begun = daemon.clock.monotonic()
+    started_at = daemon.clock.monotonic()
     reading = asyncio.ensure_future(call)
     woken = asyncio.ensure_future(daemon.feed_woken.wait())
     try:
@@ -84,23 +86,23 @@
         if not reading.done():
             reading.cancel()
     if reading.done():
-        _took(daemon, verb, begun, reading, stale, after)
+        _handle_reading(daemon, verb, started_at, reading, stale, after)
 
 
-def _took(
+def _handle_reading(
     daemon: _state.Daemon,
     verb: str,
-    begun: float,
+    started_at: float,
     reading: asyncio.Future[_dialect.Reading],
     stale: bool,
     after: int | None,
 ) -> None:
     now = daemon.clock.monotonic()
     try:
-        found = reading.result()
+        reading_result = reading.result()
     except _dialect.SourceError as error:
         gone = error.reason is _dialect.SourceReason.HISTORY_GONE
-        _learning.log_failed_call(daemon, verb, error, begun)
+        _learning.log_failed_call(daemon, verb, error, started_at)
         feeds.read_failed(daemon.feed, now, gone, daemon.rng)
         if gone:
             daemon.journal.note("store_history_gone")
@@ -110,40 +112,44 @@
             )
         return
     if stale:
-        _learning.take_stale_reading(daemon, found)
+        _learning.take_stale_reading(daemon, reading_result)
     else:
-        _learning.take_reading(daemon, found)
-        _policy_checks.confirm_reading(daemon, found, begun, after)
-    feeds.read_done(daemon.feed, now, stale, bool(found.changes))
+        _learning.take_reading(daemon, reading_result)
+        _policy_checks.confirm_reading(
+            daemon, reading_result, started_at, after
+        )
+    feeds.read_done(daemon.feed, now, stale, bool(reading_result.changes))
 
 
-async def _ask(
-    daemon: _state.Daemon, host: str, hold: float, within: float
+async def _poll_parent(
+    daemon: _state.Daemon, host: str, hold_seconds: float, timeout: float
 ) -> None:
     """Ask the daemon that is followed for what is new."""
-    told = _crash_updates.header(daemon, host)
-    sender = (_feed_wire.SENDER_HEADER, daemon.process_mark)
+    crash_header = _crash_updates.header(daemon, host)
+    sender_header = (_feed_wire.SENDER_HEADER, daemon.process_mark)
     after = daemon.view.revision
-    head = _feed_wire.poll_head(host, after, hold, told, sender)
+    head = _feed_wire.poll_head(
+        host, after, hold_seconds, crash_header, sender_header
+    )
     asked_at = daemon.clock.monotonic()
-    result = await _exchange(daemon, host, head, within)
+    result = await _send_poll(daemon, host, head, timeout)
     now = daemon.clock.monotonic()
     if isinstance(result, httpio.Failure):
-        _fell_silent(daemon, host, result.value)
+        _handle_parent_failure(daemon, host, result.value)
         return
     if result.status == _feed_wire.LOOP_STATUS:
         _adopt_own_address(daemon, host)
         return
-    field = result.found.get(_feed_wire.HEADER_LOWER)
-    if result.status != 200 or field is None:
+    status_header = result.found.get(_feed_wire.HEADER_LOWER)
+    if result.status != 200 or status_header is None:
         # A daemon of the version before, which can't be waited at.
-        _fell_silent(daemon, host, f"status {result.status}")
+        _handle_parent_failure(daemon, host, f"status {result.status}")
         return
     try:
-        status, delta = _feed_wire.decode_answer(field, result.body)
+        status, delta = _feed_wire.decode_answer(status_header, result.body)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
-        _fell_silent(daemon, host, "malformed")
+        _handle_parent_failure(daemon, host, "malformed")
         return
     _crash_updates.receive(daemon, host, result.found)
     feeds.peer_answered(
@@ -162,20 +168,20 @@
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
 
 
-async def _exchange(
-    daemon: _state.Daemon, host: str, head: bytes, within: float
+async def _send_poll(
+    daemon: _state.Daemon, host: str, head: bytes, timeout: float
 ) -> _Result:
     """Send a poll on a kept connection, once more on a new one."""
     pool = _state.pool(daemon, host)
     loop = asyncio.get_running_loop()
-    until = loop.time() + within
+    deadline = loop.time() + timeout
     result: _Result = httpio.Failure.LOST
     for send in (pool.send, pool.send_on_new):
         answer: asyncio.Future[_Result] = loop.create_future()
-        job = httpio.Job(head, functools.partial(_set, answer))
+        job = httpio.Job(head, functools.partial(_set_result, answer))
         send(job)
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 result = await answer
         except TimeoutError:
             # Other kept connections to it may have fallen silent as well.
@@ -190,12 +196,14 @@
     return result
 
 
-def _set(answer: asyncio.Future[_Result], result: _Result) -> None:
+def _set_result(answer: asyncio.Future[_Result], result: _Result) -> None:
     if not answer.done():
         answer.set_result(result)
 
 
-def _fell_silent(daemon: _state.Daemon, host: str, reason: str) -> None:
+def _handle_parent_failure(
+    daemon: _state.Daemon, host: str, reason: str
+) -> None:
     now = daemon.clock.monotonic()
     feeds.peer_failed(daemon.feed, host, now, daemon.rng)
     _counters.count_state_change(daemon.counters, "parent_lost")
@@ -208,7 +216,7 @@
     feeds.adopt_address(daemon.feed, host)
 
 
-def _note_parent(daemon: _state.Daemon, before: str | None) -> None:
+def _log_parent(daemon: _state.Daemon, before: str | None) -> None:
     """Log whom the daemon follows from now on."""
     feed = daemon.feed
     _counters.count_state_change(daemon.counters, "parent_changed")
--- a/src/sassafrasstair/histograms.py
+++ b/src/sassafrasstair/histograms.py
@@ -40,7 +40,7 @@
 
 PREFIX = "sassafrasstair_"
 _HEADER_LINES = 2
-_SERIES_A_PART = 2
+_SERIES_PER_PART = 2
 
 Labels = tuple[tuple[str, str], ...]
 
@@ -52,12 +52,12 @@
     counts: list[int] = dataclasses.field(
         default_factory=lambda: [0] * (len(BUCKETS) + 1)
     )
-    total: float = 0.0
+    sum_seconds: float = 0.0
 
     def observe(self, seconds: float) -> None:
         """Count one value."""
         self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
-        self.total += seconds
+        self.sum_seconds += seconds
 
 
 def render(registry: collectors_module.Registry) -> bytes:
@@ -70,7 +70,7 @@
 
 def render_counter(
     name: str,
-    text: str,
+    help_text: str,
     labels: tuple[str, ...],
     counts: abc.Mapping[typing.Any, int],
 ) -> bytes:
@@ -78,7 +78,7 @@
     from aioprometheus import collectors
 
     registry = collectors.Registry()
-    counter = collectors.Counter(PREFIX + name, text, None, registry)
+    counter = collectors.Counter(PREFIX + name, help_text, None, registry)
     for values, count in counts.items():
         counter.set(dict(zip(labels, values, strict=True)), count)
     return render(registry)
@@ -96,33 +96,33 @@
 
 
 def render_parts(
-    name: str, text: str, series: abc.Mapping[Labels, Series]
+    name: str, help_text: str, series: abc.Mapping[Labels, Series]
 ) -> abc.Iterator[bytes]:
     """Yield a histogram in parts, the HELP and TYPE lines in the first."""
     from aioprometheus import collectors
 
     entries = iter(series.items())
-    skipped = 0
-    while some := list(itertools.islice(entries, _SERIES_A_PART)):
+    lines_to_skip = 0
+    while batch := list(itertools.islice(entries, _SERIES_PER_PART)):
         registry = collectors.Registry()
         collector = collectors.Histogram(
-            PREFIX + name, text, None, registry, BUCKETS
+            PREFIX + name, help_text, None, registry, BUCKETS
         )
-        for labels, one in some:
-            collector.set_value(dict(labels), _filled(one))
+        for labels, one in batch:
+            collector.set_value(dict(labels), _to_library_histogram(one))
         lines = render(registry).splitlines(keepends=True)
-        yield b"".join(lines[skipped:])
-        skipped = _HEADER_LINES
+        yield b"".join(lines[lines_to_skip:])
+        lines_to_skip = _HEADER_LINES
 
 
 def render_histogram(
-    name: str, text: str, series: abc.Mapping[Labels, Series]
+    name: str, help_text: str, series: abc.Mapping[Labels, Series]
 ) -> bytes:
     """Return a histogram whole."""
-    return b"".join(render_parts(name, text, series))
+    return b"".join(render_parts(name, help_text, series))
 
 
-def _filled(series: Series) -> histogram_module.Histogram:
+def _to_library_histogram(series: Series) -> histogram_module.Histogram:
     from aioprometheus import histogram
 
     filled = histogram.Histogram(*BUCKETS)
@@ -130,5 +130,5 @@
     for bound, total in zip(filled.buckets, totals, strict=True):
         filled.buckets[bound] = total
     filled.observations = sum(series.counts)
-    filled.sum = series.total
+    filled.sum = series.sum_seconds
     return filled
--- a/src/sassafrasstair/logs.py
+++ b/src/sassafrasstair/logs.py
@@ -15,9 +15,9 @@
 Field = str | int | float | bool | enum.Enum
 
 _FIELDS = "sassafrasstair_fields"
-_PLAIN = re.compile(r"[A-Za-z0-9_./:+@%,~<>\[\]()*-]+")
-_CHATTY = ("httpcore", "httpx")
-_VALUE_MAX = 1_000
+_UNQUOTED = re.compile(r"[A-Za-z0-9_./:+@%,~<>\[\]()*-]+")
+_VERBOSE_LOGGERS = ("httpcore", "httpx")
+_VALUE_CHARACTERS_MAX = 1_000
 _FLOAT_DIGITS = 6
 
 
@@ -42,15 +42,15 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    _quieten(logging.getLevelName(level.upper()))
+    _limit_library_loggers(logging.getLevelName(level.upper()))
 
 
-def _quieten(level: int) -> None:
+def _limit_library_loggers(level: int) -> None:
     """Keep libraries from logging a line for each request they make."""
     quiet = max(level, logging.WARNING)
-    least = logging.NOTSET if level <= logging.DEBUG else quiet
-    for name in _CHATTY:
-        logging.getLogger(name).setLevel(least)
+    minimum = logging.NOTSET if level <= logging.DEBUG else quiet
+    for name in _VERBOSE_LOGGERS:
+        logging.getLogger(name).setLevel(minimum)
 
 
 class KeyValueFormatter(logging.Formatter):
@@ -58,8 +58,8 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of one record."""
-        pairs = _pairs(record).items()
-        return " ".join(f"{key}={_quoted(value)}" for key, value in pairs)
+        pairs = _to_pairs(record).items()
+        return " ".join(f"{key}={_quote(value)}" for key, value in pairs)
 
 
 class JsonFormatter(json_logger.JsonFormatter):
@@ -79,10 +79,10 @@
     ) -> None:
         """Put the keys of one record into ``log_data``."""
         log_data.clear()
-        log_data.update(_pairs(record))
+        log_data.update(_to_pairs(record))
 
 
-def _pairs(record: logging.LogRecord) -> dict[str, str | int | float]:
+def _to_pairs(record: logging.LogRecord) -> dict[str, str | int | float]:
     when = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
     pairs: dict[str, str | int | float] = {
         "time": when.isoformat(timespec="milliseconds"),
@@ -95,24 +95,24 @@
         pairs |= {"event": "library_message", "message": record.getMessage()}
     else:
         pairs["event"] = record.msg
-        pairs |= {key: _plain(value) for key, value in fields.items()}
+        pairs |= {key: _to_plain(value) for key, value in fields.items()}
     if record.exc_info and record.exc_info[0]:
         trace = logging.Formatter().formatException(record.exc_info)
         pairs["exception"] = trace
     return pairs
 
 
-def _plain(value: Field) -> str | int | float:
+def _to_plain(value: Field) -> str | int | float:
     if isinstance(value, enum.Enum):
         value = typing.cast("str", value.value)
     if isinstance(value, float):
         return round(value, _FLOAT_DIGITS)
-    if isinstance(value, str) and len(value) > _VALUE_MAX:
-        return value[:_VALUE_MAX] + "..."
+    if isinstance(value, str) and len(value) > _VALUE_CHARACTERS_MAX:
+        return value[:_VALUE_CHARACTERS_MAX] + "..."
     return value
 
 
-def _quoted(value: str | int | float) -> str:
+def _quote(value: str | int | float) -> str:
     """Return the value, quoted as JSON where it needs that.
 
     Callers choose some of the values. A newline that passed here would
@@ -122,4 +122,4 @@
     if isinstance(value, bool):
         return str(value).lower()
     text = str(value)
-    return text if _PLAIN.fullmatch(text) else json.dumps(text)
+    return text if _UNQUOTED.fullmatch(text) else json.dumps(text)
--- a/src/sassafrasstair/metrics.py
+++ b/src/sassafrasstair/metrics.py
@@ -88,10 +88,10 @@
     _classes: frozenset[str] = frozenset()
     _tenants: frozenset[str] = frozenset()
     _services: frozenset[str] = frozenset()
-    _calls: dict[tuple[str, str], histograms.Series] = dataclasses.field(
+    _call_series: dict[tuple[str, str], histograms.Series] = dataclasses.field(
         default_factory=dict
     )
-    _upstream: dict[str, histograms.Series] = dataclasses.field(
+    _upstream_series: dict[str, histograms.Series] = dataclasses.field(
         default_factory=dict
     )
     _counts: dict[Count, dict[histograms.Labels, int]] = dataclasses.field(
@@ -108,38 +108,38 @@
         self._tenants = frozenset(bundle.tenants)
         self._services = frozenset(bundle.services)
         self.gauges.bundle_version = bundle.version
-        self._calls = {
+        self._call_series = {
             (name, tenant): series
-            for (name, tenant), series in self._calls.items()
+            for (name, tenant), series in self._call_series.items()
             if name in self._classes | {OTHER}
             and tenant in self._tenants | {OTHER}
         }
-        self._upstream = {
+        self._upstream_series = {
             name: series
-            for name, series in self._upstream.items()
+            for name, series in self._upstream_series.items()
             if name in self._classes | {OTHER}
         }
-        self._keep(Count.REFUSALS, "class", self._classes)
-        self._keep(Count.RETRIES, "service", self._services)
-        self._add(Count.BUNDLES_ADOPTED)
+        self._drop_unknown_names(Count.REFUSALS, "class", self._classes)
+        self._drop_unknown_names(Count.RETRIES, "service", self._services)
+        self._increment(Count.BUNDLES_ADOPTED)
 
     def count_answer(
         self, request_class: str, tenant: str, seconds: float
     ) -> None:
         """Count a whole answer that a caller got from this entrance."""
         pair = (
-            _known(request_class, self._classes),
-            _known(tenant, self._tenants),
+            _label_value(request_class, self._classes),
+            _label_value(tenant, self._tenants),
         )
-        series = self._calls.get(pair)
+        series = self._call_series.get(pair)
         if series is None:
-            series = self._new_pair(pair)
+            series = self._add_call_series(pair)
         series.observe(seconds)
 
     def count_attempt(self, request_class: str, seconds: float) -> None:
         """Count an attempt that the upstream of this VM has ended."""
-        name = _known(request_class, self._classes)
-        series = self._upstream.setdefault(name, histograms.Series())
+        name = _label_value(request_class, self._classes)
+        series = self._upstream_series.setdefault(name, histograms.Series())
         series.observe(seconds)
 
     def count_refusal(
@@ -149,29 +149,29 @@
         reason: outcomes.Reason,
     ) -> None:
         """Count a final refusal given to a caller."""
-        self._add(
+        self._increment(
             Count.REFUSALS,
-            ("class", _known(request_class, self._classes)),
+            ("class", _label_value(request_class, self._classes)),
             ("outcome", outcome.value),
             ("reason", reason.value),
         )
 
     def count_retry(self, service: str) -> None:
         """Count an attempt after the first towards ``service``."""
-        name = _known(service, self._services)
-        self._add(Count.RETRIES, ("service", name))
+        name = _label_value(service, self._services)
+        self._increment(Count.RETRIES, ("service", name))
 
     def count_late_answer(self) -> None:
         """Count an answer that nobody waits for."""
-        self._add(Count.LATE_ANSWERS)
+        self._increment(Count.LATE_ANSWERS)
 
     def count_refused_bundle(self, reason: bundles.Defect) -> None:
         """Count a bundle that was refused whole."""
-        self._add(Count.BUNDLES_REFUSED, ("reason", reason.value))
+        self._increment(Count.BUNDLES_REFUSED, ("reason", reason.value))
 
     def count_platform_read(self) -> None:
         """Count one call to the platform."""
-        self._add(Count.PLATFORM_READS)
+        self._increment(Count.PLATFORM_READS)
 
     def total(self, count: Count) -> int:
         """Return the sum of one counter over all labels."""
@@ -187,29 +187,31 @@
         yield histograms.render(self._counter_collectors())
         calls: dict[histograms.Labels, histograms.Series] = {
             (("class", name), ("tenant", tenant)): series
-            for (name, tenant), series in self._calls.items()
+            for (name, tenant), series in self._call_series.items()
         }
         yield from histograms.render_parts(
             "call_seconds", "Time of whole answers to callers", calls
         )
         upstream: dict[histograms.Labels, histograms.Series] = {
             (("class", name),): series
-            for name, series in self._upstream.items()
+            for name, series in self._upstream_series.items()
         }
         yield from histograms.render_parts(
             "upstream_seconds", "Time of attempts at the upstream", upstream
         )
 
-    def _new_pair(self, pair: tuple[str, str]) -> histograms.Series:
-        if len(self._calls) >= CALL_SERIES_MAX:
+    def _add_call_series(self, pair: tuple[str, str]) -> histograms.Series:
+        if len(self._call_series) >= CALL_SERIES_MAX:
             pair = (pair[0], OTHER)
-        return self._calls.setdefault(pair, histograms.Series())
+        return self._call_series.setdefault(pair, histograms.Series())
 
-    def _add(self, count: Count, *labels: tuple[str, str]) -> None:
+    def _increment(self, count: Count, *labels: tuple[str, str]) -> None:
         counts = self._counts[count]
         counts[labels] = counts.get(labels, 0) + 1
 
-    def _keep(self, count: Count, label: str, names: frozenset[str]) -> None:
+    def _drop_unknown_names(
+        self, count: Count, label: str, names: frozenset[str]
+    ) -> None:
         kept = names | {OTHER}
         self._counts[count] = {
             labels: value
@@ -242,5 +244,5 @@
     return b"".join(metrics.render_parts())
 
 
-def _known(name: str, names: frozenset[str]) -> str:
+def _label_value(name: str, names: frozenset[str]) -> str:
     return name if name in names else OTHER
--- a/src/sassafrasstair/settings.py
+++ b/src/sassafrasstair/settings.py
@@ -92,7 +92,7 @@
 
     def __post_init__(self) -> None:
         """Check the length of the key."""
-        if len(_decoded(self.public)) != PUBLIC_KEY_BYTES:
+        if len(_decode_base64(self.public)) != PUBLIC_KEY_BYTES:
             raise ValueError(
                 f"public: wants base64 of {PUBLIC_KEY_BYTES} bytes, Ed25519"
             )
@@ -100,7 +100,7 @@
     @property
     def raw(self) -> bytes:
         """The 32 bytes of the key."""
-        return _decoded(self.public)
+        return _decode_base64(self.public)
 
 
 class Log(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -208,7 +208,7 @@
         raise ValueError(f"{key}: {_URL_RULE}, not {url!r}")
 
 
-def _decoded(text: str) -> bytes:
+def _decode_base64(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
