--- a/src/sassafrasstair/clocks.py
+++ b/src/sassafrasstair/clocks.py
@@ -1,7 +1,7 @@
-"""The clock interface that every part with I/O is given.
+"""The clock interface for all code that does I/O.
 
-Decisions take no clock: they take ``now``, the float seconds that
-``Clock.monotonic`` returned to their caller.
+The code in ``decisions`` takes no clock but ``now``, the seconds that
+``Clock.monotonic`` returned to its caller.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class SystemClock:
-    """The clock of the machine."""
+    """The clock of the operating system."""
 
     def monotonic(self) -> float:
         """Return ``time.monotonic()``."""
@@ -34,10 +34,10 @@
 
 
 class BootTimeClock:
-    """The clock of the machine, counting the time that it was suspended.
+    """The clock of the operating system, including time spent suspended.
 
-    ``time.monotonic()`` stands still meanwhile, so that a deadline that
-    passed long ago would still seem to lie ahead.
+    ``time.monotonic()`` stops while the machine is suspended, so a deadline
+    that has long passed would still seem to be in the future.
     """
 
     def monotonic(self) -> float:
--- a/src/sassafrasstair/decoding.py
+++ b/src/sassafrasstair/decoding.py
@@ -1,8 +1,8 @@
-"""Strict JSON decoding whose errors name the key and what is wanted.
+"""Strict JSON decoding whose errors name the key and the expected value.
 
-Settings and bundles are both decoded here. ``msgspec`` does the work; its
-errors leave out the names of dictionary entries (``$.classes[...]``), which
-people need to find the place, so these are looked up again.
+Settings and bundles are both decoded here with ``msgspec``. Its errors leave
+out the names of dictionary entries (``$.classes[...]``), which people need to
+find the faulty entry, so the entry is determined by decoding each one again.
 """
 
 from __future__ import annotations
@@ -38,7 +38,8 @@
 class DecodingError(Exception):
     """A document that does not fit its type.
 
-    ``key`` is the dotted path of the place, empty for the whole document.
+    ``key`` is the dotted path of the faulty value, empty for the whole
+    document, and ``problem`` says what is wrong there.
     """
 
     def __init__(self, key: str, problem: str) -> None:
@@ -72,8 +73,8 @@
     try:
         return msgspec.json.decode(text, type=kind)
     except msgspec.ValidationError as error:
-        # This reads the document again, and what follows the fault may
-        # not be JSON, which decode() reports then.
+        # This decodes the document again. What follows the fault may not be
+        # JSON, which decode() then reports instead.
         raise _explain(str(error), text, kind) from error
 
 
@@ -100,17 +101,17 @@
 
 
 def _name_faulty_entry(steps: list[str], text: bytes, kind: type) -> list[str]:
-    """Put the name of the faulty dictionary entry in place of "..."."""
-    at = steps.index(_UNNAMED_ENTRY)
+    """Replace "..." in a path by the name of the faulty dictionary entry."""
+    position = steps.index(_UNNAMED_ENTRY)
     section: typing.Any = msgspec.json.decode(text)
-    for step in steps[:at]:
+    for step in steps[:position]:
         section = section[step]
-    entry_kind = _type_at(kind, steps[: at + 1])
+    entry_kind = _type_at(kind, steps[: position + 1])
     for name, entry in section.items():
         try:
             msgspec.convert(entry, entry_kind)
         except msgspec.ValidationError:
-            return [*steps[:at], name, *steps[at + 1 :]]
+            return [*steps[:position], name, *steps[position + 1 :]]
     return steps
 
 
@@ -119,9 +120,11 @@
 ) -> UnknownKeyFault:
     parent = _type_at(kind, steps)
     known = getattr(parent, "__struct_fields__", ())
-    close = difflib.get_close_matches(name, known, n=1)
+    matches = difflib.get_close_matches(name, known, n=1)
     hint = (
-        f"did you mean {close[0]}?" if close else f"not one of {_join(known)}"
+        f"did you mean {matches[0]}?"
+        if matches
+        else f"not one of {_join(known)}"
     )
     return UnknownKeyFault(".".join([*steps, name]), f"unknown key, {hint}")
 
@@ -140,7 +143,7 @@
 
 
 def _type_at(kind: object, steps: list[str]) -> object:
-    """Return the type at a path within ``kind``, or ``kind`` if none is."""
+    """Return the type at a path in ``kind``, or the last type found on it."""
     for step in steps:
         if isinstance(kind, type) and issubclass(kind, msgspec.Struct):
             kind = typing.get_type_hints(kind).get(step, object)
--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -1,4 +1,4 @@
-"""Checks that the store answers, while a watch waits there."""
+"""Checks whether the store still answers while a watch waits there."""
 
 from __future__ import annotations
 
@@ -21,24 +21,26 @@
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Send a check when one is due, and note that the store has gone."""
+    """Send a check if one is due, and record when the store is lost."""
     since = feeds.lost_since(daemon.feed, now)
     if since is not None:
         reason = _dialect.SourceReason.TIMEOUT.value
         _learning.record_store_failure(daemon, since, reason, VERB)
-    demanded = _confirmations.has_revocation_bound(daemon)
-    heard = (
-        daemon.view.confirmed_at if demanded else daemon.view.store_answered_at
+    has_bound = _confirmations.has_revocation_bound(daemon)
+    last_answer_at = (
+        daemon.view.confirmed_at
+        if has_bound
+        else daemon.view.store_answered_at
     )
-    if feeds.check_due(daemon.feed, heard, now):
+    if feeds.check_due(daemon.feed, last_answer_at, now):
         _send(daemon, now)
 
 
 def _send(daemon: _state.Daemon, now: float) -> None:
-    fresh = feeds.check_sent(daemon.feed, now, daemon.rng)
+    own_connection = feeds.check_sent(daemon.feed, now, daemon.rng)
     _counters.count_store_call(daemon.counters, VERB)
     latest = _confirmations.has_revocation_bound(daemon)
-    call = asyncio.ensure_future(daemon.source.check(fresh, latest))
+    call = asyncio.ensure_future(daemon.source.check(own_connection, latest))
     daemon.store_checks.add(call)
     call.add_done_callback(
         functools.partial(_handle_check_result, daemon, now)
@@ -60,10 +62,11 @@
     if feeds.check_answered(daemon.feed, sent_at, now):
         daemon.journal.note("store_asked_anew", waited=now - sent_at)
         daemon.feed_woken.set()
-        for vain in daemon.store_checks:
-            vain.cancel()
-    # The view is as fresh as the answer only if it lacks nothing of it: a
-    # reader that hangs would else pass for one that reads.
+        for older_check in daemon.store_checks:
+            older_check.cancel()
+    # The answer shows the view to be current only if the view has all changes
+    # up to the store's revision. Otherwise a reader whose watch hangs would
+    # seem to be up to date.
     restored = views.is_restored(daemon.view, revision)
     behind = restored or _is_behind(daemon, revision, now)
     age = now - daemon.view.store_answered_at if behind else 0.0
@@ -79,7 +82,7 @@
 
 
 def _recheck_if_behind(daemon: _state.Daemon, revision: int) -> None:
-    """Ask the store at once, if the own watch still has not told."""
+    """Call the store at once if the watch has not delivered the change."""
     now = daemon.clock.monotonic()
     if _is_behind(daemon, revision, now):
         daemon.journal.note(
--- a/src/sassafrasstair/forwarding/_confirmations.py
+++ b/src/sassafrasstair/forwarding/_confirmations.py
@@ -1,7 +1,7 @@
-"""What daemons tell each other of the policy that they confirm.
+"""Sends and receives confirmations that a policy is the newest.
 
-Only where a key that is taken away must stop to work at daemons that are cut
-off, too.
+Daemons exchange them only if a revoked key must stop working within a set
+time, even at daemons that are cut off from the store.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 HEADER = b"Sassafras-Confirmed"
 HEADER_LOWER = HEADER.lower()
 CLOCK_MARGIN_RATIO = 0.02
-"""The part of the time within which a key must stop to work that is left for
-clocks whose rates differ, and for the way of a request to its instance."""
+"""Fraction of the revocation time that is reserved for clocks whose rates
+differ, and for the transfer of a request to its instance."""
 
 
 def has_revocation_bound(daemon: _state.Daemon) -> bool:
-    """Return whether keys must stop to work everywhere within a time."""
+    """Return whether revoked keys must stop working within a set time."""
     return daemon.settings.bounds.revocation_seconds is not None
 
 
@@ -39,7 +39,7 @@
 
 
 def headers(daemon: _state.Daemon, held_seconds: float = 0.0) -> httpio.Fields:
-    """Return what to tell a peer that has asked, ``held`` seconds ago."""
+    """Return the headers for a peer whose poll was held this long."""
     if not has_revocation_bound(daemon):
         return []
     now = daemon.clock.monotonic()
@@ -61,14 +61,15 @@
 
 def receive(
     daemon: _state.Daemon,
-    request_headers: abc.Mapping[bytes, bytes],
+    answer_headers: abc.Mapping[bytes, bytes],
     asked_at: float,
 ) -> None:
-    """Take what a peer that was asked at an instant confirms.
+    """Apply the confirmation in the headers of a peer's answer.
 
-    To be called once its changes are applied. Raises ``WireError``.
+    The peer was asked at ``asked_at``. Called after the changes in its answer
+    have been applied. Raises ``WireError``.
     """
-    value = request_headers.get(HEADER_LOWER)
+    value = answer_headers.get(HEADER_LOWER)
     if value is not None and has_revocation_bound(daemon):
         views.receive_confirmation(daemon.view, _decode(value), asked_at)
 
@@ -84,5 +85,5 @@
     if not (
         confirmation.age_seconds >= 0.0 and confirmation.held_seconds >= 0.0
     ):
-        raise _wire.WireError("confirmed: negative")
+        raise _wire.WireError("confirmed: negative age or hold time")
     return confirmation
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -1,7 +1,8 @@
-"""Sends new crash records to peers at once, along the feed.
+"""Sends new crash records to peers as soon as they are known.
 
-To the daemon that is followed, or from a reader to those of other failure
-domains, and as the answers to held polls.
+They go to the daemon that this one follows, or from a reader of the store to
+the readers of other failure domains, and to followers as answers to the polls
+that they hold open here.
 """
 
 from __future__ import annotations
@@ -21,12 +22,12 @@
     from sassafrasstair.forwarding import _state
 
 BATCH_SECONDS = 0.25
-"""Changes that affect no decision yet are sent in batches."""
+"""For how long changes that affect no decision yet are batched."""
 INTERVAL_SECONDS_MIN = 0.02
 FAULT_PAUSE_SECONDS = 0.5
 EARLIER_READERS_MAX = 3
-"""A daemon of the own failure domain that comes before a reader may read the
-store, too."""
+"""How many daemons that precede it in its failure domain a reader sends
+records to, as they may read the store too."""
 
 
 async def broadcast_forever(daemon: _state.Daemon) -> None:
@@ -40,7 +41,7 @@
         try:
             _broadcast(daemon)
         except Exception as error:
-            # One fault must not end all later updates.
+            # An error must not prevent later updates.
             daemon.journal.note("crash_update_failed", error=repr(error))
             await asyncio.sleep(FAULT_PAUSE_SECONDS)
         await asyncio.sleep(INTERVAL_SECONDS_MIN)
@@ -62,7 +63,7 @@
 
 
 def _hosts_to_ping(daemon: _state.Daemon) -> list[str]:
-    """Return the peers that get no answers to polls here."""
+    """Return the peers that must be pinged, as they do not poll here."""
     parent = daemon.feed.parent
     if parent is not None and parent != feeds.STORE:
         return [parent]
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -1,7 +1,7 @@
-"""Exchange of crash records with peers, on the feed's polls and pings.
+"""Exchanges crash records with peers in the feed's polls and pings.
 
-Each message carries the digest of its sender's records. Where digests differ
-all records are sent, with a pause that grows.
+Each message carries the digest of its sender's records. If the digests differ,
+all records are sent, with a growing pause between such full updates.
 """
 
 from __future__ import annotations
@@ -21,15 +21,20 @@
 
 UPDATE_PAUSE_SECONDS = 0.5
 UPDATE_PAUSE_SECONDS_MAX = 4.0
-"""Between two full updates to one peer: two daemons that evicted different
-records never come to the same digest."""
+"""First and greatest pause between two full updates to one peer. The pause
+grows because two daemons that evicted different records never reach the same
+digest."""
 PEERS_MAX = 400
-"""Daemons whose digest is remembered; one is followed by 222 at most."""
+"""How many peers' digests are remembered; a daemon has at most 222
+followers."""
 
 
 @dataclasses.dataclass(slots=True)
 class PeerDigest:
-    """A peer's digest, and when it may get a full update again."""
+    """The digest of a peer's records, and when a full update is due.
+
+    ``update_pause`` is the time from the next full update to the one after.
+    """
 
     digest: int
     next_update_at: float = 0.0
@@ -37,7 +42,7 @@
 
 
 def header(daemon: _state.Daemon, host: str) -> tuple[bytes, bytes]:
-    """Return the field for a message to a peer."""
+    """Return the header for a peer, with all records if an update is due."""
     ledger = daemon.crash_ledger
     if not needs_full_update(daemon, host):
         return _crash_wire.HEADER, _crash_wire.encode(ledger.digest)
@@ -56,7 +61,7 @@
 
 
 def needs_full_update(daemon: _state.Daemon, host: str) -> bool:
-    """Return whether a peer has other records and may get all again."""
+    """Return whether a peer's records differ and a full update is due."""
     peer = daemon.crash_peers.get(host)
     if peer is None or peer.digest == daemon.crash_ledger.digest:
         return False
--- a/src/sassafrasstair/forwarding/_crash_wire.py
+++ b/src/sassafrasstair/forwarding/_crash_wire.py
@@ -1,7 +1,7 @@
-"""Format of crash records between daemons: one field of polls and pings.
+"""Encodes crash records as a header of polls and pings between daemons.
 
-The value is the digest of the sender's records and, where the receiver may
-lack some, records in base64.
+The value is the digest of the sender's records, followed by records in base64
+if the receiver may lack some.
 """
 
 from __future__ import annotations
@@ -25,7 +25,14 @@
 
 
 class _Record(msgspec.Struct, array_like=True, frozen=True):
-    """One crash; ages and times in ms, ``isolated`` bits by place."""
+    """One crash of an instance, ``age_ms`` ago.
+
+    ``born`` is when the crashed run of the instance started, in Unix
+    milliseconds. ``fingerprints`` are those of the requests under way at the
+    crash, concatenated, and ``elapsed_ms`` is for how long each had run. The
+    bit fields have one bit per request, by its index: whether it has been
+    completed since, had been completed before, or was isolated.
+    """
 
     instance: str
     born: int
@@ -38,7 +45,7 @@
 
 
 def encode(digest: int, reports: abc.Sequence[crashes.Report] = ()) -> bytes:
-    """Return the field's value."""
+    """Return the value of the header."""
     value = b"%016x" % digest
     if not reports:
         return value
@@ -65,7 +72,7 @@
 
 def _report_to_record(report: crashes.Report) -> _Record:
     isolated = sum(
-        1 << place for place, run in enumerate(report.runs) if run.isolated
+        1 << index for index, run in enumerate(report.runs) if run.isolated
     )
     size = crashes.FINGERPRINT_BYTES
     return _Record(
@@ -84,22 +91,22 @@
     size = crashes.FINGERPRINT_BYTES
     count = len(record.elapsed_ms)
     if count > crashes.RUNS_MAX or len(record.fingerprints) != size * count:
-        raise ValueError(f"{count} runs")
+        raise ValueError(f"invalid number of runs: {count}")
     if record.age_ms < 0 or min(record.elapsed_ms, default=0) < 0:
-        raise ValueError("a time before its start")
+        raise ValueError("negative age or duration")
     isolated = _decode_bits(record.isolated_bits, count)
     runs = tuple(
         crashes.Run(
             int.from_bytes(
-                record.fingerprints[size * place : size * (place + 1)], "big"
+                record.fingerprints[size * index : size * (index + 1)], "big"
             ),
             millis / _MS_PER_SECOND,
-            bool(isolated >> place & 1),
+            bool(isolated >> index & 1),
         )
-        for place, millis in enumerate(record.elapsed_ms)
+        for index, millis in enumerate(record.elapsed_ms)
     )
     if len({run.fingerprint for run in runs}) != count:
-        raise ValueError("a request twice")
+        raise ValueError("duplicate fingerprint")
     return crashes.Report(
         (record.instance, record.born),
         record.age_ms / _MS_PER_SECOND,
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -1,8 +1,9 @@
-"""What daemons tell each other of policy and instances.
+"""Encodes the polls by which daemons exchange policy and instances.
 
-A daemon asks for what changed after its own content, and names in a field
-for how long its poll may wait for news. A daemon of the version before
-does not know the field and answers at once with its whole view.
+A daemon polls for the changes since its own revision, and a header says for
+how long the poll may be held open until there are any. A daemon of the
+previous release does not know the header and answers at once with its whole
+view.
 """
 
 from __future__ import annotations
@@ -23,13 +24,13 @@
 HEADER_LOWER = HEADER.lower()
 SENDER_HEADER = b"Sassafras-Sender"
 SENDER_HEADER_LOWER = SENDER_HEADER.lower()
-"""Names the process that polls."""
+"""Identifies the process that polls."""
 LOOP_STATUS = 508
-"""Said by a daemon that gets a poll of its own."""
+"""Status of the answer to a daemon that has polled itself."""
 HOLD_SECONDS_MAX = 10.0
-"""No poll waits longer, whatever it says."""
+"""Greatest hold time of a poll; a longer one is an error."""
 AGE_SECONDS_MAX = 86_400.0
-"""A view that nobody has heard of the store for is told as a day old."""
+"""Greatest age in an answer, used if the store has never answered."""
 _NOT_LOST = "-"
 _T = typing.TypeVar("_T")
 
@@ -39,10 +40,10 @@
 ) -> bytes:
     """Return the head of a poll for what changed after a revision.
 
-    That up to which the view goes, and not its last change: a peer whose own
-    last change seems later, as after a reading of the whole, has then nothing
-    to tell, and would be asked again and again for what it can't give.
-    ``told`` are more fields.
+    ``after`` is the revision up to which the view has all changes, not that
+    of its last change. With the latter, a peer whose own last change seems
+    later, as after a full read, would have nothing to send and would be
+    polled again and again. ``headers`` are added to the head.
     """
     target = b"%s?after=%d" % (VIEW_PATH, after)
     fields = [
@@ -56,9 +57,10 @@
 def decode_poll(
     query: bytes, header: bytes | None
 ) -> tuple[int, float | None]:
-    """Return the content and the hold; None from an older daemon.
+    """Return the revision to answer from and the hold time in seconds.
 
-    Raises ``WireError``.
+    The hold time is None if a daemon of the previous release polls. Raises
+    ``WireError``.
     """
     _, _, after = query.partition(b"=")
     try:
@@ -71,7 +73,7 @@
 
 
 def encode_status(status: feeds.PeerStatus, content: int) -> bytes:
-    """Return the field's value of an answer; ``content`` is the view's."""
+    """Return the header of an answer; ``content`` is the view's revision."""
     lost = _NOT_LOST if status.lost is None else f"{status.lost:.3f}"
     return b"%d %d %s %.3f %d %.3f" % (
         status.revision,
@@ -86,7 +88,7 @@
 def decode_answer(
     header: bytes, body: bytes
 ) -> tuple[feeds.PeerStatus, views.Delta]:
-    """Return what a daemon tells; raises ``WireError``."""
+    """Return the status and changes of a peer; raises ``WireError``."""
     try:
         parts = header.decode().split(" ")
         revision, content, lost, unsteady, leaving, age = parts
@@ -107,19 +109,19 @@
 
 
 def encode_delta(delta: views.Delta) -> bytes:
-    """Return the body of an answer; nothing when nothing changed."""
+    """Return the body of an answer, empty if nothing changed."""
     return b"" if delta.empty else msgspec.msgpack.encode(delta)
 
 
 def encode_snapshot(snapshot: views.Snapshot) -> bytes:
-    """Return a snapshot for a daemon of the version before."""
+    """Return the body of an answer to a daemon of the previous release."""
     return msgspec.msgpack.encode(snapshot)
 
 
 def decode_snapshot(body: bytes) -> views.Snapshot:
     """Return the snapshot of a daemon; raises ``WireError``.
 
-    Instances that can't be used are left out.
+    Unusable instances are left out.
     """
     snapshot = _decode_body(body, views.Snapshot)
     _check_policy(snapshot.policy)
@@ -142,5 +144,5 @@
 def _parse_seconds(value: str) -> float:
     seconds = float(value)
     if not 0.0 <= seconds < math.inf:
-        raise ValueError(f"not seconds: {value!r}")
+        raise ValueError(f"not a duration in seconds: {value!r}")
     return seconds
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -1,4 +1,4 @@
-"""Taking news of policy and instances into use, and telling it in the log."""
+"""Applies changes of policy and instances to the view, and logs them."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
     from collections import abc
 
 REFUSED_ITEMS_MAX = 1_000
-"""Keys of unusable items whose revision is remembered, so that each is
-logged once."""
+"""How many keys of unusable items are remembered with their revision, so that
+each item is logged once."""
 LOGGED_CHARACTERS_MAX = 200
-"""Characters of a key or reason in a log line; the store takes no longer
-keys."""
+"""Characters of a key or reason in a log line; keys in the store are no
+longer than this."""
 
 
 def take_reading(daemon: _state.Daemon, reading: _dialect.Reading) -> None:
-    """Take an answer of the store."""
+    """Apply an answer of the store to the view."""
     now = daemon.clock.monotonic()
     record_store_answer(daemon, now)
     log_refused_items(daemon, reading.refused)
@@ -42,9 +42,9 @@
 def take_stale_reading(
     daemon: _state.Daemon, reading: _dialect.Reading
 ) -> None:
-    """Take an answer that may be seconds old, so from before the era.
+    """Apply an answer that may be seconds old, and so from an earlier era.
 
-    It says nothing of which changes are known.
+    It is applied without its revisions, which do not show what is known.
     """
     unordered = dataclasses.replace(
         reading, revision=views.UNORDERED, content=views.UNORDERED
@@ -58,7 +58,7 @@
     delta: views.Delta,
     host: str,
 ) -> bool:
-    """Take what a daemon told; return whether anything became different."""
+    """Apply the changes of a peer; return whether any had an effect."""
     now = daemon.clock.monotonic()
     views.note_unsteady(daemon.view, status.unsteady_seconds, now)
     news = views.take_delta(daemon.view, delta, now)
@@ -69,7 +69,7 @@
 def record_store_answer(
     daemon: _state.Daemon, now: float, age: float = 0.0
 ) -> None:
-    """Note a word of the store, that a daemon may have had ``age`` ago."""
+    """Record an answer of the store, given to any daemon ``age`` ago."""
     away = views.lost_store_seconds(daemon.view, now) or 0.0
     if views.store_answered(daemon.view, now, age):
         _counters.count_state_change(daemon.counters, "store_back")
@@ -85,7 +85,7 @@
 def record_store_failure(
     daemon: _state.Daemon, since: float, reason: str, detail: str
 ) -> None:
-    """Note that there has been no word of the store since then."""
+    """Record that the store has not answered since ``since``."""
     if views.store_failed(daemon.view, since):
         _counters.count_state_change(daemon.counters, "store_lost")
         daemon.journal.note(
@@ -103,7 +103,7 @@
     error: _dialect.SourceError,
     started_at: float,
 ) -> None:
-    """Log a call to the store that has no answer, once it is over."""
+    """Log a call to the store that has failed."""
     now = daemon.clock.monotonic()
     daemon.journal.request(
         "store_call_failed",
@@ -117,7 +117,7 @@
 def _log_outdated_reading(
     daemon: _state.Daemon, reading: _dialect.Reading
 ) -> None:
-    """Log an answer that is dropped, as older than what is known."""
+    """Log an answer that is dropped, as it is older than the view."""
     _counters.count_state_change(daemon.counters, "reading_outdated")
     daemon.journal.request(
         "reading_outdated",
@@ -132,7 +132,7 @@
 def log_refused_items(
     daemon: _state.Daemon, items: abc.Iterable[_dialect.RefusedItem]
 ) -> None:
-    """Log and count each item that could not be used, once a revision."""
+    """Log and count each unusable item, once per revision."""
     for item in items:
         if item.key and not _is_new_refusal(daemon, item):
             continue
@@ -152,7 +152,10 @@
     changes: abc.Sequence[tuple[views.News, str]],
     source: str,
 ) -> None:
-    """Log what became different, take it into use and tell it on."""
+    """Log changes of the view and update the state that depends on it.
+
+    The held polls of peers that lack the changes are answered.
+    """
     for news, key in changes:
         _counters.count_state_change(daemon.counters, news.value)
         if news is views.News.RESTARTED:
@@ -174,8 +177,8 @@
     feeds.learn_hosts(daemon.feed, own_domain_hosts, daemon.clock.monotonic())
     daemon.foreign_readers = [
         reader
-        for far in hosts_by_domain.values()
-        for reader in feeds.reader_hosts(far)
+        for hosts in hosts_by_domain.values()
+        for reader in feeds.reader_hosts(hosts)
     ]
     daemon.feed.checks_for_all = feeds.is_first(
         {*own_domain_hosts, daemon.feed.own_host}, daemon.foreign_readers
@@ -197,7 +200,7 @@
         )
         return
     if news is views.News.RESTORED:
-        # The revisions that refused items had are given out again.
+        # A restored store reuses the revisions of refused items.
         daemon.refused_items.clear()
         daemon.journal.note(
             news.value,
@@ -216,7 +219,7 @@
 
 
 def _is_new_refusal(daemon: _state.Daemon, item: _dialect.RefusedItem) -> bool:
-    """Return whether the item had not been refused at this revision."""
+    """Return whether the item was not yet refused at this revision."""
     if daemon.refused_items.get(item.key) == item.revision:
         return False
     daemon.refused_items.pop(item.key, None)
@@ -229,9 +232,9 @@
 def _instance_fields(
     instance: views.Instance | None,
 ) -> dict[str, str | int | float]:
-    """Return what a log line tells of an instance.
+    """Return the fields of an instance in a log line.
 
-    Two entries with one address, or one instance with few slots, explain
+    Two entries with the same address, or an instance with few slots, explain
     failures that the id alone does not.
     """
     if instance is None:
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -1,4 +1,4 @@
-"""Learning from daemons that are not followed, when they know more."""
+"""Pulls changes from daemons that this one does not follow."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 from sassafrasstair import httpio
 
 PULL_INTERVAL_SECONDS = 0.3
-"""Between two questions to peers while the store is away."""
+"""Mean interval between two pulls while the store gives no answer."""
 PINGS_WHEN_STALLED = 6
-"""Daemons of other failure domains that a deaf reader asks at once: those of
-two domains that read, or would next."""
+"""How many daemons of other failure domains a reader pings at once if the
+store does not answer: in two domains, those that read the store or would be
+the next to read it."""
 ANSWER_TIMEOUT_SECONDS = 1.0
-"""For the answer to one; it takes milliseconds."""
+"""Timeout for an answer, which normally takes milliseconds."""
 
 
 async def pull_while_store_lost(daemon: _state.Daemon) -> None:
-    """Ask others for what they know while the store gives no answer.
+    """Pull changes from peers while the store gives no answer.
 
-    Only a daemon that would read the store itself does: the others follow
-    one that does.
+    Only daemons that would read the store themselves do so, as the others
+    follow one of those.
     """
     while True:
         await asyncio.sleep(
@@ -40,10 +41,11 @@
 
 
 async def compare_with_peers(daemon: _state.Daemon) -> None:
-    """Hear from time to time how far another failure domain's view goes.
+    """Compare this reader's view with those of other failure domains.
 
     A reader whose watch has stalled, or that is cut off from the store, would
-    keep its whole domain behind. It asks several: any may be up to date.
+    keep its whole failure domain behind. Such a reader pings several daemons,
+    as any of them may be up to date.
     """
     while True:
         pause = daemon.feed.timing.compare_interval * (
@@ -63,7 +65,7 @@
 
 
 def note_peer_content(daemon: _state.Daemon, host: str, content: int) -> None:
-    """Note what a peer knows; ask it if that stays more for a moment."""
+    """Pull from a peer if its view stays newer than this one for a while."""
     if daemon.pulled_hosts or not views.is_behind(daemon.view, content):
         return
     daemon.pulled_hosts.add(host)
@@ -90,9 +92,10 @@
 
 
 def _pull_from_others(daemon: _state.Daemon) -> None:
-    """Ask those of the own domain that may read the store, and one more.
+    """Pull from the possible readers of the own failure domain, and one more.
 
-    A host that can't be reached must not keep the others from being asked.
+    All are asked at once, so that an unreachable host does not delay the
+    others.
     """
     port = daemon.settings.daemons.port
     asked = {
@@ -111,15 +114,23 @@
 
 
 def _other_addresses(daemon: _state.Daemon) -> list[_dialect.Address]:
-    """Return whom to ask: another failure domain, the own one, or the seeds.
+    """Return the daemons of another failure domain, the own one, or the seeds.
 
-    In a domain that is cut off only its own daemons may know more. Each is
-    asked about as often.
+    In a failure domain that is cut off, only its own daemons may have newer
+    changes, so the own and the other domains are chosen equally often.
     """
     port = daemon.settings.daemons.port
-    near = [host for host in daemon.hosts if host in daemon.feed.hosts]
-    far = [host for host in daemon.hosts if host not in daemon.feed.hosts]
-    hosts = (near or far) if daemon.rng.random() < 0.5 else (far or near)
+    own_domain_hosts = [
+        host for host in daemon.hosts if host in daemon.feed.hosts
+    ]
+    other_hosts = [
+        host for host in daemon.hosts if host not in daemon.feed.hosts
+    ]
+    hosts = (
+        (own_domain_hosts or other_hosts)
+        if daemon.rng.random() < 0.5
+        else (other_hosts or own_domain_hosts)
+    )
     found = [_dialect.Address(host, port) for host in hosts]
     return found or list(daemon.settings.seeds)
 
@@ -127,7 +138,7 @@
 def ping(
     daemon: _state.Daemon, host: str, header: tuple[bytes, bytes]
 ) -> None:
-    """Ask a daemon how far its view goes, and tell it one field."""
+    """Ask a daemon for the revision of its view; add one header."""
     fields = [(b"Host", host.encode()), header]
     head = httpio.request_head(b"GET", _wire.PING_PATH, fields, 0)
     asked_at = daemon.clock.monotonic()
@@ -153,11 +164,11 @@
         state = _wire.decode_state(
             result.found.get(_wire.STATE_HEADER_LOWER, b"")
         )
-        field = result.found.get(_feed_wire.HEADER_LOWER)
-        if field is not None and not views.is_behind(
+        header = result.found.get(_feed_wire.HEADER_LOWER)
+        if header is not None and not views.is_behind(
             daemon.view, state.content
         ):
-            status, _ = _feed_wire.decode_answer(field, b"")
+            status, _ = _feed_wire.decode_answer(header, b"")
             now = daemon.clock.monotonic()
             views.note_peer_age(daemon.view, status.age_seconds, now)
         _confirmations.receive(daemon, result.found, asked_at)
@@ -174,7 +185,7 @@
 
 
 def _pull(daemon: _state.Daemon, address: _dialect.Address) -> None:
-    """Ask a daemon for what it knows more."""
+    """Poll a daemon for the changes that this one lacks."""
     daemon.pulled_hosts.add(address.host)
     header = _crash_updates.header(daemon, address.host)
     head = _feed_wire.poll_head(
@@ -205,11 +216,11 @@
 
 
 def _abort_if_unanswered(job: httpio.Job) -> bool:
-    """Cut a question that has no answer; return whether it had none."""
-    late = job.wanted
-    if late:
+    """Abort a request without an answer; return whether it had none."""
+    unanswered = job.wanted
+    if unanswered:
         job.abort()
-    return late
+    return unanswered
 
 
 def _handle_pull_result(
@@ -228,9 +239,9 @@
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
-    doubtful = feeds.reads_store(daemon.feed) and not _lacks_store(daemon)
-    if news and doubtful:
-        # The own watch should have told it.
+    reads_store = feeds.reads_store(daemon.feed) and not _lacks_store(daemon)
+    if news and reads_store:
+        # The watch of this daemon should have delivered the changes.
         feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
         daemon.feed_woken.set()
 
@@ -238,14 +249,14 @@
 def _apply_answer(
     daemon: _state.Daemon, host: str, result: httpio.Response
 ) -> bool:
-    field = result.found.get(_feed_wire.HEADER_LOWER)
-    if field is not None:
-        status, delta = _feed_wire.decode_answer(field, result.body)
+    header = result.found.get(_feed_wire.HEADER_LOWER)
+    if header is not None:
+        status, delta = _feed_wire.decode_answer(header, result.body)
         return _learning.take_delta(daemon, status, delta, host)
-    # A daemon of the version before tells all that it knows.
+    # A daemon of the previous release sends its whole view.
     snapshot = _feed_wire.decode_snapshot(result.body)
-    told = views.adopt_snapshot(
+    news = views.adopt_snapshot(
         daemon.view, snapshot, daemon.clock.monotonic()
     )
-    _learning.apply_news(daemon, told, f"peer {host}")
-    return bool(told)
+    _learning.apply_news(daemon, news, f"peer {host}")
+    return bool(news)
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -1,4 +1,4 @@
-"""Confirming at the store that the active policy is the newest."""
+"""Confirms with the store that the active policy is the newest."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     asked_at: float,
     after: int | None,
 ) -> None:
-    """Note what an answer of the store's latest state confirms.
+    """Record what an answer with the store's latest state confirms.
 
-    ``after`` is where a watch began, None for a reading of the whole.
+    ``after`` is the revision from which a watch began, None for a full read.
     """
     view = daemon.view
     if after is not None:
@@ -39,9 +39,12 @@
 def confirm_revision(
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> None:
-    """Take the store's revision at its latest state, asked at an instant.
+    """Confirm the policy if the store is at a revision that the view covers.
 
-    A watch may be about to tell the change behind a greater one.
+    ``revision`` is that of the store's latest state, asked for at
+    ``asked_at``. If it is greater than the view's, the watch may be about to
+    deliver the change. The policy is read only if it still has not after a
+    while.
     """
     if not _confirmations.has_revocation_bound(
         daemon
@@ -80,7 +83,7 @@
 
 
 async def _read_policy(daemon: _state.Daemon) -> None:
-    """Read the policy alone: the watch has not told what has changed."""
+    """Read only the policy, as the watch has not delivered the change."""
     asked_at = daemon.clock.monotonic()
     _counters.count_store_call(daemon.counters, VERB)
     try:
@@ -104,10 +107,10 @@
 def _confirm_versions(
     daemon: _state.Daemon, reading: _dialect.Reading, asked_at: float
 ) -> bool:
-    """Confirm the policy of a reading; one that can't be used is none.
+    """Confirm the policy in a reading; an unusable policy is ignored.
 
-    One of a later era than the view's confirms nothing before the whole of
-    that era is read.
+    A reading of a later era than the view's confirms nothing until a full
+    read of that era.
     """
     if views.is_restored(daemon.view, reading.revision):
         return False
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -1,8 +1,8 @@
-"""Polls of other daemons for what is new, kept until there is news.
+"""Answers polls of other daemons, held open until there are changes.
 
-Nothing is held for a daemon but its poll: what it is told is what
-changed after its own content when it is answered, so changes of one entry
-coalesce and a daemon that reads slowly costs no memory.
+Only the poll itself is kept. The answer has what changed since the revision
+that the poll names, computed when it is sent. So several changes of an entry
+coalesce, and a daemon that reads slowly costs no memory.
 """
 
 from __future__ import annotations
@@ -22,18 +22,20 @@
     from sassafrasstair import httpio
 
 HELD_POLLS_MAX = 300
-"""Polls kept at once; a daemon is followed by six, and by all of its
-failure domain, 222, if these know no other. More are refused,
-and whoever is refused turns to another daemon."""
+"""Greatest number of held polls. A daemon has six followers, or all 222
+daemons of its failure domain if these know no other. Further polls are
+refused, and their senders turn to another daemon."""
 ENCODED_ANSWERS_MAX = 16
-"""Answers kept encoded: followers mostly ask from the same content."""
+"""Cached answers; followers mostly poll from the same revision."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class HeldPoll:
-    """One poll for what changed after ``after``, kept ``until``.
+    """A poll that is held open until there are changes.
 
-    ``came`` is when it was read.
+    ``after`` is the revision from which the sender needs changes. The poll
+    was read at ``received_at`` and is answered at ``held_until`` at the
+    latest.
     """
 
     exchange: httpio.Exchange
@@ -45,7 +47,7 @@
 def serve(
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
-    """Answer a poll, or keep it until there is news."""
+    """Answer a poll, or hold it open until there are changes."""
     header = exchange.request.found.get(_feed_wire.HEADER_LOWER)
     try:
         after, hold = _feed_wire.decode_poll(query, header)
@@ -80,7 +82,7 @@
 
 
 def status_header(daemon: _state.Daemon) -> tuple[bytes, bytes]:
-    """Return the field that tells how far and how fresh the own view is."""
+    """Return the header with the revision and age of this daemon's view."""
     view, now = daemon.view, daemon.clock.monotonic()
     status = feeds.PeerStatus(
         view.revision,
@@ -93,20 +95,20 @@
 
 
 def answer_outdated(daemon: _state.Daemon) -> None:
-    """Answer all for whom there is news."""
+    """Answer the polls of all daemons that lack changes."""
     daemon.encoded_answers.clear()
-    _answer_if(daemon, lambda one: daemon.view.content > one.after)
+    _answer_if(daemon, lambda poll: daemon.view.content > poll.after)
 
 
 def answer_all(daemon: _state.Daemon) -> None:
-    """Answer all: what this daemon says of itself has changed."""
-    _answer_if(daemon, lambda one: True)
+    """Answer all polls, as the status of this daemon has changed."""
+    _answer_if(daemon, lambda poll: True)
 
 
 def answer_with_crashes(
     daemon: _state.Daemon, header: tuple[bytes, bytes]
 ) -> None:
-    """Answer with what is new of crashes all who may not know it."""
+    """Answer all polls of daemons that may lack the new crash records."""
     due = [
         poll
         for poll in daemon.held_polls
@@ -118,18 +120,20 @@
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Answer those that have waited for as long as they asked for."""
+    """Answer the polls whose hold time has passed."""
     if daemon.held_polls:
-        _answer_if(daemon, lambda one: one.held_until <= now)
+        _answer_if(daemon, lambda poll: poll.held_until <= now)
 
 
 def _answer_if(
     daemon: _state.Daemon, is_due: typing.Callable[[HeldPoll], bool]
 ) -> None:
-    due = [one for one in daemon.held_polls if is_due(one)]
+    due = [poll for poll in daemon.held_polls if is_due(poll)]
     if not due:
         return
-    daemon.held_polls = [one for one in daemon.held_polls if not is_due(one)]
+    daemon.held_polls = [
+        poll for poll in daemon.held_polls if not is_due(poll)
+    ]
     for poll in due:
         _answer(daemon, poll)
 
@@ -165,7 +169,7 @@
 def _serve_snapshot(
     daemon: _state.Daemon, exchange: httpio.Exchange, after: int
 ) -> None:
-    """Answer a daemon of the version before: all that is known."""
+    """Answer a daemon of the previous release with the whole view."""
     if after >= daemon.view.content:
         exchange.respond(204, [], b"")
         return
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -1,4 +1,4 @@
-"""Pings to daemons that have fallen silent."""
+"""Pings daemons that do not answer."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 PING_TIMEOUT_SECONDS = 0.5
-"""A daemon that does not answer a new connection for so long is silent."""
+"""Timeout for a ping on a new connection; then the daemon is silent."""
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Ping the daemons of instances that are silent or left alone."""
+    """Ping the daemons of instances that are silent or ejected."""
     for vm in calls.probe_due(daemon.routes, now):
         instance = views.instance_by_id(daemon.view, vm)
         own = daemon.settings.host
@@ -34,8 +34,8 @@
         b"GET", _wire.PING_PATH, [(b"Host", host.encode())], 0
     )
     job = httpio.Job(head, functools.partial(_handle_pong, daemon, vm, host))
-    # A new connection: an old one may have gone silent by itself, and then
-    # says nothing of the VM.
+    # An old connection may have failed by itself, which would show nothing
+    # about the VM.
     _state.pool(daemon, host).send_on_new(job)
     asyncio.get_running_loop().call_later(
         PING_TIMEOUT_SECONDS, _handle_timeout, daemon, vm, host, job
--- a/src/sassafrasstair/forwarding/_quota_wire.py
+++ b/src/sassafrasstair/forwarding/_quota_wire.py
@@ -1,4 +1,4 @@
-"""Messages on quotas between daemons, as MessagePack."""
+"""Encodes messages about quotas between daemons as MessagePack."""
 
 from __future__ import annotations
 
@@ -33,5 +33,5 @@
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise _wire.WireError(f"quota: {error}") from error
     if not quotas.is_valid(message):
-        raise _wire.WireError("quota: an amount out of range")
+        raise _wire.WireError("quota: amount out of range")
     return message
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -1,7 +1,7 @@
-"""The allocator of a failure domain, and what it tells those of others.
+"""Runs the allocator of a failure domain and its exchange with others.
 
-It runs in the daemon that the others of its domain ask, the first one of the
-domain's order as long as that answers.
+It runs in the daemon that the others of its failure domain ask for tokens:
+the first one in the order of the domain, as long as that one answers.
 """
 
 from __future__ import annotations
@@ -25,18 +25,19 @@
 
 TICK_INTERVAL_SECONDS = 0.2
 UPDATE_INTERVAL_SECONDS = 0.4
-"""Between two updates of another domain without news: they show that this
-allocator is there."""
+"""Interval between updates to another failure domain when nothing changes, to
+show that this allocator is running."""
 ANSWER_TIMEOUT_SECONDS = 0.3
 START_DELAY_SECONDS = 4.0
-"""After its start a daemon may not know yet who comes before it."""
+"""For how long a starting daemon runs no allocator by itself, as it may not
+know yet which daemons precede it."""
 IDLE_TIMEOUT_SECONDS = 3.0
-"""Without a question for so long an allocator ends if its domain has another
-one."""
+"""After how long without a request an allocator stops, if its failure domain
+has another one."""
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Do the periodic work of the allocator, if it runs here."""
+    """Do the periodic work of the allocator, or start it if it is due."""
     allocation = daemon.allocation
     if allocation is None:
         settled = now - daemon.feed.started_at >= START_DELAY_SECONDS
@@ -59,7 +60,7 @@
 
 
 def activate(daemon: _state.Daemon, now: float) -> _tokens.Allocation:
-    """Return the allocator of this daemon; it starts if it did not run."""
+    """Return the allocator of this daemon, starting it if necessary."""
     if daemon.allocation is not None:
         return daemon.allocation
     domain = daemon.settings.failure_domain
@@ -80,7 +81,7 @@
 def grant_tokens(
     daemon: _state.Daemon, request: quotas.AllocationRequest
 ) -> quotas.GrantResponse:
-    """Return tokens for a daemon of the own domain."""
+    """Return tokens for a daemon of this failure domain."""
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
     allocation.asked_at = now
@@ -96,7 +97,7 @@
 def serve(
     daemon: _state.Daemon, exchange: httpio.Exchange, path: bytes
 ) -> None:
-    """Answer a message of another daemon."""
+    """Answer a request for tokens, or an update of another allocator."""
     body = exchange.request.body
     answer: quotas.GrantResponse | quotas.Acknowledgement
     try:
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -1,4 +1,4 @@
-"""Keeping the view: from the store, or from the daemon that is followed."""
+"""Keeps the view current, from the store or the daemon that is followed."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from sassafrasstair import httpio
 
 FAULT_SECONDS = 0.5
-"""After a fault of our own, until the next step."""
+"""Pause after an internal error, before the next step."""
 _Result = httpio.Response | httpio.Failure
 
 
 async def update_view_forever(daemon: _state.Daemon) -> None:
-    """Keep the view until cancelled."""
+    """Keep the view current until cancelled."""
     while True:
         daemon.feed_woken.clear()
         before = daemon.feed.parent
@@ -37,7 +37,7 @@
         try:
             await _run_step(daemon, step)
         except Exception as error:
-            # One fault must not end the feed of all who follow this daemon.
+            # An error must not end the feed of this daemon's followers.
             daemon.journal.note("feed_failed", error=repr(error))
             await asyncio.sleep(FAULT_SECONDS)
 
@@ -67,11 +67,11 @@
     stale: bool,
     after: int | None,
 ) -> None:
-    """Call the store and take its answer.
+    """Call the store and apply its answer.
 
-    ``after`` is where a watch begins. Ended when something stirs the daemon,
-    so that a watch that hears nothing while peers know more is not waited
-    for.
+    ``after`` is the revision from which a watch begins. The call is cancelled
+    when ``feed_woken`` is set, so that the daemon does not wait for a stalled
+    watch while peers have newer changes.
     """
     _counters.count_store_call(daemon.counters, verb)
     started_at = daemon.clock.monotonic()
@@ -99,12 +99,12 @@
 ) -> None:
     now = daemon.clock.monotonic()
     try:
-        reading_result = reading.result()
+        result = reading.result()
     except _dialect.SourceError as error:
-        gone = error.reason is _dialect.SourceReason.HISTORY_GONE
+        history_gone = error.reason is _dialect.SourceReason.HISTORY_GONE
         _learning.log_failed_call(daemon, verb, error, started_at)
-        feeds.read_failed(daemon.feed, now, gone, daemon.rng)
-        if gone:
+        feeds.read_failed(daemon.feed, now, history_gone, daemon.rng)
+        if history_gone:
             daemon.journal.note("store_history_gone")
         else:
             _learning.record_store_failure(
@@ -112,19 +112,17 @@
             )
         return
     if stale:
-        _learning.take_stale_reading(daemon, reading_result)
+        _learning.take_stale_reading(daemon, result)
     else:
-        _learning.take_reading(daemon, reading_result)
-        _policy_checks.confirm_reading(
-            daemon, reading_result, started_at, after
-        )
-    feeds.read_done(daemon.feed, now, stale, bool(reading_result.changes))
+        _learning.take_reading(daemon, result)
+        _policy_checks.confirm_reading(daemon, result, started_at, after)
+    feeds.read_done(daemon.feed, now, stale, bool(result.changes))
 
 
 async def _poll_parent(
     daemon: _state.Daemon, host: str, hold_seconds: float, timeout: float
 ) -> None:
-    """Ask the daemon that is followed for what is new."""
+    """Poll the daemon that is followed for changes."""
     crash_header = _crash_updates.header(daemon, host)
     sender_header = (_feed_wire.SENDER_HEADER, daemon.process_mark)
     after = daemon.view.revision
@@ -142,7 +140,7 @@
         return
     status_header = result.found.get(_feed_wire.HEADER_LOWER)
     if result.status != 200 or status_header is None:
-        # A daemon of the version before, which can't be waited at.
+        # A daemon of the previous release, which holds no polls open.
         _handle_parent_failure(daemon, host, f"status {result.status}")
         return
     try:
@@ -171,7 +169,7 @@
 async def _send_poll(
     daemon: _state.Daemon, host: str, head: bytes, timeout: float
 ) -> _Result:
-    """Send a poll on a kept connection, once more on a new one."""
+    """Send a poll on a pooled connection; retry it once on a new one."""
     pool = _state.pool(daemon, host)
     loop = asyncio.get_running_loop()
     deadline = loop.time() + timeout
@@ -184,13 +182,13 @@
             async with asyncio.timeout_at(deadline):
                 result = await answer
         except TimeoutError:
-            # Other kept connections to it may have fallen silent as well.
+            # Other pooled connections to the daemon may hang as well.
             pool.drop_idle()
             return httpio.Failure.LOST
         finally:
             if job.wanted:
                 job.abort()
-        # A connection that was reset says nothing of the daemon behind it.
+        # A reset connection does not show that the daemon has failed.
         if result is not httpio.Failure.LOST:
             return result
     return result
@@ -211,13 +209,13 @@
 
 
 def _adopt_own_address(daemon: _state.Daemon, host: str) -> None:
-    """Go on as the daemon at ``host``: the store names this one so."""
+    """Use ``host`` as the address of this daemon, as the store does."""
     daemon.journal.note("follows_itself", peer=host, own=daemon.feed.own_host)
     feeds.adopt_address(daemon.feed, host)
 
 
 def _log_parent(daemon: _state.Daemon, before: str | None) -> None:
-    """Log whom the daemon follows from now on."""
+    """Log which daemon, or the store, is followed from now on."""
     feed = daemon.feed
     _counters.count_state_change(daemon.counters, "parent_changed")
     daemon.journal.note(
--- a/src/sassafrasstair/histograms.py
+++ b/src/sassafrasstair/histograms.py
@@ -1,8 +1,9 @@
 """Histograms as plain counts, rendered by ``aioprometheus``.
 
-Its collectors take 7 to 10 us for each observation, for they encode the
-labels each time. So counts are kept here and become collectors only when
-somebody reads them; the library is imported then, for its 5 MB.
+The library's collectors take 7 to 10 us for each observation, as they encode
+the labels each time. So counts are kept here and are copied to collectors
+only when metrics are read. The library is imported only then, as it takes
+5 MB.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
     30.0,
     60.0,
 )
-"""Upper bounds in seconds: a hop takes 1 ms, large bodies take minutes."""
+"""Upper bounds in seconds: from 1 ms for a hop to minutes for large bodies."""
 
 
 PREFIX = "sassafrasstair_"
@@ -47,7 +48,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Series:
-    """One histogram: counts for each bucket, the last is +Inf."""
+    """One histogram: a count per bucket, of which the last is +Inf."""
 
     counts: list[int] = dataclasses.field(
         default_factory=lambda: [0] * (len(BUCKETS) + 1)
@@ -74,7 +75,7 @@
     labels: tuple[str, ...],
     counts: abc.Mapping[typing.Any, int],
 ) -> bytes:
-    """Return a counter whose series are keyed by their labels' values."""
+    """Return a counter whose series are keyed by their label values."""
     from aioprometheus import collectors
 
     registry = collectors.Registry()
@@ -85,7 +86,7 @@
 
 
 def render_gauges(gauges: abc.Mapping[str, float]) -> bytes:
-    """Return gauges without labels, by their names."""
+    """Return gauges without labels from their values by name."""
     from aioprometheus import collectors
 
     registry = collectors.Registry()
@@ -108,8 +109,10 @@
         collector = collectors.Histogram(
             PREFIX + name, help_text, None, registry, BUCKETS
         )
-        for labels, one in batch:
-            collector.set_value(dict(labels), _to_library_histogram(one))
+        for labels, one_series in batch:
+            collector.set_value(
+                dict(labels), _to_library_histogram(one_series)
+            )
         lines = render(registry).splitlines(keepends=True)
         yield b"".join(lines[lines_to_skip:])
         lines_to_skip = _HEADER_LINES
@@ -118,7 +121,7 @@
 def render_histogram(
     name: str, help_text: str, series: abc.Mapping[Labels, Series]
 ) -> bytes:
-    """Return a histogram whole."""
+    """Return a whole histogram."""
     return b"".join(render_parts(name, help_text, series))
 
 
--- a/src/sassafrasstair/logs.py
+++ b/src/sassafrasstair/logs.py
@@ -46,7 +46,7 @@
 
 
 def _limit_library_loggers(level: int) -> None:
-    """Keep libraries from logging a line for each request they make."""
+    """Stop libraries from logging each request, except at level debug."""
     quiet = max(level, logging.WARNING)
     minimum = logging.NOTSET if level <= logging.DEBUG else quiet
     for name in _VERBOSE_LOGGERS:
@@ -68,7 +68,7 @@
     def process_log_record(
         self, log_data: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
-        """Return what ``add_fields`` has put there, unchanged."""
+        """Return the data that ``add_fields`` has set, unchanged."""
         return log_data
 
     def add_fields(
@@ -83,22 +83,22 @@
 
 
 def _to_pairs(record: logging.LogRecord) -> dict[str, str | int | float]:
-    when = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
+    created_at = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
     pairs: dict[str, str | int | float] = {
-        "time": when.isoformat(timespec="milliseconds"),
+        "time": created_at.isoformat(timespec="milliseconds"),
         "level": record.levelname.lower(),
         "logger": record.name,
     }
     fields: dict[str, Field] | None = getattr(record, _FIELDS, None)
     if fields is None:
-        # A library's own record: its text becomes a field of one event.
+        # A record of a library: its text becomes a field of one event.
         pairs |= {"event": "library_message", "message": record.getMessage()}
     else:
         pairs["event"] = record.msg
         pairs |= {key: _to_plain(value) for key, value in fields.items()}
     if record.exc_info and record.exc_info[0]:
-        trace = logging.Formatter().formatException(record.exc_info)
-        pairs["exception"] = trace
+        traceback_text = logging.Formatter().formatException(record.exc_info)
+        pairs["exception"] = traceback_text
     return pairs
 
 
@@ -113,11 +113,11 @@
 
 
 def _quote(value: str | int | float) -> str:
-    """Return the value, quoted as JSON where it needs that.
+    """Return the value, quoted as JSON if necessary.
 
-    Callers choose some of the values. A newline that passed here would
-    let a caller write whole events of its own into the log; JSON's
-    escapes keep each event on one line.
+    Callers choose some of the values. An unescaped newline would let a
+    caller forge whole events in the log; JSON escapes keep each event on one
+    line.
     """
     if isinstance(value, bool):
         return str(value).lower()
--- a/src/sassafrasstair/metrics.py
+++ b/src/sassafrasstair/metrics.py
@@ -1,9 +1,9 @@
 """Metrics of one daemon: plain counts, rendered by ``aioprometheus``.
 
-Its collectors take 7 to 10 us for each observation, for they encode the
-labels each time; with ten of them to a call that is more than 1% of a core
-at 160 calls a second. So counts are kept here and become collectors only
-when somebody reads ``/metrics``.
+The library's collectors take 7 to 10 us for each observation, as they encode
+the labels each time. With ten observations per call, that is more than 1% of a
+core at 160 calls a second. So counts are kept here and are copied to
+collectors only when ``/metrics`` is read.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     from sassafrasstair import outcomes
 
 OTHER = "other"
-"""Stands for each name that the bundle in force does not have."""
+"""Label value for all names that are not in the bundle in force."""
 
 CALL_SERIES_MAX = 256
-"""Histograms of class and tenant that one daemon keeps. Later tenants of
-a class go to ``other``, so that a bundle with thousands of tenants costs
-neither memory nor a long rendering."""
+"""Greatest number of histograms by class and tenant. Further tenants of a
+class are counted as ``other``, so that a bundle with thousands of tenants
+costs neither much memory nor a long rendering."""
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 class Count(enum.Enum):
-    """A counter and what it counts."""
+    """A counter; its value is the name of the metric."""
 
     REFUSALS = "refusals_total"
     RETRIES = "retries_total"
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Gauges:
-    """Levels that the daemon sets; durations in seconds."""
+    """Current values, set by the daemon; see ``_GAUGE_HELP`` for each."""
 
     limit: float = 0.0
     running: int = 0
@@ -82,7 +82,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Metrics:
-    """All counts of one daemon. Only names in the bundle make series."""
+    """All metrics of one daemon. Only names in the bundle get a series."""
 
     gauges: Gauges = dataclasses.field(default_factory=Gauges)
     _classes: frozenset[str] = frozenset()
@@ -99,10 +99,10 @@
     )
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
-        """Take the names of a new bundle; series of other names go.
+        """Use the names in a new bundle; series of other names are dropped.
 
-        Without this, names that change with each of 730 bundles a day
-        would add up in memory and in every rendering.
+        Otherwise names that change with each of 730 bundles a day would
+        accumulate in memory and in every rendering.
         """
         self._classes = frozenset(bundle.classes)
         self._tenants = frozenset(bundle.tenants)
@@ -126,7 +126,7 @@
     def count_answer(
         self, request_class: str, tenant: str, seconds: float
     ) -> None:
-        """Count a whole answer that a caller got from this entrance."""
+        """Record the duration of a whole answer to a caller."""
         pair = (
             _label_value(request_class, self._classes),
             _label_value(tenant, self._tenants),
@@ -137,7 +137,7 @@
         series.observe(seconds)
 
     def count_attempt(self, request_class: str, seconds: float) -> None:
-        """Count an attempt that the upstream of this VM has ended."""
+        """Record the duration of an attempt at the upstream of this VM."""
         name = _label_value(request_class, self._classes)
         series = self._upstream_series.setdefault(name, histograms.Series())
         series.observe(seconds)
@@ -148,7 +148,7 @@
         outcome: outcomes.Outcome,
         reason: outcomes.Reason,
     ) -> None:
-        """Count a final refusal given to a caller."""
+        """Count a final refusal of a call."""
         self._increment(
             Count.REFUSALS,
             ("class", _label_value(request_class, self._classes)),
@@ -157,16 +157,16 @@
         )
 
     def count_retry(self, service: str) -> None:
-        """Count an attempt after the first towards ``service``."""
+        """Count an attempt after the first at ``service``."""
         name = _label_value(service, self._services)
         self._increment(Count.RETRIES, ("service", name))
 
     def count_late_answer(self) -> None:
-        """Count an answer that nobody waits for."""
+        """Count an answer for which no call waits."""
         self._increment(Count.LATE_ANSWERS)
 
     def count_refused_bundle(self, reason: bundles.Defect) -> None:
-        """Count a bundle that was refused whole."""
+        """Count a bundle that was refused."""
         self._increment(Count.BUNDLES_REFUSED, ("reason", reason.value))
 
     def count_platform_read(self) -> None:
@@ -182,7 +182,7 @@
         return {count.name.lower(): self.total(count) for count in Count}
 
     def render_parts(self) -> abc.Iterator[bytes]:
-        """Yield the Prometheus text in parts of a millisecond or so."""
+        """Yield the Prometheus text in parts that take about 1 ms each."""
         yield histograms.render(self._gauge_collectors())
         yield histograms.render(self._counter_collectors())
         calls: dict[histograms.Labels, histograms.Series] = {
--- a/src/sassafrasstair/settings.py
+++ b/src/sassafrasstair/settings.py
@@ -1,6 +1,6 @@
-"""Settings of one daemon, read from a JSON file at its start.
+"""Settings of one daemon, read from a JSON file when it starts.
 
-What operators decide for all daemons is not here but in the bundle
+What applies to all daemons is configured in the bundle
 (``sassafrasstair.bundles``). See docs/SETTINGS.md.
 """
 
@@ -29,11 +29,11 @@
 
 
 class SettingsError(Exception):
-    """Settings that cannot be used: one line with the key and the rule."""
+    """Invalid settings; the message is one line with the key and the rule."""
 
 
 class Listen(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Where one of the daemon's interfaces listens, ``IP:PORT``."""
+    """The address ``IP:PORT`` at which one of the interfaces listens."""
 
     listen: str
 
@@ -43,9 +43,10 @@
 
 
 class Peers(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The interface between daemons; ``seeds`` are tried at the start.
+    """The interface between daemons.
 
-    ``advertise`` is what the others dial, where it is not ``listen``.
+    ``seeds`` are addresses of daemons to contact first. ``advertise`` is the
+    address at which other daemons connect, if it differs from ``listen``.
     """
 
     listen: str
@@ -62,7 +63,7 @@
 
 
 class Upstream(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The upstream on the same VM, ``http://IP:PORT``."""
+    """The upstream on the same VM, at ``http://IP:PORT``."""
 
     url: str
 
@@ -77,7 +78,7 @@
     urls: tuple[str, ...]
 
     def __post_init__(self) -> None:
-        """Check that there is one URL at least, and each of them."""
+        """Check that there is at least one URL, and check each URL."""
         if not self.urls:
             raise ValueError("urls: wants one URL at least")
         for url in self.urls:
@@ -111,7 +112,12 @@
 
 
 class Settings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Everything that one daemon is told of itself."""
+    """All settings of one daemon.
+
+    ``vm``, ``service``, ``failure_domain`` and ``region`` describe its own VM.
+    ``callers``, ``peers`` and ``operators`` are its interfaces, and ``keys``
+    are the public keys of the operators who may sign bundles.
+    """
 
     vm: Name
     service: Name
