--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -60,7 +60,7 @@
 ) -> bool:
     """Apply the changes of a peer; return whether any had an effect."""
     now = daemon.clock.monotonic()
-    views.note_unsteady(daemon.view, status.unsteady_seconds, now)
+    views.note_store_recovering(daemon.view, status.recovering_seconds, now)
     news = views.take_delta(daemon.view, delta, now)
     apply_news(daemon, news, f"peer {host}")
     return bool(news)
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -242,7 +242,7 @@
     reads_store = feeds.reads_store(daemon.feed) and not _lacks_store(daemon)
     if news and reads_store:
         # The watch of this daemon should have delivered the changes.
-        feeds.expedite_read(daemon.feed, daemon.clock.monotonic())
+        feeds.expedite_recheck(daemon.feed, daemon.clock.monotonic())
         daemon.feed_woken.set()
 
 
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -63,7 +63,7 @@
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> bool:
     view = daemon.view
-    if not views.up_to_date_at(view, revision):
+    if not views.up_to_date_with(view, revision):
         return False
     views.apply_confirmation(view, views.active_version(view), asked_at)
     return True
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -66,8 +66,9 @@
         return
     peer = exchange.peer
     _crash_updates.receive(daemon, peer, exchange.request.found)
-    news = daemon.view.content > after or _crash_updates.needs_full_update(
-        daemon, peer
+    news = (
+        daemon.view.content_revision > after
+        or _crash_updates.needs_full_update(daemon, peer)
     )
     now = daemon.clock.monotonic()
     poll = HeldPoll(exchange, after, now + hold, now)
@@ -87,17 +88,19 @@
     status = feeds.PeerStatus(
         view.revision,
         views.lost_store_seconds(view, now),
-        max(0.0, view.unsteady_until - now),
+        max(0.0, view.recovering_until - now),
         daemon.leaving,
         max(0.0, now - view.store_answered_at),
     )
-    return _feed_wire.HEADER, _feed_wire.encode_status(status, view.content)
+    return _feed_wire.HEADER, _feed_wire.encode_status(
+        status, view.content_revision
+    )
 
 
 def answer_outdated(daemon: _state.Daemon) -> None:
     """Answer the polls of all daemons that lack changes."""
     daemon.encoded_answers.clear()
-    _answer_if(daemon, lambda poll: daemon.view.content > poll.after)
+    _answer_if(daemon, lambda poll: daemon.view.content_revision > poll.after)
 
 
 def answer_all(daemon: _state.Daemon) -> None:
@@ -155,7 +158,7 @@
 
 
 def _encode_changes(daemon: _state.Daemon, after: int) -> bytes:
-    if after >= daemon.view.content:
+    if after >= daemon.view.content_revision:
         return b""
     body = daemon.encoded_answers.get(after)
     if body is None:
@@ -170,7 +173,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, after: int
 ) -> None:
     """Answer a daemon of the previous release with the whole view."""
-    if after >= daemon.view.content:
+    if after >= daemon.view.content_revision:
         exchange.respond(204, [], b"")
         return
     body = _feed_wire.encode_snapshot(views.snapshot(daemon.view))
