--- a/tests/forwarding/test_crash_wire.py
+++ b/tests/forwarding/test_crash_wire.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of crashes, as one field."""
+"""Tests of the header with crash records between daemons."""
 
 from __future__ import annotations
 
@@ -25,7 +25,9 @@
             crashes.Report(
                 ("i-3", 0),
                 9.0,
-                tuple(crashes.Run(each, 0.5) for each in range(256)),
+                tuple(
+                    crashes.Run(fingerprint, 0.5) for fingerprint in range(256)
+                ),
                 1 << 255,
                 1,
             )
@@ -39,7 +41,7 @@
     assert _crash_wire.decode(value) == (2**64 - 1, reports)
 
 
-def _packed(*record: object) -> bytes:
+def _header_value(*record: object) -> bytes:
     body = msgspec.msgpack.encode([record])
     return b"1 " + base64.b64encode(body)
 
@@ -51,13 +53,13 @@
         b"x",
         b"1 !",
         b"1 " + base64.b64encode(b"\xc1"),
-        _packed("i", 0, -1, b"", b"", b"", b"", []),
-        _packed("i", 0, 1, b"", b"", b"", bytes(8), [-1]),
-        _packed("i", 0, 1, b"", b"", b"", bytes(7), [1]),
-        _packed("i", 0, 1, b"", b"", b"", bytes(16), [1, 1]),
-        _packed("i", 0, 1, b"\x02", b"", b"", bytes(8), [1]),
-        _packed("i", 0, 1, b"", b"", b"", bytes(8 * 257), [1] * 257),
-        _packed("i", "0", 1, b"", b"", b"", b"", []),
+        _header_value("i", 0, -1, b"", b"", b"", b"", []),
+        _header_value("i", 0, 1, b"", b"", b"", bytes(8), [-1]),
+        _header_value("i", 0, 1, b"", b"", b"", bytes(7), [1]),
+        _header_value("i", 0, 1, b"", b"", b"", bytes(16), [1, 1]),
+        _header_value("i", 0, 1, b"\x02", b"", b"", bytes(8), [1]),
+        _header_value("i", 0, 1, b"", b"", b"", bytes(8 * 257), [1] * 257),
+        _header_value("i", "0", 1, b"", b"", b"", b"", []),
     ],
 )
 def test_malformed_header_is_an_error(value: bytes) -> None:
--- a/tests/forwarding/test_feed_wire.py
+++ b/tests/forwarding/test_feed_wire.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other of their views, on the wire."""
+"""Tests of the headers and bodies of polls between daemons."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from sassafrasstair.forwarding import _wire
 from tests.forwarding import test_wire
 
-WORD = feeds.PeerStatus(12, None, 0.5, False)
+STATUS = feeds.PeerStatus(12, None, 0.5, False)
 
 
 @pytest.mark.parametrize(
-    "word",
+    "status",
     [
-        WORD,
+        STATUS,
         feeds.PeerStatus(12, 3.25, 0.0, True, 4.5),
         feeds.PeerStatus(-1, 0.0, 0.0, False),
     ],
@@ -30,20 +30,23 @@
     ],
 )
 def test_decoded_answer_equals_what_was_encoded(
-    word: feeds.PeerStatus, delta: views.Delta
+    status: feeds.PeerStatus, delta: views.Delta
 ) -> None:
-    field = _feed_wire.encode_status(word, delta.content)
+    header = _feed_wire.encode_status(status, delta.content)
     body = _feed_wire.encode_delta(delta)
-    found, told = _feed_wire.decode_answer(field, body)
-    assert found == word
-    assert told.content == delta.content
-    assert told.instances == delta.instances
-    assert (told.removed, told.unusable) == (delta.removed, delta.unusable)
+    decoded_status, decoded = _feed_wire.decode_answer(header, body)
+    assert decoded_status == status
+    assert decoded.content == delta.content
+    assert decoded.instances == delta.instances
+    assert (decoded.removed, decoded.unusable) == (
+        delta.removed,
+        delta.unusable,
+    )
     assert bool(body) is not delta.empty
 
 
 @pytest.mark.parametrize(
-    ("field", "body"),
+    ("header", "body"),
     [
         (b"", b""),
         (b"1 2 - 0.0 0", b""),
@@ -56,13 +59,13 @@
         (b"\xff 2 - 0.0 0 0.0", b""),
     ],
 )
-def test_malformed_answer_is_an_error(field: bytes, body: bytes) -> None:
+def test_malformed_answer_is_an_error(header: bytes, body: bytes) -> None:
     with pytest.raises(_wire.WireError):
-        _feed_wire.decode_answer(field, body)
+        _feed_wire.decode_answer(header, body)
 
 
 @pytest.mark.parametrize(
-    ("query", "field", "found"),
+    ("query", "header", "expected"),
     [
         (b"after=-1", b"0.750", (-1, 0.75)),
         (b"after=7", None, (7, None)),
@@ -73,10 +76,12 @@
     ],
 )
 def test_decode_poll(
-    query: bytes, field: bytes | None, found: tuple[int, float | None] | None
+    query: bytes,
+    header: bytes | None,
+    expected: tuple[int, float | None] | None,
 ) -> None:
-    if found is not None:
-        assert _feed_wire.decode_poll(query, field) == found
+    if expected is not None:
+        assert _feed_wire.decode_poll(query, header) == expected
         return
     with pytest.raises(_wire.WireError):
-        _feed_wire.decode_poll(query, field)
+        _feed_wire.decode_poll(query, header)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -14,9 +14,9 @@
 @pytest.fixture(autouse=True)
 def restore_logging() -> typing.Iterator[None]:
     root = logging.getLogger()
-    kept = root.handlers[:], root.level
+    saved = root.handlers[:], root.level
     yield
-    root.handlers[:], root.level = kept
+    root.handlers[:], root.level = saved
 
 
 def written(format: typing.Literal["keyvalue", "json"], value: str) -> str:
@@ -30,7 +30,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "shown"),
+    ("value", "expected"),
     [
         ("10.0.0.1:80", "10.0.0.1:80"),
         ("", '""'),
@@ -42,10 +42,10 @@
         ("x" * 2_000, "x" * 1_000 + "..."),
     ],
 )
-def test_event_is_one_line(value: str, shown: str) -> None:
+def test_event_is_one_line(value: str, expected: str) -> None:
     line = written("keyvalue", value)
-    wanted = f" event=seen reason=leaving value={shown} n=0.5\n"
-    assert line.endswith(f" level=info logger=calls{wanted}")
+    fields = f" event=seen reason=leaving value={expected} n=0.5\n"
+    assert line.endswith(f" level=info logger=calls{fields}")
     assert len(line.splitlines()) == 1
 
 
@@ -63,24 +63,23 @@
 
 
 @pytest.mark.parametrize(
-    ("level", "shown"),
+    ("level", "expected"),
     [("error", []), ("info", ["warned"]), ("debug", ["told", "warned"])],
 )
 def test_http_libraries_log_requests_only_at_level_debug(
-    level: str, shown: list[str]
+    level: str, expected: list[str]
 ) -> None:
-    """An operator sees a line for each call to the upstream.
+    """The httpx library logs each request to the upstream at level info.
 
-    httpx logs every request at the level info. At hundreds of calls a
-    second these lines hid the daemon's own events and cost more than they
-    told.
+    At hundreds of calls a second, these lines would hide the daemon's own
+    events and cost too much.
     """
     stream = io.StringIO()
     logs.configure("keyvalue", level, stream)
     logging.getLogger("httpx").info("told")
     logging.getLogger("httpx").warning("warned")
     lines = stream.getvalue().splitlines()
-    assert [line.rpartition("=")[2] for line in lines] == shown
+    assert [line.rpartition("=")[2] for line in lines] == expected
 
 
 def test_library_records_keep_to_one_line() -> None:
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -21,7 +21,7 @@
     )
 
 
-def adopted(classes: int = 1, tenants: int = 1) -> metrics.Metrics:
+def metrics_with_bundle(classes: int = 1, tenants: int = 1) -> metrics.Metrics:
     state = metrics.Metrics()
     state.apply_bundle(bundle(classes, tenants))
     return state
@@ -32,7 +32,7 @@
 
 
 def test_render() -> None:
-    state = adopted()
+    state = metrics_with_bundle()
     state.gauges.limit = 12.5
     state.count_answer("c-0", "t-0", 0.003)
     state.count_answer("c-0", "t-0", 99.0)
@@ -46,7 +46,7 @@
     state.count_platform_read()
     name, tenant = 'class="c-0"', 'tenant="t-0"'
     bucket = f"sassafrasstair_call_seconds_bucket{{{name},le="
-    wanted = {
+    expected = {
         f'{bucket}"0.0025",{tenant}}} 0.0',
         f'{bucket}"0.005",{tenant}}} 1.0',
         f'{bucket}"+Inf",{tenant}}} 2.0',
@@ -63,16 +63,17 @@
         "sassafrasstair_bundle_version 7",
         "sassafrasstair_limit 12.5",
     }
-    assert wanted - set(lines(state)) == set()
+    assert expected - set(lines(state)) == set()
 
 
 def test_unknown_names_get_no_series() -> None:
-    """A client makes up a tenant name for each request.
+    """A client sends a new tenant name with each request.
 
-    Each name became a series; the daemon's memory and its metrics grew
-    until the VM had none left. Names outside the bundle count as other.
+    If each name became a series, the daemon's memory and its metrics would
+    grow until the VM runs out of memory. So names that are not in the bundle
+    are counted as other.
     """
-    state = adopted()
+    state = metrics_with_bundle()
     for i in range(1_000):
         state.count_answer("c-0", f"made-up-{i}", 0.1)
         state.count_refusal(
@@ -90,7 +91,7 @@
     ("classes", "tenants"), [(1, 1_000), (100, 500), (300, 1)]
 )
 def test_number_of_call_series_is_bounded(classes: int, tenants: int) -> None:
-    state = adopted(classes, tenants)
+    state = metrics_with_bundle(classes, tenants)
     for i in range(classes):
         for j in range(tenants):
             state.count_answer(f"c-{i}", f"t-{j}", 0.1)
@@ -101,7 +102,7 @@
 
 
 def test_series_of_names_removed_from_the_bundle_are_dropped() -> None:
-    state = adopted(classes=2, tenants=2)
+    state = metrics_with_bundle(classes=2, tenants=2)
     state.count_answer("c-1", "t-0", 0.1)
     state.count_answer("c-0", "t-1", 0.1)
     state.count_answer("c-0", "t-0", 0.1)
@@ -117,7 +118,7 @@
 
 
 def test_help_is_given_once_for_each_metric() -> None:
-    state = adopted(classes=9, tenants=9)
+    state = metrics_with_bundle(classes=9, tenants=9)
     for i in range(9):
         state.count_answer(f"c-{i}", f"t-{i}", 0.1)
     helps = [line for line in lines(state) if line.startswith("# HELP")]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -81,10 +81,10 @@
     tmp_path: pathlib.Path, changes: dict[str, typing.Any], message: str
 ) -> None:
     path = tmp_path / "s.json"
-    with pytest.raises(settings.SettingsError) as caught:
+    with pytest.raises(settings.SettingsError) as error:
         load(path, json.dumps(document(**changes)))
-    assert str(caught.value).startswith(f"{path}: {message}")
-    assert "\n" not in str(caught.value)
+    assert str(error.value).startswith(f"{path}: {message}")
+    assert "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("text", ["", "{", '{"vm":', "[" * 50_000, "\udcff"])
