--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -100,12 +100,12 @@
 def answer_outdated(daemon: _state.Daemon) -> None:
     """Answer the polls of all daemons that lack changes."""
     daemon.encoded_answers.clear()
-    _answer_if(daemon, lambda poll: daemon.view.content_revision > poll.after)
+    _answer_if(daemon, lambda held: daemon.view.content_revision > held.after)
 
 
 def answer_all(daemon: _state.Daemon) -> None:
     """Answer all polls, as the status of this daemon has changed."""
-    _answer_if(daemon, lambda poll: True)
+    _answer_if(daemon, lambda held: True)
 
 
 def answer_with_crashes(
@@ -125,17 +125,17 @@
 def tick(daemon: _state.Daemon, now: float) -> None:
     """Answer the polls whose hold time has passed."""
     if daemon.held_polls:
-        _answer_if(daemon, lambda poll: poll.held_until <= now)
+        _answer_if(daemon, lambda held: held.held_until <= now)
 
 
 def _answer_if(
     daemon: _state.Daemon, is_due: typing.Callable[[HeldPoll], bool]
 ) -> None:
-    due = [poll for poll in daemon.held_polls if is_due(poll)]
+    due = [held for held in daemon.held_polls if is_due(held)]
     if not due:
         return
     daemon.held_polls = [
-        poll for poll in daemon.held_polls if not is_due(poll)
+        held for held in daemon.held_polls if not is_due(held)
     ]
     for poll in due:
         _answer(daemon, poll)
--- a/tests/forwarding/test_sync.py
+++ b/tests/forwarding/test_sync.py
@@ -159,15 +159,15 @@
             json.loads(line) for line in b"".join(cluster.lines).splitlines()
         ]
         failed = [
-            line for line in lines if line["event"] == "store_call_failed"
+            entry for entry in lines if entry["event"] == "store_call_failed"
         ]
         assert len(failed) >= 2
-        verbs = {line["verb"] for line in failed}
+        verbs = {entry["verb"] for entry in failed}
         assert verbs <= {"read", "watch", "check"}
-        assert all(line["waited"] >= 0.0 for line in failed)
-        back = [line for line in lines if line["event"] == "store_back"]
+        assert all(entry["waited"] >= 0.0 for entry in failed)
+        back = [entry for entry in lines if entry["event"] == "store_back"]
         assert back
-        assert all(line["away"] > 0.0 for line in back)
+        assert all(entry["away"] > 0.0 for entry in back)
 
     test_path.run(test())
 
