--- a/src/sassafrasstair/decoding.py
+++ b/src/sassafrasstair/decoding.py
@@ -119,12 +119,12 @@
     steps: list[str], name: str, kind: type
 ) -> UnknownKeyFault:
     parent = _type_at(kind, steps)
-    known = getattr(parent, "__struct_fields__", ())
-    matches = difflib.get_close_matches(name, known, n=1)
+    known_names = getattr(parent, "__struct_fields__", ())
+    matches = difflib.get_close_matches(name, known_names, n=1)
     hint = (
         f"did you mean {matches[0]}?"
         if matches
-        else f"not one of {_join(known)}"
+        else f"not one of {_join(known_names)}"
     )
     return UnknownKeyFault(".".join([*steps, name]), f"unknown key, {hint}")
 
--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -37,10 +37,12 @@
 
 
 def _send(daemon: _state.Daemon, now: float) -> None:
-    own_connection = feeds.check_sent(daemon.feed, now, daemon.rng)
+    needs_own_connection = feeds.check_sent(daemon.feed, now, daemon.rng)
     _counters.count_store_call(daemon.counters, VERB)
     latest = _confirmations.has_revocation_bound(daemon)
-    call = asyncio.ensure_future(daemon.source.check(own_connection, latest))
+    call = asyncio.ensure_future(
+        daemon.source.check(needs_own_connection, latest)
+    )
     daemon.store_checks.add(call)
     call.add_done_callback(
         functools.partial(_handle_check_result, daemon, now)
--- a/src/sassafrasstair/forwarding/_crash_broadcast.py
+++ b/src/sassafrasstair/forwarding/_crash_broadcast.py
@@ -63,7 +63,7 @@
 
 
 def _hosts_to_ping(daemon: _state.Daemon) -> list[str]:
-    """Return the peers that must be pinged, as they do not poll here."""
+    """Return the hosts to ping, as they do not poll this daemon."""
     parent = daemon.feed.parent
     if parent is not None and parent != feeds.STORE:
         return [parent]
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -33,7 +33,8 @@
 class PeerDigest:
     """The digest of a peer's records, and when a full update is due.
 
-    ``update_pause`` is the time from the next full update to the one after.
+    ``update_pause`` is the time between the next full update and the one
+    that follows it.
     """
 
     digest: int
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -64,16 +64,22 @@
     """
     _, _, after = query.partition(b"=")
     try:
-        hold = None if header is None else float(header)
-        if hold is not None and not 0.0 <= hold <= HOLD_SECONDS_MAX:
-            raise _wire.WireError(f"feed: hold {hold}")
-        return int(after), hold
+        hold_seconds = None if header is None else float(header)
+        if (
+            hold_seconds is not None
+            and not 0.0 <= hold_seconds <= HOLD_SECONDS_MAX
+        ):
+            raise _wire.WireError(f"feed: hold {hold_seconds}")
+        return int(after), hold_seconds
     except ValueError as error:
         raise _wire.WireError(f"feed: {error}") from error
 
 
 def encode_status(status: feeds.PeerStatus, content: int) -> bytes:
-    """Return the header of an answer; ``content`` is the view's revision."""
+    """Return the header of an answer.
+
+    ``content`` is the revision of the last change in the view.
+    """
     lost = _NOT_LOST if status.lost is None else f"{status.lost:.3f}"
     return b"%d %d %s %.3f %d %.3f" % (
         status.revision,
@@ -91,11 +97,11 @@
     """Return the status and changes of a peer; raises ``WireError``."""
     try:
         parts = header.decode().split(" ")
-        revision, content, lost, unsteady, leaving, age = parts
+        revision, content, lost, recovering, leaving, age = parts
         status = feeds.PeerStatus(
             int(revision),
             None if lost == _NOT_LOST else _parse_seconds(lost),
-            _parse_seconds(unsteady),
+            _parse_seconds(recovering),
             leaving == "1",
             _parse_seconds(age),
         )
--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -70,13 +70,13 @@
     daemon: _state.Daemon, now: float, age: float = 0.0
 ) -> None:
     """Record an answer of the store, given to any daemon ``age`` ago."""
-    away = views.lost_store_seconds(daemon.view, now) or 0.0
+    lost_seconds = views.lost_store_seconds(daemon.view, now) or 0.0
     if views.store_answered(daemon.view, now, age):
         _counters.count_state_change(daemon.counters, "store_back")
         daemon.journal.note(
             "store_back",
             revision=views.number_in_era(daemon.view.revision),
-            away=away,
+            away=lost_seconds,
             source=_status.parent_name(daemon.feed.parent),
         )
         _polls.answer_all(daemon)
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -92,13 +92,13 @@
 
 
 def _pull_from_others(daemon: _state.Daemon) -> None:
-    """Pull from the possible readers of the own failure domain, and one more.
+    """Pull from the possible readers in this failure domain, and one more.
 
     All are asked at once, so that an unreachable host does not delay the
     others.
     """
     port = daemon.settings.daemons.port
-    asked = {
+    addresses = {
         _dialect.Address(host, port)
         for host in feeds.reader_hosts(
             {*daemon.feed.hosts, daemon.feed.own_host}
@@ -107,17 +107,18 @@
     }
     others = _other_addresses(daemon)
     if others:
-        asked.add(others[int(daemon.rng.random() * len(others))])
-    for address in sorted(asked, key=str):
+        addresses.add(others[int(daemon.rng.random() * len(others))])
+    for address in sorted(addresses, key=str):
         if address.host not in daemon.pulled_hosts:
             _pull(daemon, address)
 
 
 def _other_addresses(daemon: _state.Daemon) -> list[_dialect.Address]:
-    """Return the daemons of another failure domain, the own one, or the seeds.
+    """Return the other daemons of this failure domain, or those of others.
 
     In a failure domain that is cut off, only its own daemons may have newer
-    changes, so the own and the other domains are chosen equally often.
+    changes, so both are chosen equally often. Without any known daemon, the
+    seeds are returned.
     """
     port = daemon.settings.daemons.port
     own_domain_hosts = [
@@ -131,14 +132,14 @@
         if daemon.rng.random() < 0.5
         else (other_hosts or own_domain_hosts)
     )
-    found = [_dialect.Address(host, port) for host in hosts]
-    return found or list(daemon.settings.seeds)
+    addresses = [_dialect.Address(host, port) for host in hosts]
+    return addresses or list(daemon.settings.seeds)
 
 
 def ping(
     daemon: _state.Daemon, host: str, header: tuple[bytes, bytes]
 ) -> None:
-    """Ask a daemon for the revision of its view; add one header."""
+    """Send a ping with one header, to learn the revision of a peer's view."""
     fields = [(b"Host", host.encode()), header]
     head = httpio.request_head(b"GET", _wire.PING_PATH, fields, 0)
     asked_at = daemon.clock.monotonic()
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -50,7 +50,7 @@
     """Answer a poll, or hold it open until there are changes."""
     header = exchange.request.found.get(_feed_wire.HEADER_LOWER)
     try:
-        after, hold = _feed_wire.decode_poll(query, header)
+        after, hold_seconds = _feed_wire.decode_poll(query, header)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
@@ -61,18 +61,18 @@
     ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
         return
-    if hold is None:
+    if hold_seconds is None:
         _serve_snapshot(daemon, exchange, after)
         return
     peer = exchange.peer
     _crash_updates.receive(daemon, peer, exchange.request.found)
-    news = (
+    must_answer = (
         daemon.view.content_revision > after
         or _crash_updates.needs_full_update(daemon, peer)
     )
     now = daemon.clock.monotonic()
-    poll = HeldPoll(exchange, after, now + hold, now)
-    if news or not hold or daemon.leaving:
+    poll = HeldPoll(exchange, after, now + hold_seconds, now)
+    if must_answer or not hold_seconds or daemon.leaving:
         _answer(daemon, poll)
         return
     if len(daemon.held_polls) >= HELD_POLLS_MAX:
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -179,8 +179,8 @@
 ) -> None:
     shares = allocation.allocator.shares
     for domain in shares.peer_domains:
-        since = now - allocation.updated_at.get(domain, -math.inf)
-        due = since >= UPDATE_INTERVAL_SECONDS or quotas.has_changes(
+        elapsed = now - allocation.updated_at.get(domain, -math.inf)
+        due = elapsed >= UPDATE_INTERVAL_SECONDS or quotas.has_changes(
             shares, domain
         )
         if due and domain not in allocation.updates_in_flight:
@@ -220,9 +220,9 @@
     daemon: _state.Daemon, allocation: _tokens.Allocation, domain: str
 ) -> str:
     """Return the host that allocates for a domain, or the next to try."""
-    known = allocation.peer_allocators.get(domain)
-    if known is not None:
-        return known
+    known_host = allocation.peer_allocators.get(domain)
+    if known_host is not None:
+        return known_host
     hosts = views.hosts_by_domain(daemon.view).get(domain, frozenset())
     candidates = feeds.reader_hosts(hosts)
     if not candidates:
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -30,10 +30,10 @@
     """Keep the view current until cancelled."""
     while True:
         daemon.feed_woken.clear()
-        before = daemon.feed.parent
+        previous_parent = daemon.feed.parent
         step = feeds.next_step(daemon.feed, daemon.clock.monotonic())
-        if daemon.feed.parent != before:
-            _log_parent(daemon, before)
+        if daemon.feed.parent != previous_parent:
+            _log_parent(daemon, previous_parent)
         try:
             await _run_step(daemon, step)
         except Exception as error:
@@ -47,8 +47,8 @@
         case feeds.Sleep(seconds):
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(daemon.feed_woken.wait(), seconds)
-        case feeds.Poll(host, hold, within):
-            await _poll_parent(daemon, host, hold, within)
+        case feeds.Poll(host, hold_seconds, timeout):
+            await _poll_parent(daemon, host, hold_seconds, timeout)
         case feeds.Read(stale):
             verb = "read_stale" if stale else "read"
             await _read_store(
@@ -219,14 +219,14 @@
     feeds.adopt_address(daemon.feed, host)
 
 
-def _log_parent(daemon: _state.Daemon, before: str | None) -> None:
+def _log_parent(daemon: _state.Daemon, previous_parent: str | None) -> None:
     """Log which daemon, or the store, is followed from now on."""
     feed = daemon.feed
     _counters.count_state_change(daemon.counters, "parent_changed")
     daemon.journal.note(
         "follows",
         parent=_status.parent_name(feed.parent),
-        before=_status.parent_name(before),
+        before=_status.parent_name(previous_parent),
         rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
         revision=views.number_in_era(daemon.view.revision),
--- a/src/sassafrasstair/metrics.py
+++ b/src/sassafrasstair/metrics.py
@@ -212,11 +212,11 @@
     def _drop_unknown_names(
         self, count: Count, label: str, names: frozenset[str]
     ) -> None:
-        kept = names | {OTHER}
+        known_names = names | {OTHER}
         self._counts[count] = {
             labels: value
             for labels, value in self._counts[count].items()
-            if dict(labels)[label] in kept
+            if dict(labels)[label] in known_names
         }
 
     def _gauge_collectors(self) -> collectors.Registry:
