--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -160,19 +160,19 @@
 ) -> None:
     if isinstance(result, httpio.Failure):
         return
-    _crash_updates.receive(daemon, host, result.found)
+    _crash_updates.receive(daemon, host, result.headers)
     try:
         state = _wire.decode_state(
-            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+            result.headers.get(_wire.STATE_HEADER_LOWER, b"")
         )
-        header = result.found.get(_feed_wire.HEADER_LOWER)
+        header = result.headers.get(_feed_wire.HEADER_LOWER)
         if header is not None and not views.is_behind(
             daemon.view, state.content
         ):
             status, _ = _feed_wire.decode_answer(header, b"")
             now = daemon.clock.monotonic()
             views.note_peer_age(daemon.view, status.age_seconds, now)
-        _confirmations.receive(daemon, result.found, asked_at)
+        _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
@@ -218,7 +218,7 @@
 
 def _abort_if_unanswered(job: httpio.Job) -> bool:
     """Abort a request without an answer; return whether it had none."""
-    unanswered = job.wanted
+    unanswered = job.awaited
     if unanswered:
         job.abort()
     return unanswered
@@ -233,10 +233,10 @@
     daemon.pulled_hosts.discard(host)
     if isinstance(result, httpio.Failure) or result.status != 200:
         return
-    _crash_updates.receive(daemon, host, result.found)
+    _crash_updates.receive(daemon, host, result.headers)
     try:
         news = _apply_answer(daemon, host, result)
-        _confirmations.receive(daemon, result.found, asked_at)
+        _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
@@ -250,7 +250,7 @@
 def _apply_answer(
     daemon: _state.Daemon, host: str, result: httpio.Response
 ) -> bool:
-    header = result.found.get(_feed_wire.HEADER_LOWER)
+    header = result.headers.get(_feed_wire.HEADER_LOWER)
     if header is not None:
         status, delta = _feed_wire.decode_answer(header, result.body)
         return _learning.take_delta(daemon, status, delta, host)
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -48,7 +48,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
     """Answer a poll, or hold it open until there are changes."""
-    header = exchange.request.found.get(_feed_wire.HEADER_LOWER)
+    header = exchange.request.headers.get(_feed_wire.HEADER_LOWER)
     try:
         after, hold_seconds = _feed_wire.decode_poll(query, header)
     except _wire.WireError as error:
@@ -56,7 +56,7 @@
         exchange.respond(400, [], b"")
         return
     if (
-        exchange.request.found.get(_feed_wire.SENDER_HEADER_LOWER)
+        exchange.request.headers.get(_feed_wire.SENDER_HEADER_LOWER)
         == daemon.process_mark
     ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
@@ -64,8 +64,8 @@
     if hold_seconds is None:
         _serve_snapshot(daemon, exchange, after)
         return
-    peer = exchange.peer
-    _crash_updates.receive(daemon, peer, exchange.request.found)
+    peer = exchange.peer_host
+    _crash_updates.receive(daemon, peer, exchange.request.headers)
     must_answer = (
         daemon.view.content_revision > after
         or _crash_updates.needs_full_update(daemon, peer)
@@ -115,7 +115,7 @@
     due = [
         poll
         for poll in daemon.held_polls
-        if not _crash_updates.is_in_sync(daemon, poll.exchange.peer)
+        if not _crash_updates.is_in_sync(daemon, poll.exchange.peer_host)
     ]
     daemon.held_polls = [poll for poll in daemon.held_polls if poll not in due]
     for poll in due:
@@ -148,7 +148,7 @@
 ) -> None:
     body = _encode_changes(daemon, poll.after)
     crash_header = crash_header or _crash_updates.header(
-        daemon, poll.exchange.peer
+        daemon, poll.exchange.peer_host
     )
     poll.exchange.gone = None
     held_seconds = daemon.clock.monotonic() - poll.received_at
--- a/src/sassafrasstair/forwarding/_probes.py
+++ b/src/sassafrasstair/forwarding/_probes.py
@@ -53,7 +53,7 @@
         return
     try:
         state = _wire.decode_state(
-            result.found.get(_wire.STATE_HEADER_LOWER, b"")
+            result.headers.get(_wire.STATE_HEADER_LOWER, b"")
         )
     except _wire.WireError as error:
         _handle_failure(daemon, vm, host, str(error))
@@ -69,7 +69,7 @@
 def _handle_timeout(
     daemon: _state.Daemon, vm: str, host: str, job: httpio.Job
 ) -> None:
-    if job.wanted:
+    if job.awaited:
         job.abort()
         _handle_failure(daemon, vm, host, "timeout")
 
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -238,7 +238,7 @@
     job: httpio.Job,
     on_done: abc.Callable[[httpio.Failure], None],
 ) -> None:
-    if job.wanted:
+    if job.awaited:
         job.abort()
         _state.pool(daemon, host).drop_idle()
         on_done(httpio.Failure.LOST)
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -138,7 +138,7 @@
     if result.status == _feed_wire.LOOP_STATUS:
         _adopt_own_address(daemon, host)
         return
-    status_header = result.found.get(_feed_wire.HEADER_LOWER)
+    status_header = result.headers.get(_feed_wire.HEADER_LOWER)
     if result.status != 200 or status_header is None:
         # A daemon of the previous release, which holds no polls open.
         _handle_parent_failure(daemon, host, f"status {result.status}")
@@ -149,7 +149,7 @@
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         _handle_parent_failure(daemon, host, "malformed")
         return
-    _crash_updates.receive(daemon, host, result.found)
+    _crash_updates.receive(daemon, host, result.headers)
     feeds.peer_answered(
         daemon.feed,
         host,
@@ -166,7 +166,7 @@
         )
     _learning.take_delta(daemon, status, delta, host)
     try:
-        _confirmations.receive(daemon, result.found, asked_at)
+        _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
 
@@ -191,7 +191,7 @@
             pool.drop_idle()
             return httpio.Failure.LOST
         finally:
-            if job.wanted:
+            if job.awaited:
                 job.abort()
         # A reset connection does not show that the daemon has failed.
         if result is not httpio.Failure.LOST:
--- a/tests/decisions/load/test_floors.py
+++ b/tests/decisions/load/test_floors.py
@@ -17,7 +17,7 @@
     start: float = 0.0,
     share: float = 1.0,
 ) -> float:
-    """Offer ranks of level 5 that callers filter by the floor."""
+    """Offer attempts of level 5 that callers have filtered by the floor."""
     rng = random.Random(1)
     now = start
     while now < start + seconds:
@@ -26,8 +26,8 @@
             for _ in range(int(rate * TICK)):
                 rank = 5 + rng.random()
                 if rank >= _floors.floor(floors, tenant):
-                    _floors.note(floors, tenant, share, rank)
-        _floors.look(floors, capacity, pressed=True, now=now)
+                    _floors.count_offer(floors, tenant, share, rank)
+        _floors.update(floors, capacity, overloaded=True, now=now)
     return now
 
 
@@ -38,10 +38,10 @@
 
 
 def test_a_tenant_cannot_starve_another() -> None:
-    """One tenant's surge leaves another's requests alone.
+    """A surge of one tenant must not affect the requests of another.
 
-    The big tenant sends ten times the capacity, the small one a tenth of
-    it. One floor for both would refuse nine in ten of the small one's.
+    The big tenant sends ten times the capacity, and the small one a tenth of
+    it. A common floor would refuse nine in ten requests of the small tenant.
     """
     floors = _floors.new_floors(0.0)
     _offer(floors, {"big": 2000.0, "small": 20.0}, 2.0, capacity=200.0)
@@ -53,18 +53,17 @@
     floors = _floors.new_floors(0.0)
     for step in range(1, 40):
         for _ in range(10):
-            _floors.note(floors, "main", 1.0, 9.5)
-            _floors.note(floors, "main", 1.0, 3.5)
-        _floors.look(floors, 150.0, pressed=True, now=step * TICK)
+            _floors.count_offer(floors, "main", 1.0, 9.5)
+            _floors.count_offer(floors, "main", 1.0, 3.5)
+        _floors.update(floors, 150.0, overloaded=True, now=step * TICK)
     assert 9.0 < _floors.floor(floors, "main") < 9.6
 
 
 def test_floor_is_gone_a_second_after_its_cause() -> None:
-    """When a surge ends, refusals must end with it.
+    """Refusals must end soon after the surge that caused them.
 
-    Callers above the floor send a fifth as much. What is below it sends
-    nothing that the guard sees, so that only the memory of it could keep
-    the floor up.
+    Demand falls to a tenth of what it was, and the guard sees no attempts
+    below the floor. The remembered demand must not keep the floor up.
     """
     floors = _floors.new_floors(0.0)
     now = _offer(floors, {"main": 1000.0}, 3.0, capacity=200.0)
@@ -75,7 +74,7 @@
 def test_no_floor_without_overload() -> None:
     floors = _floors.new_floors(0.0)
     now = _offer(floors, {"main": 1000.0}, 1.0, capacity=200.0)
-    _floors.look(floors, 200.0, pressed=False, now=now + TICK)
+    _floors.update(floors, 200.0, overloaded=False, now=now + TICK)
     assert _floors.floor(floors, "main") == 0.0
 
 
@@ -87,6 +86,6 @@
     for step in range(1, 60):
         for rank, count in ((9.5, 5), (3.5, 20)):
             for _ in range(count):
-                _floors.note(floors, "main", 1.0, rank)
-        _floors.look(floors, 1e9, pressed=False, now=step * TICK)
-    assert _floors.reach(floors, room) == level
+                _floors.count_offer(floors, "main", 1.0, rank)
+        _floors.update(floors, 1e9, overloaded=False, now=step * TICK)
+    assert _floors.lowest_level_within(floors, room) == level
