--- a/src/sassafrasstair/forwarding/_checks.py
+++ b/src/sassafrasstair/forwarding/_checks.py
@@ -64,8 +64,8 @@
     if feeds.check_answered(daemon.feed, sent_at, now):
         daemon.journal.note("store_asked_anew", waited=now - sent_at)
         daemon.feed_woken.set()
-        for older_check in daemon.store_checks:
-            older_check.cancel()
+        for unanswered_check in daemon.store_checks:
+            unanswered_check.cancel()
     # The answer shows the view to be current only if the view has all changes
     # up to the store's revision. Otherwise a reader whose watch hangs would
     # seem to be up to date.
--- a/src/sassafrasstair/forwarding/_confirmations.py
+++ b/src/sassafrasstair/forwarding/_confirmations.py
@@ -39,7 +39,7 @@
 
 
 def headers(daemon: _state.Daemon, held_seconds: float = 0.0) -> httpio.Fields:
-    """Return the headers for a peer whose poll was held this long."""
+    """Return the headers for a peer that waited ``held_seconds``."""
     if not has_revocation_bound(daemon):
         return []
     now = daemon.clock.monotonic()
