--- a/src/sassafrasstair/forwarding/_confirmations.py
+++ b/src/sassafrasstair/forwarding/_confirmations.py
@@ -1,7 +1,7 @@
-"""What daemons tell each other of the policy that they confirm.
+"""Sends and receives confirmations that a policy is the newest.
 
-Only where a key that is taken away must stop to work at daemons that are cut
-off, too.
+Daemons exchange them only if a revoked key must stop working within a set
+time, even at daemons that are cut off from the store.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 
 HEADER = b"Sassafras-Confirmed"
 HEADER_LOWER = HEADER.lower()
-MARGIN_SHARE = 0.02
-"""The part of the time within which a key must stop to work that is left for
-clocks whose rates differ, and for the way of a request to its instance."""
+CLOCK_MARGIN_RATIO = 0.02
+"""Fraction of the revocation time that is reserved for clocks whose rates
+differ, and for the transfer of a request to its instance."""
 
 
 def has_revocation_bound(daemon: _state.Daemon) -> bool:
-    """Return whether keys must stop to work everywhere within a time."""
+    """Return whether revoked keys must stop working within a set time."""
     return daemon.settings.bounds.revocation_seconds is not None
 
 
@@ -35,34 +35,41 @@
     if bound is None:
         return True
     age = views.unconfirmed_seconds(daemon.view, now)
-    return age < (1.0 - MARGIN_SHARE) * bound
+    return age < (1.0 - CLOCK_MARGIN_RATIO) * bound
 
 
-def headers(daemon: _state.Daemon, held: float = 0.0) -> httpio.Fields:
-    """Return what to tell a peer that has asked, ``held`` seconds ago."""
+def headers(daemon: _state.Daemon, held_seconds: float = 0.0) -> httpio.Fields:
+    """Return the headers for a peer that waited ``held_seconds``."""
     if not has_revocation_bound(daemon):
         return []
     now = daemon.clock.monotonic()
-    told = views.own_confirmation(daemon.view, now, held)
-    if told is None:
+    confirmation = views.own_confirmation(daemon.view, now, held_seconds)
+    if confirmation is None:
         return []
     return [
         (
             HEADER,
             b"%d %.3f %.3f"
-            % (told.version, told.age_seconds, told.held_seconds),
+            % (
+                confirmation.version,
+                confirmation.age_seconds,
+                confirmation.held_seconds,
+            ),
         )
     ]
 
 
 def receive(
-    daemon: _state.Daemon, found: abc.Mapping[bytes, bytes], asked_at: float
+    daemon: _state.Daemon,
+    answer_headers: abc.Mapping[bytes, bytes],
+    asked_at: float,
 ) -> None:
-    """Take what a peer that was asked at an instant confirms.
+    """Apply the confirmation in the headers of a peer's answer.
 
-    To be called once its changes are applied. Raises ``WireError``.
+    The peer was asked at ``asked_at``. Called after the changes in its answer
+    have been applied. Raises ``WireError``.
     """
-    value = found.get(HEADER_LOWER)
+    value = answer_headers.get(HEADER_LOWER)
     if value is not None and has_revocation_bound(daemon):
         views.receive_confirmation(daemon.view, _decode(value), asked_at)
 
@@ -70,9 +77,13 @@
 def _decode(value: bytes) -> views.Confirmation:
     try:
         version, age, held = value.split(b" ")
-        told = views.Confirmation(int(version), float(age), float(held))
+        confirmation = views.Confirmation(
+            int(version), float(age), float(held)
+        )
     except ValueError as error:
         raise _wire.WireError(f"confirmed: {error}") from error
-    if not (told.age_seconds >= 0.0 and told.held_seconds >= 0.0):
-        raise _wire.WireError("confirmed: negative")
-    return told
+    if not (
+        confirmation.age_seconds >= 0.0 and confirmation.held_seconds >= 0.0
+    ):
+        raise _wire.WireError("confirmed: negative age or hold time")
+    return confirmation
--- a/src/sassafrasstair/forwarding/_feed_wire.py
+++ b/src/sassafrasstair/forwarding/_feed_wire.py
@@ -1,8 +1,9 @@
-"""What daemons tell each other of policy and instances.
+"""Encodes the polls by which daemons exchange policy and instances.
 
-A daemon asks for what changed after its own content, and names in a field
-for how long its poll may wait for news. A daemon of the version before
-does not know the field and answers at once with its whole view.
+A daemon polls for the changes since its own revision, and a header says for
+how long the poll may be held open until there are any. A daemon of the
+previous release does not know the header and answers at once with its whole
+view.
 """
 
 from __future__ import annotations
@@ -23,49 +24,62 @@
 HEADER_LOWER = HEADER.lower()
 SENDER_HEADER = b"Sassafras-Sender"
 SENDER_HEADER_LOWER = SENDER_HEADER.lower()
-"""Names the process that polls."""
+"""Identifies the process that polls."""
 LOOP_STATUS = 508
-"""Said by a daemon that gets a poll of its own."""
+"""Status of the answer to a daemon that has polled itself."""
 HOLD_SECONDS_MAX = 10.0
-"""No poll waits longer, whatever it says."""
+"""Greatest hold time of a poll; a longer one is an error."""
 AGE_SECONDS_MAX = 86_400.0
-"""A view that nobody has heard of the store for is told as a day old."""
+"""Greatest age in an answer, used if the store has never answered."""
 _NOT_LOST = "-"
 _T = typing.TypeVar("_T")
 
 
 def poll_head(
-    host: str, after: int, hold: float, *told: tuple[bytes, bytes]
+    host: str, after: int, hold_seconds: float, *headers: tuple[bytes, bytes]
 ) -> bytes:
     """Return the head of a poll for what changed after a revision.
 
-    That up to which the view goes, and not its last change: a peer whose own
-    last change seems later, as after a reading of the whole, has then nothing
-    to tell, and would be asked again and again for what it can't give.
-    ``told`` are more fields.
+    ``after`` is the revision up to which the view has all changes, not that
+    of its last change. With the latter, a peer whose own last change seems
+    later, as after a full read, would have nothing to send and would be
+    polled again and again. ``headers`` are added to the head.
     """
     target = b"%s?after=%d" % (VIEW_PATH, after)
-    fields = [(b"Host", host.encode()), (HEADER, b"%.3f" % hold), *told]
+    fields = [
+        (b"Host", host.encode()),
+        (HEADER, b"%.3f" % hold_seconds),
+        *headers,
+    ]
     return httpio.request_head(b"GET", target, fields, 0)
 
 
-def decode_poll(query: bytes, field: bytes | None) -> tuple[int, float | None]:
-    """Return the content and the hold; None from an older daemon.
+def decode_poll(
+    query: bytes, header: bytes | None
+) -> tuple[int, float | None]:
+    """Return the revision to answer from and the hold time in seconds.
 
-    Raises ``WireError``.
+    The hold time is None if a daemon of the previous release polls. Raises
+    ``WireError``.
     """
-    _, _, content = query.partition(b"=")
+    _, _, after = query.partition(b"=")
     try:
-        hold = None if field is None else float(field)
-        if hold is not None and not 0.0 <= hold <= HOLD_SECONDS_MAX:
-            raise _wire.WireError(f"feed: hold {hold}")
-        return int(content), hold
+        hold_seconds = None if header is None else float(header)
+        if (
+            hold_seconds is not None
+            and not 0.0 <= hold_seconds <= HOLD_SECONDS_MAX
+        ):
+            raise _wire.WireError(f"feed: hold {hold_seconds}")
+        return int(after), hold_seconds
     except ValueError as error:
         raise _wire.WireError(f"feed: {error}") from error
 
 
 def encode_status(status: feeds.PeerStatus, content: int) -> bytes:
-    """Return the field's value of an answer; ``content`` is the view's."""
+    """Return the header of an answer.
+
+    ``content`` is the revision of the last change in the view.
+    """
     lost = _NOT_LOST if status.lost is None else f"{status.lost:.3f}"
     return b"%d %d %s %.3f %d %.3f" % (
         status.revision,
@@ -78,49 +92,49 @@
 
 
 def decode_answer(
-    field: bytes, body: bytes
+    header: bytes, body: bytes
 ) -> tuple[feeds.PeerStatus, views.Delta]:
-    """Return what a daemon tells; raises ``WireError``."""
+    """Return the status and changes of a peer; raises ``WireError``."""
     try:
-        parts = field.decode().split(" ")
-        revision, content, lost, unsteady, leaving, age = parts
+        parts = header.decode().split(" ")
+        revision, content, lost, recovering, leaving, age = parts
         status = feeds.PeerStatus(
             int(revision),
-            None if lost == _NOT_LOST else _seconds(lost),
-            _seconds(unsteady),
+            None if lost == _NOT_LOST else _parse_seconds(lost),
+            _parse_seconds(recovering),
             leaving == "1",
-            _seconds(age),
+            _parse_seconds(age),
         )
         if not body:
             return status, views.Delta(int(revision), int(content))
     except ValueError as error:
         raise _wire.WireError(f"feed: {error}") from error
-    delta = _decode(body, views.Delta)
+    delta = _decode_body(body, views.Delta)
     _check_policy(delta.policy)
     return status, views.usable_delta(delta)
 
 
 def encode_delta(delta: views.Delta) -> bytes:
-    """Return the body of an answer; nothing when nothing changed."""
+    """Return the body of an answer, empty if nothing changed."""
     return b"" if delta.empty else msgspec.msgpack.encode(delta)
 
 
 def encode_snapshot(snapshot: views.Snapshot) -> bytes:
-    """Return a snapshot for a daemon of the version before."""
+    """Return the body of an answer to a daemon of the previous release."""
     return msgspec.msgpack.encode(snapshot)
 
 
 def decode_snapshot(body: bytes) -> views.Snapshot:
     """Return the snapshot of a daemon; raises ``WireError``.
 
-    Instances that can't be used are left out.
+    Unusable instances are left out.
     """
-    found = _decode(body, views.Snapshot)
-    _check_policy(found.policy)
-    return views.without_unusable(found)
+    snapshot = _decode_body(body, views.Snapshot)
+    _check_policy(snapshot.policy)
+    return views.without_unusable(snapshot)
 
 
-def _decode(body: bytes, kind: type[_T]) -> _T:
+def _decode_body(body: bytes, kind: type[_T]) -> _T:
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
@@ -128,13 +142,13 @@
 
 
 def _check_policy(policy: policies.Policy | None) -> None:
-    wrong = "" if policy is None else policies.find_fault(policy)
-    if wrong:
-        raise _wire.WireError(f"view: policy: {wrong}")
+    fault = "" if policy is None else policies.find_fault(policy)
+    if fault:
+        raise _wire.WireError(f"view: policy: {fault}")
 
 
-def _seconds(value: str) -> float:
+def _parse_seconds(value: str) -> float:
     seconds = float(value)
     if not 0.0 <= seconds < math.inf:
-        raise ValueError(f"not seconds: {value!r}")
+        raise ValueError(f"not a duration in seconds: {value!r}")
     return seconds
--- a/src/sassafrasstair/logs.py
+++ b/src/sassafrasstair/logs.py
@@ -15,9 +15,9 @@
 Field = str | int | float | bool | enum.Enum
 
 _FIELDS = "sassafrasstair_fields"
-_PLAIN = re.compile(r"[A-Za-z0-9_./:+@%,~<>\[\]()*-]+")
-_CHATTY = ("httpcore", "httpx")
-_VALUE_MAX = 1_000
+_UNQUOTED = re.compile(r"[A-Za-z0-9_./:+@%,~<>\[\]()*-]+")
+_VERBOSE_LOGGERS = ("httpcore", "httpx")
+_VALUE_CHARACTERS_MAX = 1_000
 _FLOAT_DIGITS = 6
 
 
@@ -42,15 +42,15 @@
     root = logging.getLogger()
     root.handlers[:] = [handler]
     root.setLevel(level.upper())
-    _quieten(logging.getLevelName(level.upper()))
+    _limit_library_loggers(logging.getLevelName(level.upper()))
 
 
-def _quieten(level: int) -> None:
-    """Keep libraries from logging a line for each request they make."""
+def _limit_library_loggers(level: int) -> None:
+    """Stop libraries from logging each request, except at level debug."""
     quiet = max(level, logging.WARNING)
-    least = logging.NOTSET if level <= logging.DEBUG else quiet
-    for name in _CHATTY:
-        logging.getLogger(name).setLevel(least)
+    minimum = logging.NOTSET if level <= logging.DEBUG else quiet
+    for name in _VERBOSE_LOGGERS:
+        logging.getLogger(name).setLevel(minimum)
 
 
 class KeyValueFormatter(logging.Formatter):
@@ -58,8 +58,8 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line of one record."""
-        pairs = _pairs(record).items()
-        return " ".join(f"{key}={_quoted(value)}" for key, value in pairs)
+        pairs = _to_pairs(record).items()
+        return " ".join(f"{key}={_quote(value)}" for key, value in pairs)
 
 
 class JsonFormatter(json_logger.JsonFormatter):
@@ -68,7 +68,7 @@
     def process_log_record(
         self, log_data: dict[str, typing.Any]
     ) -> dict[str, typing.Any]:
-        """Return what ``add_fields`` has put there, unchanged."""
+        """Return the data that ``add_fields`` has set, unchanged."""
         return log_data
 
     def add_fields(
@@ -79,47 +79,47 @@
     ) -> None:
         """Put the keys of one record into ``log_data``."""
         log_data.clear()
-        log_data.update(_pairs(record))
+        log_data.update(_to_pairs(record))
 
 
-def _pairs(record: logging.LogRecord) -> dict[str, str | int | float]:
-    when = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
+def _to_pairs(record: logging.LogRecord) -> dict[str, str | int | float]:
+    created_at = datetime.datetime.fromtimestamp(record.created, datetime.UTC)
     pairs: dict[str, str | int | float] = {
-        "time": when.isoformat(timespec="milliseconds"),
+        "time": created_at.isoformat(timespec="milliseconds"),
         "level": record.levelname.lower(),
         "logger": record.name,
     }
     fields: dict[str, Field] | None = getattr(record, _FIELDS, None)
     if fields is None:
-        # A library's own record: its text becomes a field of one event.
+        # A record of a library: its text becomes a field of one event.
         pairs |= {"event": "library_message", "message": record.getMessage()}
     else:
         pairs["event"] = record.msg
-        pairs |= {key: _plain(value) for key, value in fields.items()}
+        pairs |= {key: _to_plain(value) for key, value in fields.items()}
     if record.exc_info and record.exc_info[0]:
-        trace = logging.Formatter().formatException(record.exc_info)
-        pairs["exception"] = trace
+        traceback_text = logging.Formatter().formatException(record.exc_info)
+        pairs["exception"] = traceback_text
     return pairs
 
 
-def _plain(value: Field) -> str | int | float:
+def _to_plain(value: Field) -> str | int | float:
     if isinstance(value, enum.Enum):
         value = typing.cast("str", value.value)
     if isinstance(value, float):
         return round(value, _FLOAT_DIGITS)
-    if isinstance(value, str) and len(value) > _VALUE_MAX:
-        return value[:_VALUE_MAX] + "..."
+    if isinstance(value, str) and len(value) > _VALUE_CHARACTERS_MAX:
+        return value[:_VALUE_CHARACTERS_MAX] + "..."
     return value
 
 
-def _quoted(value: str | int | float) -> str:
-    """Return the value, quoted as JSON where it needs that.
+def _quote(value: str | int | float) -> str:
+    """Return the value, quoted as JSON if necessary.
 
-    Callers choose some of the values. A newline that passed here would
-    let a caller write whole events of its own into the log; JSON's
-    escapes keep each event on one line.
+    Callers choose some of the values. An unescaped newline would let a
+    caller forge whole events in the log; JSON escapes keep each event on one
+    line.
     """
     if isinstance(value, bool):
         return str(value).lower()
     text = str(value)
-    return text if _PLAIN.fullmatch(text) else json.dumps(text)
+    return text if _UNQUOTED.fullmatch(text) else json.dumps(text)
--- a/src/sassafrasstair/metrics.py
+++ b/src/sassafrasstair/metrics.py
@@ -1,9 +1,9 @@
 """Metrics of one daemon: plain counts, rendered by ``aioprometheus``.
 
-Its collectors take 7 to 10 us for each observation, for they encode the
-labels each time; with ten of them to a call that is more than 1% of a core
-at 160 calls a second. So counts are kept here and become collectors only
-when somebody reads ``/metrics``.
+The library's collectors take 7 to 10 us for each observation, as they encode
+the labels each time. With ten observations per call, that is more than 1% of a
+core at 160 calls a second. So counts are kept here and are copied to
+collectors only when ``/metrics`` is read.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
     from sassafrasstair import outcomes
 
 OTHER = "other"
-"""Stands for each name that the bundle in force does not have."""
+"""Label value for all names that are not in the bundle in force."""
 
 CALL_SERIES_MAX = 256
-"""Histograms of class and tenant that one daemon keeps. Later tenants of
-a class go to ``other``, so that a bundle with thousands of tenants costs
-neither memory nor a long rendering."""
+"""Greatest number of histograms by class and tenant. Further tenants of a
+class are counted as ``other``, so that a bundle with thousands of tenants
+costs neither much memory nor a long rendering."""
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
 
 
 class Count(enum.Enum):
-    """A counter and what it counts."""
+    """A counter; its value is the name of the metric."""
 
     REFUSALS = "refusals_total"
     RETRIES = "retries_total"
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Gauges:
-    """Levels that the daemon sets; durations in seconds."""
+    """Current values, set by the daemon; see ``_GAUGE_HELP`` for each."""
 
     limit: float = 0.0
     running: int = 0
@@ -82,16 +82,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Metrics:
-    """All counts of one daemon. Only names in the bundle make series."""
+    """All metrics of one daemon. Only names in the bundle get a series."""
 
     gauges: Gauges = dataclasses.field(default_factory=Gauges)
     _classes: frozenset[str] = frozenset()
     _tenants: frozenset[str] = frozenset()
     _services: frozenset[str] = frozenset()
-    _calls: dict[tuple[str, str], histograms.Series] = dataclasses.field(
+    _call_series: dict[tuple[str, str], histograms.Series] = dataclasses.field(
         default_factory=dict
     )
-    _upstream: dict[str, histograms.Series] = dataclasses.field(
+    _upstream_series: dict[str, histograms.Series] = dataclasses.field(
         default_factory=dict
     )
     _counts: dict[Count, dict[histograms.Labels, int]] = dataclasses.field(
@@ -99,47 +99,47 @@
     )
 
     def apply_bundle(self, bundle: bundles.Bundle) -> None:
-        """Take the names of a new bundle; series of other names go.
+        """Use the names in a new bundle; series of other names are dropped.
 
-        Without this, names that change with each of 730 bundles a day
-        would add up in memory and in every rendering.
+        Otherwise names that change with each of 730 bundles a day would
+        accumulate in memory and in every rendering.
         """
         self._classes = frozenset(bundle.classes)
         self._tenants = frozenset(bundle.tenants)
         self._services = frozenset(bundle.services)
         self.gauges.bundle_version = bundle.version
-        self._calls = {
+        self._call_series = {
             (name, tenant): series
-            for (name, tenant), series in self._calls.items()
+            for (name, tenant), series in self._call_series.items()
             if name in self._classes | {OTHER}
             and tenant in self._tenants | {OTHER}
         }
-        self._upstream = {
+        self._upstream_series = {
             name: series
-            for name, series in self._upstream.items()
+            for name, series in self._upstream_series.items()
             if name in self._classes | {OTHER}
         }
-        self._keep(Count.REFUSALS, "class", self._classes)
-        self._keep(Count.RETRIES, "service", self._services)
-        self._add(Count.BUNDLES_ADOPTED)
+        self._drop_unknown_names(Count.REFUSALS, "class", self._classes)
+        self._drop_unknown_names(Count.RETRIES, "service", self._services)
+        self._increment(Count.BUNDLES_ADOPTED)
 
     def count_answer(
         self, request_class: str, tenant: str, seconds: float
     ) -> None:
-        """Count a whole answer that a caller got from this entrance."""
+        """Record the duration of a whole answer to a caller."""
         pair = (
-            _known(request_class, self._classes),
-            _known(tenant, self._tenants),
+            _label_value(request_class, self._classes),
+            _label_value(tenant, self._tenants),
         )
-        series = self._calls.get(pair)
+        series = self._call_series.get(pair)
         if series is None:
-            series = self._new_pair(pair)
+            series = self._add_call_series(pair)
         series.observe(seconds)
 
     def count_attempt(self, request_class: str, seconds: float) -> None:
-        """Count an attempt that the upstream of this VM has ended."""
-        name = _known(request_class, self._classes)
-        series = self._upstream.setdefault(name, histograms.Series())
+        """Record the duration of an attempt at the upstream of this VM."""
+        name = _label_value(request_class, self._classes)
+        series = self._upstream_series.setdefault(name, histograms.Series())
         series.observe(seconds)
 
     def count_refusal(
@@ -148,30 +148,30 @@
         outcome: outcomes.Outcome,
         reason: outcomes.Reason,
     ) -> None:
-        """Count a final refusal given to a caller."""
-        self._add(
+        """Count a final refusal of a call."""
+        self._increment(
             Count.REFUSALS,
-            ("class", _known(request_class, self._classes)),
+            ("class", _label_value(request_class, self._classes)),
             ("outcome", outcome.value),
             ("reason", reason.value),
         )
 
     def count_retry(self, service: str) -> None:
-        """Count an attempt after the first towards ``service``."""
-        name = _known(service, self._services)
-        self._add(Count.RETRIES, ("service", name))
+        """Count an attempt after the first at ``service``."""
+        name = _label_value(service, self._services)
+        self._increment(Count.RETRIES, ("service", name))
 
     def count_late_answer(self) -> None:
-        """Count an answer that nobody waits for."""
-        self._add(Count.LATE_ANSWERS)
+        """Count an answer for which no call waits."""
+        self._increment(Count.LATE_ANSWERS)
 
     def count_refused_bundle(self, reason: bundles.Defect) -> None:
-        """Count a bundle that was refused whole."""
-        self._add(Count.BUNDLES_REFUSED, ("reason", reason.value))
+        """Count a bundle that was refused."""
+        self._increment(Count.BUNDLES_REFUSED, ("reason", reason.value))
 
     def count_platform_read(self) -> None:
         """Count one call to the platform."""
-        self._add(Count.PLATFORM_READS)
+        self._increment(Count.PLATFORM_READS)
 
     def total(self, count: Count) -> int:
         """Return the sum of one counter over all labels."""
@@ -182,39 +182,41 @@
         return {count.name.lower(): self.total(count) for count in Count}
 
     def render_parts(self) -> abc.Iterator[bytes]:
-        """Yield the Prometheus text in parts of a millisecond or so."""
+        """Yield the Prometheus text in parts that take about 1 ms each."""
         yield histograms.render(self._gauge_collectors())
         yield histograms.render(self._counter_collectors())
         calls: dict[histograms.Labels, histograms.Series] = {
             (("class", name), ("tenant", tenant)): series
-            for (name, tenant), series in self._calls.items()
+            for (name, tenant), series in self._call_series.items()
         }
         yield from histograms.render_parts(
             "call_seconds", "Time of whole answers to callers", calls
         )
         upstream: dict[histograms.Labels, histograms.Series] = {
             (("class", name),): series
-            for name, series in self._upstream.items()
+            for name, series in self._upstream_series.items()
         }
         yield from histograms.render_parts(
             "upstream_seconds", "Time of attempts at the upstream", upstream
         )
 
-    def _new_pair(self, pair: tuple[str, str]) -> histograms.Series:
-        if len(self._calls) >= CALL_SERIES_MAX:
+    def _add_call_series(self, pair: tuple[str, str]) -> histograms.Series:
+        if len(self._call_series) >= CALL_SERIES_MAX:
             pair = (pair[0], OTHER)
-        return self._calls.setdefault(pair, histograms.Series())
+        return self._call_series.setdefault(pair, histograms.Series())
 
-    def _add(self, count: Count, *labels: tuple[str, str]) -> None:
+    def _increment(self, count: Count, *labels: tuple[str, str]) -> None:
         counts = self._counts[count]
         counts[labels] = counts.get(labels, 0) + 1
 
-    def _keep(self, count: Count, label: str, names: frozenset[str]) -> None:
-        kept = names | {OTHER}
+    def _drop_unknown_names(
+        self, count: Count, label: str, names: frozenset[str]
+    ) -> None:
+        known_names = names | {OTHER}
         self._counts[count] = {
             labels: value
             for labels, value in self._counts[count].items()
-            if dict(labels)[label] in kept
+            if dict(labels)[label] in known_names
         }
 
     def _gauge_collectors(self) -> collectors.Registry:
@@ -242,5 +244,5 @@
     return b"".join(metrics.render_parts())
 
 
-def _known(name: str, names: frozenset[str]) -> str:
+def _label_value(name: str, names: frozenset[str]) -> str:
     return name if name in names else OTHER
