--- a/src/sassafrasstair/forwarding/__init__.py
+++ b/src/sassafrasstair/forwarding/__init__.py
@@ -1,8 +1,9 @@
-"""The daemon that forwards requests between the VMs' upstreams over HTTP.
+"""A daemon that forwards HTTP requests between the upstreams of the VMs.
 
-A client's request enters at the daemon of its own VM, which chooses an
-instance and hands the request to the daemon on that instance's VM, the only
-way to it. What is spoken outside is named by a ``Dialect``.
+A client sends its request to the daemon on its own VM, the entrance. The
+entrance chooses an instance and forwards the request to the daemon on that
+instance's VM, which alone talks to the instance. A ``Dialect`` supplies the
+header names, the settings and the store client of the platform.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of a request at instances, from the first to the last."""
+"""Sends a client's request to instances and handles each attempt's end."""
 
 from __future__ import annotations
 
@@ -22,19 +22,21 @@
 from sassafrasstair import outcomes
 
 QUEUE_WAIT_RATIO = 0.5
-"""The part of a route's objective, or of the time left if that is shorter,
-that a request may wait for a slot. At its timeout an entrance can't know that
-a request has not run, and could not tell its client to retry it."""
+"""The fraction of a route's objective, or of the remaining time if that is
+shorter, that a request may wait for a slot. The wait must end before the
+timeout: at the timeout an entrance can't know that the request has not run,
+so it could not tell the client to retry."""
 
 
 def send_attempt(
     daemon: _state.Daemon,
     call: _records.Call,
-    before: outcomes.Reason = outcomes.Reason.NO_INSTANCE,
+    last_reason: outcomes.Reason = outcomes.Reason.NO_INSTANCE,
 ) -> None:
-    """Send the request to an instance not tried yet.
+    """Send the request to an instance that has not been tried yet.
 
-    Without one, the end of the attempt ``before`` is the client's answer.
+    If there is none, the client is answered with ``last_reason``, the
+    reason for which the previous attempt ended.
     """
     now = daemon.clock.monotonic()
     verdict = _crashes.verdict_of_call(daemon, call)
@@ -49,33 +51,33 @@
         daemon.routes, targets, progress.tried, now, daemon.rng
     )
     if target is None:
-        _endings.answer_failed_call(daemon, call, before)
+        _endings.answer_failed_call(daemon, call, last_reason)
         return
     instance = views.instance_by_id(daemon.view, target.vm)
     host = "" if instance is None else instance.host
-    left_for = calls.reason_for_crossing(
+    cross_domain_reason = calls.reason_for_crossing(
         daemon.routes, targets, target, progress.tried, now
     )
     requests.attempt_sent(progress, target.vm)
     calls.start_attempt(daemon.routes, target.vm, now)
-    left = progress.deadline - now
-    ask = _wire.RequestMetadata(
+    remaining = progress.deadline - now
+    metadata = _wire.RequestMetadata(
         daemon.view.content,
         target.vm,
         progress.route.name,
         progress.rank,
-        left,
-        QUEUE_WAIT_RATIO * min(progress.route.objective, left),
+        remaining,
+        QUEUE_WAIT_RATIO * min(progress.route.objective, remaining),
     )
     attempt = _records.Attempt(
         target.vm,
         host,
         now,
         views.born_at(daemon.view, target.vm),
-        ask,
+        metadata,
         [*call.fields, (daemon.header_names.target, target.vm.encode())],
         _crashes.trial_strikes(verdict),
-        left_for,
+        cross_domain_reason,
     )
     call.attempt = attempt
     if host == daemon.settings.host:
@@ -85,11 +87,12 @@
 
 
 def fail_attempts_at(daemon: _state.Daemon, instance: str) -> None:
-    """End the attempts at an instance whose daemon is silent.
+    """End the attempts at an instance whose daemon does not respond.
 
-    Those whose connection is still being made have not run and go
-    elsewhere. Of the others only those that may run again: for the rest the
-    answer may still come, and nothing is gained by not waiting for it.
+    Attempts whose connection is not established yet have not run and are
+    retried elsewhere. Of the others, only requests of idempotent routes are
+    retried. The rest keep waiting: the answer may still arrive, and giving
+    up early gains nothing.
     """
     for call in list(daemon.calls):
         attempt = call.attempt
@@ -104,11 +107,11 @@
             reason = outcomes.Reason.PEER_LOST
         if attempt.job is not None:
             attempt.job.abort()
-        _ended(daemon, call, ending, reason)
+        _end_attempt(daemon, call, ending, reason)
 
 
 def abort_attempt(daemon: _state.Daemon, call: _records.Call) -> None:
-    """Stop the attempt under way, through the callee's daemon too."""
+    """Abort the current attempt, at the callee's daemon as well."""
     attempt, call.attempt = call.attempt, None
     if attempt is None:
         return
@@ -120,17 +123,17 @@
 
 
 def may_have_run(daemon: _state.Daemon, attempt: _records.Attempt) -> bool:
-    """Return whether an attempt that is given up on may have run.
+    """Return whether the upstream may have run an abandoned attempt.
 
-    Not while its connection is still being made, nor while it waits for a
-    slot on this VM: both end with the attempt.
+    An attempt can't have run while its connection is being established, nor
+    while it waits for a slot on this VM. Aborting it ends both.
     """
     job = attempt.job
     if job is None:
-        run = daemon.executions.get(attempt.execution_key)
-        if run is not None and run.connection_broken:
+        execution = daemon.executions.get(attempt.execution_key)
+        if execution is not None and execution.connection_broken:
             return True
-        job = None if run is None else run.job
+        job = None if execution is None else execution.job
     return job is not None and job.sent
 
 
@@ -140,7 +143,7 @@
     attempt: _records.Attempt,
 ) -> None:
     request = call.exchange.request
-    order = _records.InboundRequest(
+    inbound = _records.InboundRequest(
         attempt.metadata,
         daemon.settings.service,
         call.request_id,
@@ -153,11 +156,11 @@
         call.customer,
     )
 
-    def done(result: _records.Result) -> None:
+    def on_done(result: _records.Result) -> None:
         if call.attempt is attempt:
-            _took(daemon, call, result.state, result.response)
+            _handle_result(daemon, call, result.state, result.response)
 
-    attempt.execution_key = _callee.submit(daemon, order, done)
+    attempt.execution_key = _callee.submit(daemon, inbound, on_done)
 
 
 def _send_there(
@@ -179,17 +182,19 @@
     head = httpio.request_head(
         request.method, request.target, fields, len(request.body)
     )
-    _count_crossing(daemon, call, attempt, len(head) + len(request.body))
+    _count_cross_domain_bytes(
+        daemon, call, attempt, len(head) + len(request.body)
+    )
     attempt.job = httpio.Job(
         head + request.body,
-        functools.partial(_answered, daemon, call, attempt),
+        functools.partial(_handle_response, daemon, call, attempt),
         None,
         request.method == b"HEAD",
     )
     _state.pool(daemon, attempt.host).send(attempt.job)
 
 
-def _count_crossing(
+def _count_cross_domain_bytes(
     daemon: _state.Daemon,
     call: _records.Call,
     attempt: _records.Attempt,
@@ -203,19 +208,19 @@
     )
 
 
-def _answered(
+def _handle_response(
     daemon: _state.Daemon,
     call: _records.Call,
     attempt: _records.Attempt,
     result: httpio.Response | httpio.Failure,
 ) -> None:
-    """Take what came from another daemon."""
+    """Handle the response of another daemon."""
     if call.attempt is not attempt:
         return
     if result is httpio.Failure.NOT_SENT:
         if _is_current(daemon, attempt):
             calls.eject(daemon.routes, attempt.instance)
-        _ended(
+        _end_attempt(
             daemon,
             call,
             requests.Ending.UNSENT,
@@ -224,7 +229,7 @@
         return
     if isinstance(result, httpio.Failure):
         reason = outcomes.Reason.PEER_LOST
-        _ended(daemon, call, requests.Ending.LOST, reason)
+        _end_attempt(daemon, call, requests.Ending.LOST, reason)
         return
     try:
         state = _wire.decode_state(
@@ -233,35 +238,39 @@
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         reason = outcomes.Reason.PEER_LOST
-        _ended(daemon, call, requests.Ending.LOST, reason)
+        _end_attempt(daemon, call, requests.Ending.LOST, reason)
         return
-    _count_crossing(daemon, call, attempt, _size(result))
+    _count_cross_domain_bytes(daemon, call, attempt, _response_size(result))
     _peers.heard(daemon, attempt.host, state.content)
-    _took(daemon, call, state, result if state.ending is None else None)
+    _handle_result(
+        daemon, call, state, result if state.ending is None else None
+    )
 
 
-def _size(response: httpio.Response) -> int:
-    """Return about how many bytes an answer took on the network."""
+def _response_size(response: httpio.Response) -> int:
+    """Return the approximate size of a response on the network, in bytes."""
     head = sum(
         len(name) + len(value) + 4 for _, name, value in response.fields
     )
     return head + len(response.body)
 
 
-def _took(
+def _handle_result(
     daemon: _state.Daemon,
     call: _records.Call,
     state: _wire.CalleeState,
     response: httpio.Response | None,
 ) -> None:
-    """Take the word of the callee's daemon, its load first."""
+    """Apply the load reported by the callee's daemon, then its result."""
     attempt = call.attempt
     if attempt is None:
         return
     now = daemon.clock.monotonic()
     route = call.progress.route.name
-    here = admission.pressure(state.load_at_rank, state.load.service_seconds)
-    busiest = max(here, state.downstream_load)
+    own_load = admission.pressure(
+        state.load_at_rank, state.load.service_seconds
+    )
+    busiest = max(own_load, state.downstream_load)
     if state.internal_route:
         level = math.floor(call.progress.rank)
         admission.observe_inner_load(daemon.chains, route, level, busiest, now)
@@ -270,12 +279,12 @@
         admission.observe_load(daemon.gates, route, busiest, now)
     if response is None or state.ending is not None:
         ending = state.ending or requests.Ending.LOST
-        _ended(daemon, call, ending, state.reason, state)
+        _end_attempt(daemon, call, ending, state.reason, state)
         return
     answer = calls.Answer(
         outcomes.Outcome.DONE, load=state.load, incarnation=attempt.instance
     )
-    _learn_from(daemon, attempt, answer, now)
+    _update_routes(daemon, attempt, answer, now)
     if state.leaving:
         calls.eject(daemon.routes, attempt.instance)
     call.attempt = None
@@ -283,21 +292,21 @@
     _endings.forward_answer(daemon, call, response)
 
 
-def _ended(
+def _end_attempt(
     daemon: _state.Daemon,
     call: _records.Call,
     ending: requests.Ending,
     reason: outcomes.Reason,
     state: _wire.CalleeState | None = None,
 ) -> None:
-    """Take the end of an attempt that has no answer to pass on."""
+    """Retry after a failed attempt, or send the client the final answer."""
     attempt, call.attempt = call.attempt, None
     if attempt is None:
         return
     now = daemon.clock.monotonic()
     if reason is outcomes.Reason.INSTANCE_REPLACED:
-        told = views.note_replaced(daemon.view, attempt.instance)
-        _learning.learned(daemon, told, f"peer {attempt.host}")
+        news = views.note_replaced(daemon.view, attempt.instance)
+        _learning.learned(daemon, news, f"peer {attempt.host}")
     lost = ending is requests.Ending.LOST
     answer = calls.Answer(
         outcomes.Outcome.UNKNOWN if lost else outcomes.Outcome.NOT_RUN,
@@ -305,7 +314,7 @@
         calls.LoadReport() if state is None else state.load,
         incarnation="" if state is None else attempt.instance,
     )
-    _learn_from(daemon, attempt, answer, now)
+    _update_routes(daemon, attempt, answer, now)
     progress = call.progress
     step = requests.attempt_ended(
         progress,
@@ -336,13 +345,13 @@
         _endings.answer_failed_call(daemon, call, reason)
 
 
-def _learn_from(
+def _update_routes(
     daemon: _state.Daemon,
     attempt: _records.Attempt,
     answer: calls.Answer,
     now: float,
 ) -> None:
-    """Take what an attempt's end tells of the instance that was asked."""
+    """Update the routing statistics of the instance that was called."""
     if not _is_current(daemon, attempt):
         calls.forget_attempt(daemon.routes, attempt.instance)
         return
@@ -351,16 +360,17 @@
 
 
 def _is_current(daemon: _state.Daemon, attempt: _records.Attempt) -> bool:
-    """Return whether the run that was asked is still the latest.
+    """Return whether the instance has not restarted since the attempt.
 
-    Late failures of an earlier run under the same id must not eject it.
+    A late failure of an earlier start under the same id must not eject the
+    current one.
     """
     born = views.born_at(daemon.view, attempt.instance)
     return not attempt.born or attempt.born == born
 
 
 def retry_window(daemon: _state.Daemon, service: str) -> requests.Window:
-    """Return the retry budget's window of a service."""
+    """Return the retry-budget window of a service."""
     window = daemon.retry_windows.get(service)
     if window is None:
         window = daemon.retry_windows[service] = requests.new_window(
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -1,7 +1,8 @@
-"""The callee's side: requests for the upstream on this VM.
+"""Handles requests for the upstream on this VM.
 
-Each passes the guard of the instance that it names, whoever sent it, so the
-guard sees all of the instance's work.
+Every request passes the guard of the instance that it names, whether it
+comes from this daemon or another one, so the guard sees all of the
+instance's work.
 """
 
 from __future__ import annotations
@@ -29,56 +30,64 @@
     from collections import abc
 
 FULL_SLOTS_RATIO = 0.7
-"""An instance that refuses with less of its slots in use is not full, and
-cutting its limit would only turn more work away."""
+"""An instance that refuses work while a smaller fraction of its slots is in
+use is not full. Lowering its limit would only turn more work away."""
 MISDIRECTED_STATUS = 421
-"""Said by an instance that is not the one that the request names."""
+"""Returned by an instance other than the one that the request names."""
 RECONNECT_SECONDS = 0.3
-"""Between two connections tried to an upstream that takes none."""
-_BROKEN = (httpio.Failure.LOST, httpio.Failure.CUT_SHORT)
+"""Interval between connection attempts while the upstream accepts none."""
+_CONNECTION_FAILURES = (httpio.Failure.LOST, httpio.Failure.CUT_SHORT)
 
 
 def submit(
     daemon: _state.Daemon,
-    order: _records.InboundRequest,
-    done: abc.Callable[[_records.Result], None],
+    inbound: _records.InboundRequest,
+    on_done: abc.Callable[[_records.Result], None],
 ) -> str:
-    """Take a request; ``done`` is called once, maybe before the return.
+    """Start or queue a request, and return its key for ``cancel``.
 
-    Returns the key for ``cancel``.
+    ``on_done`` is called exactly once, possibly before this function returns.
     """
     now = daemon.clock.monotonic()
-    ask = order.metadata
-    admission.note_caller(daemon.callers, ask.route, order.caller)
+    metadata = inbound.metadata
+    admission.note_caller(daemon.callers, metadata.route, inbound.caller)
     daemon.execution_serial += 1
     key = f"{daemon.execution_serial}"
-    guard = _guards.get_guard(daemon, ask.instance, now)
-    deadline = now + ask.remaining
-    reason = _unable(daemon, ask.instance)
-    run = _records.Execution(key, order, deadline, done, guard)
-    verdict = _crashes.verdict_of_inbound(daemon, order)
-    if _crashes.is_blocked(verdict, order.trial_strikes):
+    guard = _guards.get_guard(daemon, metadata.instance, now)
+    deadline = now + metadata.remaining
+    reason = _unavailable_reason(daemon, metadata.instance)
+    execution = _records.Execution(key, inbound, deadline, on_done, guard)
+    verdict = _crashes.verdict_of_inbound(daemon, inbound)
+    if _crashes.is_blocked(verdict, inbound.trial_strikes):
         reason = outcomes.Reason.CRASHES_INSTANCES
-        _end(daemon, run, requests.Ending.TURNED_AWAY, reason, None)
+        _report_result(
+            daemon, execution, requests.Ending.TURNED_AWAY, reason, None
+        )
         return key
-    run.isolated = _crashes.must_isolate(verdict)
-    if run.isolated and any(
+    execution.isolated = _crashes.must_isolate(verdict)
+    if execution.isolated and any(
         other.isolated for other in daemon.executions.values()
     ):
         reason = outcomes.Reason.SUSPECT_RUNNING
-        _end(daemon, run, requests.Ending.TURNED_AWAY, reason, None)
+        _report_result(
+            daemon, execution, requests.Ending.TURNED_AWAY, reason, None
+        )
         return key
     if reason is not outcomes.Reason.NONE:
-        _end(daemon, run, requests.Ending.UNSENT, reason, None)
+        _report_result(daemon, execution, requests.Ending.UNSENT, reason, None)
         return key
-    daemon.executions[key] = run
-    work = load.Work(key, ask.route, "", ask.rank, deadline, ask.max_wait)
-    _perform(daemon, load.offer(guard, work, now))
+    daemon.executions[key] = execution
+    work = load.Work(
+        key, metadata.route, "", metadata.rank, deadline, metadata.max_wait
+    )
+    _apply_effects(daemon, load.offer(guard, work, now))
     return key
 
 
-def _unable(daemon: _state.Daemon, instance: str) -> outcomes.Reason:
-    """Return why the upstream need not be asked, or ``NONE``."""
+def _unavailable_reason(
+    daemon: _state.Daemon, instance: str
+) -> outcomes.Reason:
+    """Return why the upstream can't serve the instance, or ``NONE``."""
     if daemon.upstream_leaving:
         return outcomes.Reason.LEAVING
     if daemon.upstream_down:
@@ -89,56 +98,60 @@
 
 
 def cancel(daemon: _state.Daemon, key: str) -> None:
-    """Drop a request that nobody waits for, at the instance too."""
-    run = daemon.executions.get(key)
-    if run is None:
+    """Cancel a request whose caller no longer waits, at the instance too."""
+    execution = daemon.executions.get(key)
+    if execution is None:
         return
     now = daemon.clock.monotonic()
-    run.on_done = _nobody
-    _perform(daemon, load.cancel(run.guard, key, now))
+    execution.on_done = _ignore_result
+    _apply_effects(daemon, load.cancel(execution.guard, key, now))
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Look again at the deadlines, and at an upstream that was away."""
+    """Check deadlines, and reconnect to an upstream that was unreachable."""
     if (
         daemon.upstream_down
         and now - daemon.upstream_tried > RECONNECT_SECONDS
     ):
         daemon.upstream_tried = now
-        daemon.upstream.try_connect(functools.partial(_upstream_tried, daemon))
+        daemon.upstream.try_connect(
+            functools.partial(_record_reachability, daemon)
+        )
     for key, guard in list(daemon.guards.items()):
         if _guards.has_ended(daemon, key):
-            _end_run_of_instance(daemon, key, guard, now)
+            _end_before_restart(daemon, key, guard, now)
         else:
             _guards.resize(daemon, key[0], guard)
-        _perform(daemon, load.tick(guard, now))
+        _apply_effects(daemon, load.tick(guard, now))
 
 
-def _end_run_of_instance(
+def _end_before_restart(
     daemon: _state.Daemon, key: _guards.GuardKey, guard: load.Guard, now: float
 ) -> None:
-    """Answer truly for what came for a run of the instance that is over.
+    """End the requests for an instance that has since restarted.
 
-    What it was handed gets no answer any more, and may be retried elsewhere
-    before its deadline. What still waits has not run.
+    Requests that were sent before the restart get no answer any more. Ending
+    them now lets the entrance retry them elsewhere before their deadline.
+    Requests that still wait in the queue have not run.
     """
     if not guard.leaving:
         daemon.upstream.drop_idle()
         reason = outcomes.Reason.INSTANCE_RESTARTED
-        _perform(daemon, load.retire(guard, reason))
-    began = _guards.started_at(daemon, key[0], now)
+        _apply_effects(daemon, load.retire(guard, reason))
+    instance_start = _guards.started_at(daemon, key[0], now)
     for attempt_id, started in list(guard.running.items()):
-        run = daemon.executions.get(attempt_id)
-        if run is not None and started < began:
+        execution = daemon.executions.get(attempt_id)
+        if execution is not None and started < instance_start:
             reason = outcomes.Reason.UPSTREAM_LOST
-            _abort(daemon, attempt_id, run, reason)
+            _abort(daemon, attempt_id, execution, reason)
 
 
-def _upstream_tried(daemon: _state.Daemon, reached: bool) -> None:
-    """Note whether the upstream takes connections.
+def _record_reachability(daemon: _state.Daemon, reached: bool) -> None:
+    """Record whether the upstream accepts connections.
 
-    While it takes none, each request would cost a connection timeout; they go
-    elsewhere at once, and peers that ping eject it.
+    While it accepts none, each request would cost a connection timeout. They
+    are turned away at once instead, and peers that ping this daemon eject
+    the instance.
     """
     if daemon.upstream_down != reached:
         return
@@ -148,149 +161,171 @@
     daemon.journal.note(what, address=daemon.upstream.host)
 
 
-def _perform(daemon: _state.Daemon, effects: list[load.Effect]) -> None:
+def _apply_effects(daemon: _state.Daemon, effects: list[load.Effect]) -> None:
     for effect in effects:
-        run = daemon.executions.get(effect.attempt_id)
-        if run is None:
+        execution = daemon.executions.get(effect.attempt_id)
+        if execution is None:
             continue
         if isinstance(effect, load.Start):
-            _start(daemon, effect.attempt_id, run)
+            _start_execution(daemon, effect.attempt_id, execution)
         elif isinstance(effect, load.TurnAway):
             del daemon.executions[effect.attempt_id]
-            _end(daemon, run, requests.Ending.TURNED_AWAY, effect.reason, None)
+            _report_result(
+                daemon,
+                execution,
+                requests.Ending.TURNED_AWAY,
+                effect.reason,
+                None,
+            )
         else:
             reason = outcomes.Reason.CANCELLED
-            if daemon.clock.monotonic() >= run.deadline:
+            if daemon.clock.monotonic() >= execution.deadline:
                 reason = outcomes.Reason.DEADLINE_PASSED
-            _abort(daemon, effect.attempt_id, run, reason)
+            _abort(daemon, effect.attempt_id, execution, reason)
 
 
 def _abort(
     daemon: _state.Daemon,
     key: str,
-    run: _records.Execution,
+    execution: _records.Execution,
     reason: outcomes.Reason,
 ) -> None:
-    if run.job is not None:
-        run.job.abort()
-    _finish(daemon, key, run, load.End.CANCELLED)
-    _end(daemon, run, requests.Ending.LOST, reason, None)
+    if execution.job is not None:
+        execution.job.abort()
+    _release_slot(daemon, key, execution, load.End.CANCELLED)
+    _report_result(daemon, execution, requests.Ending.LOST, reason, None)
 
 
-def _start(daemon: _state.Daemon, key: str, run: _records.Execution) -> None:
-    order = run.request
-    left = max(0.001, run.deadline - daemon.clock.monotonic())
+def _start_execution(
+    daemon: _state.Daemon, key: str, execution: _records.Execution
+) -> None:
+    inbound = execution.request
+    left = max(0.001, execution.deadline - daemon.clock.monotonic())
     fields = [
-        *order.fields,
+        *inbound.fields,
         (daemon.header_names.deadline_ms, b"%d" % max(1, int(left * 1000))),
     ]
-    if order.customer:
-        fields.append((daemon.header_names.customer, order.customer.encode()))
+    if inbound.customer:
+        fields.append(
+            (daemon.header_names.customer, inbound.customer.encode())
+        )
     head = httpio.request_head(
-        order.method, order.target, fields, len(order.body)
+        inbound.method, inbound.target, fields, len(inbound.body)
     )
-    run.job = httpio.Job(
-        head + order.body,
-        functools.partial(_answered, daemon, key),
-        (daemon.header_keys.request_id, order.request_id),
-        order.method == b"HEAD",
+    execution.job = httpio.Job(
+        head + inbound.body,
+        functools.partial(_handle_response, daemon, key),
+        (daemon.header_keys.request_id, inbound.request_id),
+        inbound.method == b"HEAD",
     )
-    daemon.upstream.send(run.job)
+    daemon.upstream.send(execution.job)
 
 
-def _answered(
+def _handle_response(
     daemon: _state.Daemon, key: str, result: httpio.Response | httpio.Failure
 ) -> None:
-    run = daemon.executions.get(key)
-    if run is None:
+    execution = daemon.executions.get(key)
+    if execution is None:
         return
-    if result in _BROKEN:
-        _check_for_crash(daemon, key, run, result)
+    if result in _CONNECTION_FAILURES:
+        _check_for_crash(daemon, key, execution, result)
     else:
-        _settle(daemon, key, run, result)
+        _complete(daemon, key, execution, result)
 
 
 def _check_for_crash(
     daemon: _state.Daemon,
     key: str,
-    run: _records.Execution,
+    execution: _records.Execution,
     result: httpio.Response | httpio.Failure,
 ) -> None:
-    """End the run once it is clear whether the upstream has crashed.
+    """End the execution once it is known whether the upstream crashed.
 
-    A connection may break by itself; a crashed upstream refuses new ones.
+    A single broken connection is no proof, but a crashed upstream also
+    refuses new connections.
     """
-    run.connection_broken = True
+    execution.connection_broken = True
     daemon.broken_results[key] = result
     if len(daemon.broken_results) == 1:
-        daemon.upstream.try_connect(functools.partial(_crash_checked, daemon))
+        daemon.upstream.try_connect(
+            functools.partial(_handle_crash_check, daemon)
+        )
 
 
-def _crash_checked(daemon: _state.Daemon, reached: bool) -> None:
-    broken, daemon.broken_results = daemon.broken_results, {}
-    _upstream_tried(daemon, reached)
+def _handle_crash_check(daemon: _state.Daemon, reached: bool) -> None:
+    broken_results, daemon.broken_results = daemon.broken_results, {}
+    _record_reachability(daemon, reached)
     if not reached:
-        _note_crash(daemon)
-    for key, result in broken.items():
-        run = daemon.executions.get(key)
-        if run is not None:
-            _settle(daemon, key, run, result, crashed=not reached)
-
-
-def _note_crash(daemon: _state.Daemon) -> None:
-    """Record what was in flight, also what has not ended yet."""
-    runs = [
-        run
-        for run in daemon.executions.values()
-        if run.job is not None and (run.connection_broken or run.job.sent)
+        _record_crash(daemon)
+    for key, result in broken_results.items():
+        execution = daemon.executions.get(key)
+        if execution is not None:
+            _complete(daemon, key, execution, result, crashed=not reached)
+
+
+def _record_crash(daemon: _state.Daemon) -> None:
+    """Record a crash with all requests that were in flight at the upstream."""
+    executions = [
+        execution
+        for execution in daemon.executions.values()
+        if execution.job is not None
+        and (execution.connection_broken or execution.job.sent)
     ]
-    if runs:
-        _crashes.record_crash(daemon, runs, daemon.clock.monotonic())
+    if executions:
+        _crashes.record_crash(daemon, executions, daemon.clock.monotonic())
 
 
-def _settle(
+def _complete(
     daemon: _state.Daemon,
     key: str,
-    run: _records.Execution,
+    execution: _records.Execution,
     result: httpio.Response | httpio.Failure,
     crashed: bool = False,
 ) -> None:
-    ending, reason = _judge(daemon, run, result)
+    ending, reason = _classify_result(daemon, execution, result)
     if crashed:
-        reason = _reason_of_crash(daemon, run)
+        reason = _reason_of_crash(daemon, execution)
     if isinstance(result, httpio.Response):
-        _upstream_tried(daemon, True)
+        _record_reachability(daemon, True)
     elif result is httpio.Failure.NOT_SENT:
-        _upstream_tried(daemon, False)
+        _record_reachability(daemon, False)
     if ending is None:
-        _crashes.record_completed_here(daemon, run.request)
+        _crashes.record_completed_here(daemon, execution.request)
     end = load.End.DONE
     if ending is requests.Ending.REFUSED:
-        guard = run.guard
+        guard = execution.guard
         full = len(guard.running) >= FULL_SLOTS_RATIO * guard.limit_state.slots
         end = load.End.REFUSED if full else load.End.FAILED
     elif ending is not None:
         end = load.End.FAILED
-    _finish(daemon, key, run, end)
-    whole = result if isinstance(result, httpio.Response) else None
-    _end(daemon, run, ending, reason, whole if ending is None else None)
+    _release_slot(daemon, key, execution, end)
+    response = result if isinstance(result, httpio.Response) else None
+    _report_result(
+        daemon, execution, ending, reason, response if ending is None else None
+    )
 
 
 def _reason_of_crash(
-    daemon: _state.Daemon, run: _records.Execution
+    daemon: _state.Daemon, execution: _records.Execution
 ) -> outcomes.Reason:
-    """Return the reason, which stops retries by an entrance that is behind."""
-    if _crashes.is_blocked(_crashes.verdict_of_inbound(daemon, run.request)):
+    """Return the reason to report for a request that ran during a crash.
+
+    If the request is now blocked, the reason also stops retries by an
+    entrance that does not know about the crash yet.
+    """
+    if _crashes.is_blocked(
+        _crashes.verdict_of_inbound(daemon, execution.request)
+    ):
         return outcomes.Reason.CRASHES_INSTANCES
     return outcomes.Reason.UPSTREAM_CRASHED
 
 
-def _judge(
+def _classify_result(
     daemon: _state.Daemon,
-    run: _records.Execution,
+    execution: _records.Execution,
     result: httpio.Response | httpio.Failure,
 ) -> tuple[requests.Ending | None, outcomes.Reason]:
-    """Return how the run ended; None for an answer to pass on."""
+    """Return how the execution ended; None if the answer is forwarded."""
     if result is httpio.Failure.NOT_SENT:
         reason = outcomes.Reason.UPSTREAM_UNREACHABLE
         return requests.Ending.UNSENT, reason
@@ -301,65 +336,72 @@
         return requests.Ending.LOST, reason
     keys = daemon.header_keys
     if result.status == MISDIRECTED_STATUS:
-        news = views.note_replaced(daemon.view, run.request.metadata.instance)
+        news = views.note_replaced(
+            daemon.view, execution.request.metadata.instance
+        )
         _learning.learned(daemon, news, "upstream")
         return requests.Ending.REFUSED, outcomes.Reason.INSTANCE_REPLACED
     if keys.not_run in result.found:
         return requests.Ending.REFUSED, outcomes.Reason.UPSTREAM_REFUSED
     success = 200 <= result.status < 300
-    told = result.found.get(keys.request_id)
-    named = told == run.request.request_id
-    if success and not (named and keys.signature in result.found):
-        # Bytes that look like a success but that no instance has signed
-        # for this request belong to another one, or to none.
+    answered_id = result.found.get(keys.request_id)
+    id_matches = answered_id == execution.request.request_id
+    if success and not (id_matches and keys.signature in result.found):
+        # A success without the instance's signature, or with another
+        # request's id, is the answer to a different request or damaged.
         return requests.Ending.LOST, outcomes.Reason.ANSWER_CUT_SHORT
     return None, outcomes.Reason.NONE
 
 
-def _finish(
-    daemon: _state.Daemon, key: str, run: _records.Execution, end: load.End
+def _release_slot(
+    daemon: _state.Daemon,
+    key: str,
+    execution: _records.Execution,
+    end: load.End,
 ) -> None:
     now = daemon.clock.monotonic()
     daemon.executions.pop(key, None)
-    _perform(daemon, load.finish(run.guard, key, end, now))
+    _apply_effects(daemon, load.finish(execution.guard, key, end, now))
 
 
-def _end(
+def _report_result(
     daemon: _state.Daemon,
-    run: _records.Execution,
+    execution: _records.Execution,
     ending: requests.Ending | None,
     reason: outcomes.Reason,
     response: httpio.Response | None,
 ) -> None:
-    order = run.request
+    inbound = execution.request
     how = "answered" if ending is None else reason.value
     _counters.count_attempt(daemon.counters, daemon.settings.service, how)
     if ending is not None:
         daemon.journal.request(
             "run_ended",
             reason.value,
-            request=order.request_id.decode("latin-1"),
-            instance=order.metadata.instance,
-            route=order.metadata.route,
+            request=inbound.request_id.decode("latin-1"),
+            instance=inbound.metadata.instance,
+            route=inbound.metadata.route,
             ending=ending,
-            left=run.deadline - daemon.clock.monotonic(),
-            **_crashes.log_fields(order.fingerprint),
+            left=execution.deadline - daemon.clock.monotonic(),
+            **_crashes.log_fields(inbound.fingerprint),
+        )
+    execution.on_done(
+        _records.Result(
+            _callee_state(daemon, inbound, ending, reason), response
         )
-    run.on_done(
-        _records.Result(_told(daemon, order, ending, reason), response)
     )
 
 
-def _told(
+def _callee_state(
     daemon: _state.Daemon,
-    order: _records.InboundRequest,
+    inbound: _records.InboundRequest,
     ending: requests.Ending | None,
     reason: outcomes.Reason,
 ) -> _wire.CalleeState:
     now = daemon.clock.monotonic()
-    guard = _guards.get_guard(daemon, order.metadata.instance, now)
-    level = math.floor(order.metadata.rank)
-    told = calls.LoadReport(
+    guard = _guards.get_guard(daemon, inbound.metadata.instance, now)
+    level = math.floor(inbound.metadata.rank)
+    load_report = calls.LoadReport(
         load.busy(guard),
         limit=load.limit(guard, now),
         service_seconds=load.service_seconds(guard),
@@ -367,16 +409,16 @@
     return _wire.CalleeState(
         daemon.view.content,
         daemon.upstream_leaving,
-        told,
+        load_report,
         load.busy_at_or_above(guard, level),
         admission.busiest_callee_load(daemon.chains, level, now),
         admission.is_inner(
-            daemon.callers, order.metadata.route, daemon.services
+            daemon.callers, inbound.metadata.route, daemon.services
         ),
         ending,
         reason,
     )
 
 
-def _nobody(result: _records.Result) -> None:
-    """Take the end of a run that nobody waits for."""
+def _ignore_result(result: _records.Result) -> None:
+    """Ignore the result of a cancelled execution."""
--- a/src/sassafrasstair/forwarding/_counters.py
+++ b/src/sassafrasstair/forwarding/_counters.py
@@ -11,42 +11,43 @@
     from collections import abc
 
 ROUTES_MAX = 64
-"""Routes with a histogram of their own; later ones count as ``other``."""
+"""Maximum number of route labels; further routes count as ``other``."""
 CUSTOMERS_MAX = 400
-"""Pairs of customer and status that are counted; later ones as ``other``."""
+"""Maximum number of pairs of customer and status; further customers count
+as ``other``."""
 
 
 @dataclasses.dataclass(slots=True)
 class Counters:
-    """Plain counts; they become the library's collectors when read."""
+    """Counts of one daemon, which ``render`` turns into Prometheus text."""
 
     answers: dict[tuple[str, str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    """Requests ended here, by importance, status and reason."""
+    """Final answers to clients, by importance, status and reason."""
     attempts: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    """Attempts ended, by service and how."""
+    """Ended attempts, by service and result."""
     state_changes: dict[str, int] = dataclasses.field(default_factory=dict)
-    """Changes of what is believed, by their names in the log."""
+    """Changes of the daemon's known state, by the name of the log event."""
     store_calls: dict[str, int] = dataclasses.field(default_factory=dict)
-    """Calls to the store, by verb."""
+    """Calls to the store, by operation."""
     refused_items: dict[str, int] = dataclasses.field(default_factory=dict)
-    """Items of the store that could not be used, by reason."""
+    """Unusable items of the store, by reason."""
     cross_domain_bytes: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    """Bytes of bodies and heads sent to and got from other failure domains,
-    by route and why the call left."""
+    """Bytes of heads and bodies sent to and received from other failure
+    domains, by route and the reason why the call left its own domain."""
     customer_answers: dict[tuple[str, str], int] = dataclasses.field(
         default_factory=dict
     )
-    """Requests ended here, by customer and status."""
+    """Final answers to clients, by customer and status."""
     answer_seconds: dict[str, histograms.Series] = dataclasses.field(
         default_factory=dict
     )
-    """Time of answers to clients, by route."""
+    """Histograms of the seconds until the final answer, by route."""
 
 
 def new_counters() -> Counters:
@@ -86,25 +87,25 @@
 
 
 def count_attempt(counters: Counters, service: str, how: str) -> None:
-    """Count the end of an attempt."""
+    """Count the end of an attempt, with its result ``how``."""
     key = (service, how)
     counters.attempts[key] = counters.attempts.get(key, 0) + 1
 
 
 def count_state_change(counters: Counters, what: str) -> None:
-    """Count a change of what the daemon believes."""
+    """Count a change of the daemon's known state; ``what`` names its event."""
     counters.state_changes[what] = counters.state_changes.get(what, 0) + 1
 
 
 def count_store_call(counters: Counters, verb: str) -> None:
-    """Count a call to the store."""
+    """Count a call to the store; ``verb`` is the operation."""
     counters.store_calls[verb] = counters.store_calls.get(verb, 0) + 1
 
 
 def count_cross_domain_bytes(
     counters: Counters, route: str, why: str, size: int
 ) -> None:
-    """Count bytes that went between failure domains."""
+    """Count bytes that crossed failure domains, and ``why`` they did."""
     key = (route, why)
     if (
         key not in counters.cross_domain_bytes
@@ -117,7 +118,7 @@
 
 
 def count_refused_item(counters: Counters, reason: str) -> None:
-    """Count an item of the store that could not be used."""
+    """Count an unusable item of the store."""
     counters.refused_items[reason] = counters.refused_items.get(reason, 0) + 1
 
 
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -1,4 +1,7 @@
-"""Crashes of the upstream on this VM, and requests that crash instances."""
+"""Records crashes of this VM's upstream, and finds requests that cause them.
+
+A request is identified by a fingerprint of its method, host, target and body.
+"""
 
 from __future__ import annotations
 
@@ -16,20 +19,20 @@
     from sassafrasstair.forwarding import _records
     from sassafrasstair.forwarding import _state
 
-HOST_KEY = b"host"
+HOST_HEADER = b"host"
 LOGGED_REQUESTS_MAX = 24
-"""Requests named in one log line, those with most strikes first."""
+"""Maximum requests in one log line; those with most strikes come first."""
 LOGGED_CRASHES_MAX = 4
 COMPLETED_REQUESTS_MAX = 4_096
-"""Requests that were completed here, or for a client here, the latest."""
+"""Maximum completed requests remembered, the most recent ones."""
 COMPLETED_BODY_MAX = 512
-"""Bytes; requests with greater bodies are not remembered, since a fingerprint
-of each would cost more than it tells: few come twice."""
+"""Bytes; requests with larger bodies are not remembered. They rarely repeat,
+so computing their fingerprints is not worth its cost."""
 URGENT_STRIKES_MIN = 2
-"""Strikes from which on a change is sent at once."""
+"""Number of strikes from which a change is sent to peers immediately."""
 
 _T = typing.TypeVar("_T")
-_NAMES = {
+_EVENT_NAMES = {
     crashes.Standing.FREE: "request_cleared",
     crashes.Standing.ISOLATED: "request_suspected",
     crashes.Standing.BLOCKED: "request_blocked",
@@ -39,25 +42,32 @@
 def verdict_of_call(
     daemon: _state.Daemon, call: _records.Call
 ) -> crashes.Verdict | None:
-    """Return how a client's request may be run, None without any crash."""
+    """Return whether and how a client's request may run.
+
+    None if no crash is known.
+    """
     if not daemon.crash_ledger.crashes:
         return None
-    return _judge(daemon, _of_call(call))
+    return _verdict(daemon, _call_fingerprint(call))
 
 
 def verdict_of_inbound(
-    daemon: _state.Daemon, order: _records.InboundRequest
+    daemon: _state.Daemon, inbound: _records.InboundRequest
 ) -> crashes.Verdict | None:
-    """Return the same of a request that came for the own upstream."""
+    """Return whether and how a request for this VM's upstream may run.
+
+    None if no crash is known.
+    """
     if not daemon.crash_ledger.crashes:
         return None
-    return _judge(daemon, _of_order(order))
+    return _verdict(daemon, _inbound_fingerprint(inbound))
 
 
 def is_blocked(verdict: crashes.Verdict | None, trial: int = 0) -> bool:
-    """Return whether a request may not be run now.
+    """Return whether a request must not run now.
 
-    It may where another daemon tries it, knowing as much.
+    A blocked request may run as a trial of its entrance, if the entrance
+    knew of at least as many strikes (``trial``) as this daemon.
     """
     if verdict is None or verdict.standing is not crashes.Standing.BLOCKED:
         return False
@@ -65,21 +75,21 @@
 
 
 def trial_strikes(verdict: crashes.Verdict | None) -> int:
-    """Return after how many strikes a request is tried again, 0 if not."""
+    """Return the strikes of a request that is tried again, 0 if it is not."""
     if verdict is None or verdict.blocked_until == -math.inf:
         return 0
     return verdict.evidence.strikes
 
 
 def must_isolate(verdict: crashes.Verdict | None) -> bool:
-    """Return whether a request may run only as the one suspect."""
+    """Return whether no other suspect may run beside the request."""
     return (
         verdict is not None and verdict.standing is not crashes.Standing.FREE
     )
 
 
 def blocked_seconds(daemon: _state.Daemon, call: _records.Call) -> float:
-    """Return for how long this daemon will not run a request again."""
+    """Return for how many more seconds this daemon blocks a request."""
     verdict = verdict_of_call(daemon, call)
     if verdict is None:
         return 0.0
@@ -87,7 +97,7 @@
 
 
 def log_fields(fingerprint: int | None) -> dict[str, str]:
-    """Return what a log line tells of a request, if it was looked up."""
+    """Return the request's fingerprint for a log line, if it is known."""
     if fingerprint is None:
         return {}
     return {"fingerprint": crashes.format_fingerprint(fingerprint)}
@@ -96,50 +106,55 @@
 def suspects(
     daemon: _state.Daemon, now: float
 ) -> list[tuple[int, crashes.Verdict]]:
-    """Return the requests that may not run freely, and why."""
+    """Return the isolated and blocked requests with their verdicts."""
     own = daemon.feed.own_host
     return [
-        (each, crashes.decide_standing(daemon.crash_ledger, each, own, now))
-        for each in daemon.suspect_standings
+        (
+            fingerprint,
+            crashes.decide_standing(
+                daemon.crash_ledger, fingerprint, own, now
+            ),
+        )
+        for fingerprint in daemon.suspect_standings
     ]
 
 
 def record_completed_here(
-    daemon: _state.Daemon, order: _records.InboundRequest
+    daemon: _state.Daemon, inbound: _records.InboundRequest
 ) -> None:
-    """Note that the own upstream has answered a request itself."""
-    if len(order.body) <= COMPLETED_BODY_MAX:
-        known = order.method, order.host, order.target, order.body
-        _keep(daemon.completed_requests, known)
+    """Record that this VM's upstream has answered a request itself."""
+    if len(inbound.body) <= COMPLETED_BODY_MAX:
+        known = inbound.method, inbound.host, inbound.target, inbound.body
+        _remember(daemon.completed_requests, known)
     if daemon.crash_ledger.crashes:
-        _clear(daemon, _of_order(order))
+        _clear_suspicion(daemon, _inbound_fingerprint(inbound))
 
 
 def record_completed(daemon: _state.Daemon, call: _records.Call) -> None:
-    """Note that an upstream has answered a client's request itself."""
+    """Record that an upstream has answered a client's request itself."""
     request = call.exchange.request
     if len(request.body) <= COMPLETED_BODY_MAX:
-        host = request.found.get(HOST_KEY, b"")
+        host = request.found.get(HOST_HEADER, b"")
         known = request.method, host, request.target, request.body
-        _keep(daemon.completed_requests, known)
+        _remember(daemon.completed_requests, known)
     if daemon.crash_ledger.crashes:
-        _clear(daemon, _of_call(call))
+        _clear_suspicion(daemon, _call_fingerprint(call))
 
 
-def _keep(kept: collections.OrderedDict[_T, None], latest: _T) -> None:
+def _remember(kept: collections.OrderedDict[_T, None], latest: _T) -> None:
     kept[latest] = None
     kept.move_to_end(latest)
     if len(kept) > COMPLETED_REQUESTS_MAX:
         kept.popitem(last=False)
 
 
-def _familiar(
+def _completed_fingerprints(
     daemon: _state.Daemon,
 ) -> collections.OrderedDict[int, None]:
     """Return the fingerprints of the requests that were completed here.
 
-    Worked out only while crashes are known: for each request of a calm day it
-    would cost more than all else that is kept of it.
+    They are computed only while crashes are known. Computing one for every
+    request would cost more than all the other records of the request.
     """
     if daemon.completed_fingerprints is None:
         daemon.completed_fingerprints = collections.OrderedDict.fromkeys(
@@ -148,67 +163,65 @@
     return daemon.completed_fingerprints
 
 
-def _clear(daemon: _state.Daemon, fingerprint: int) -> None:
-    _keep(_familiar(daemon), fingerprint)
+def _clear_suspicion(daemon: _state.Daemon, fingerprint: int) -> None:
+    _remember(_completed_fingerprints(daemon), fingerprint)
     strikes = crashes.evidence_against(
         daemon.crash_ledger, fingerprint
     ).strikes
     if crashes.clear_completed(daemon.crash_ledger, fingerprint):
         urgent = strikes >= URGENT_STRIKES_MIN
-        _changed(daemon, {fingerprint}, urgent, "upstream")
+        _announce_change(daemon, {fingerprint}, urgent, "upstream")
 
 
 def record_crash(
-    daemon: _state.Daemon, runs: list[_records.Execution], now: float
+    daemon: _state.Daemon, executions: list[_records.Execution], now: float
 ) -> None:
-    """Note that the upstream crashed while these requests ran there."""
-    if not runs:
+    """Record that the upstream crashed while it ran these requests."""
+    if not executions:
         return
-    instance = runs[-1].request.metadata.instance
+    instance = executions[-1].request.metadata.instance
     if _is_leaving(daemon, instance):
         return
     key = instance, views.born_at(daemon.view, instance)
-    found = [
+    runs = [
         crashes.Run(
-            _of_order(run.request),
-            now - run.guard.running.get(run.key, now),
-            run.isolated,
+            _inbound_fingerprint(execution.request),
+            now - execution.guard.running.get(execution.key, now),
+            execution.isolated,
         )
-        for run in runs
+        for execution in executions
     ]
-    familiar = _familiar(daemon)
-    if not crashes.record_crash(
-        daemon.crash_ledger, key, found, familiar, now
-    ):
+    familiar = _completed_fingerprints(daemon)
+    if not crashes.record_crash(daemon.crash_ledger, key, runs, familiar, now):
         return
     _counters.count_state_change(daemon.counters, "instance_crashed")
-    _log_crash(daemon, instance, found)
-    touched = {run.fingerprint for run in found}
-    _changed(daemon, touched, True, "upstream")
+    _log_crash(daemon, instance, runs)
+    touched = {run.fingerprint for run in runs}
+    _announce_change(daemon, touched, True, "upstream")
 
 
 def receive_reports(
     daemon: _state.Daemon, reports: abc.Sequence[crashes.Report], host: str
 ) -> None:
-    """Merge records of crashes from a peer."""
+    """Merge the crash reports of a peer."""
     if not reports:
         return
     known = len(daemon.crash_ledger.crashes)
     now = daemon.clock.monotonic()
     touched = crashes.merge_reports(daemon.crash_ledger, reports, now)
-    for fingerprint in touched & _familiar(daemon).keys():
+    for fingerprint in touched & _completed_fingerprints(daemon).keys():
         crashes.mark_familiar(daemon.crash_ledger, fingerprint)
     if touched:
         urgent = len(daemon.crash_ledger.crashes) != known or any(
-            crashes.evidence_against(daemon.crash_ledger, each).strikes
+            crashes.evidence_against(daemon.crash_ledger, suspect).strikes
             >= URGENT_STRIKES_MIN
-            for each in touched
+            for suspect in touched
         )
-        _changed(daemon, touched, urgent, f"peer {host}")
+        _announce_change(daemon, touched, urgent, f"peer {host}")
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Forget crashes that are long past, and log what may be tried again."""
+    """Remove expired crashes, and log requests whose standing changed."""
     if not daemon.crash_ledger.crashes:
         return
     crashes.expire(daemon.crash_ledger, now)
@@ -218,7 +231,7 @@
 
 
 def _is_leaving(daemon: _state.Daemon, instance: str) -> bool:
-    """Return whether the instance's end was to be expected."""
+    """Return whether the instance was expected to end."""
     known = views.instance_by_id(daemon.view, instance)
     if known is None or daemon.leaving:
         return daemon.leaving
@@ -226,33 +239,33 @@
     return lapsed or known.state is views.InstanceState.LEAVING
 
 
-def _judge(daemon: _state.Daemon, fingerprint: int) -> crashes.Verdict:
+def _verdict(daemon: _state.Daemon, fingerprint: int) -> crashes.Verdict:
     own = daemon.feed.own_host
     now = daemon.clock.monotonic()
     return crashes.decide_standing(daemon.crash_ledger, fingerprint, own, now)
 
 
-def _of_order(order: _records.InboundRequest) -> int:
-    if order.fingerprint is None:
-        order.fingerprint = crashes.fingerprint(
-            order.method, order.host, order.target, order.body
+def _inbound_fingerprint(inbound: _records.InboundRequest) -> int:
+    if inbound.fingerprint is None:
+        inbound.fingerprint = crashes.fingerprint(
+            inbound.method, inbound.host, inbound.target, inbound.body
         )
-    return order.fingerprint
+    return inbound.fingerprint
 
 
-def _of_call(call: _records.Call) -> int:
+def _call_fingerprint(call: _records.Call) -> int:
     if call.fingerprint is None:
         request = call.exchange.request
         call.fingerprint = crashes.fingerprint(
             request.method,
-            request.found.get(HOST_KEY, b""),
+            request.found.get(HOST_HEADER, b""),
             request.target,
             request.body,
         )
     return call.fingerprint
 
 
-def _changed(
+def _announce_change(
     daemon: _state.Daemon, touched: set[int], urgent: bool, source: str
 ) -> None:
     daemon.crash_changed.set()
@@ -264,9 +277,9 @@
 def _log_changes(
     daemon: _state.Daemon, touched: set[int], source: str
 ) -> None:
-    """Log each request that may be run otherwise than before."""
+    """Log each request whose standing has changed, and count the change."""
     for fingerprint in touched | daemon.suspect_standings.keys():
-        verdict = _judge(daemon, fingerprint)
+        verdict = _verdict(daemon, fingerprint)
         before = daemon.suspect_standings.get(
             fingerprint, crashes.Standing.FREE
         )
@@ -276,20 +289,20 @@
             del daemon.suspect_standings[fingerprint]
         else:
             daemon.suspect_standings[fingerprint] = verdict.standing
-        name = _NAMES[verdict.standing]
+        name = _EVENT_NAMES[verdict.standing]
         _counters.count_state_change(daemon.counters, name)
-        found = verdict.evidence
+        evidence = verdict.evidence
         now = daemon.clock.monotonic()
         daemon.journal.request(
             name,
             source,
             fingerprint=crashes.format_fingerprint(fingerprint),
-            strikes=found.strikes,
-            isolated=found.isolated,
-            familiar=found.familiar,
+            strikes=evidence.strikes,
+            isolated=evidence.isolated,
+            familiar=evidence.familiar,
             crashes=",".join(
                 f"{crash.key[0]}:{now - crash.crashed_at:.2f}"
-                for crash in found.crashes[-LOGGED_CRASHES_MAX:]
+                for crash in evidence.crashes[-LOGGED_CRASHES_MAX:]
             ),
             blocked_for=max(0.0, verdict.blocked_until - now),
         )
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -1,8 +1,8 @@
-"""Whose request it is, at the entrance and at the callee.
+"""Identifies the customer of a request, at the entrance and at the callee.
 
-Between daemons a request carries the digest of its key, and the callee's
-daemon looks up the customer by its own policy. So nobody who speaks to a
-daemon's port can name a customer whose key it does not have.
+Between daemons a request carries the digest of its API key, and the callee's
+daemon looks up the customer in its own policy. A client that connects to the
+port for daemons therefore can't pose as a customer without knowing its key.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 UNAUTHORIZED_STATUS = 401
 AUTH_SCHEME = b"ApiKey"
 ANONYMOUS = policies.Customer("", ())
-"""Whoever sends a request that needs no key."""
+"""The sender of a request that needs no key."""
 _REASONS = {
     policies.Unidentified.NO_KEY: outcomes.Reason.KEY_MISSING,
     policies.Unidentified.UNKNOWN_KEY: outcomes.Reason.KEY_UNKNOWN,
@@ -30,7 +30,10 @@
 
 
 def key_digest(daemon: _state.Daemon, request: httpio.Request) -> bytes | None:
-    """Return the digest of a request's key, None if none is asked for."""
+    """Return the digest of a request's API key.
+
+    None if the policy has no customers or the request has no key.
+    """
     table = daemon.view.table
     if table is None or table.customers is None:
         return None
@@ -44,7 +47,10 @@
     route: policies.Route,
     key: bytes | None,
 ) -> policies.Customer | None:
-    """Return whose request it is; else answer it, and return None."""
+    """Return the customer that sent a request.
+
+    If the request is rejected, send the answer and return None.
+    """
     table = daemon.view.table
     if table is None or table.customers is None:
         return ANONYMOUS
@@ -65,9 +71,10 @@
 def identify_forwarded(
     daemon: _state.Daemon, route_name: str, key: bytes | None
 ) -> policies.Customer | None:
-    """Return whose request another daemon sends, None if that is unknown.
+    """Return the customer of a request that another daemon forwarded.
 
-    The policy here may be older than the one at the entrance, or newer.
+    None if the customer can't be identified: this daemon's policy may be
+    older or newer than that of the entrance.
     """
     table = daemon.view.table
     if table is None or table.customers is None:
@@ -87,8 +94,11 @@
     reason: outcomes.Reason,
     now: float,
 ) -> None:
-    """Reject for good only if no newer policy may hold the key."""
-    if _may_be_behind(daemon, now):
+    """Reject a request, permanently only if this daemon's policy is current.
+
+    A newer policy might contain the key.
+    """
+    if _may_be_outdated(daemon, now):
         reason = outcomes.Reason.POLICY_UNCONFIRMED
         _endings.refuse_early(daemon, exchange, reason)
         return
@@ -98,7 +108,7 @@
     )
 
 
-def _may_be_behind(daemon: _state.Daemon, now: float) -> bool:
+def _may_be_outdated(daemon: _state.Daemon, now: float) -> bool:
     if views.is_stale(daemon.view, now):
         return True
     if not _confirmations.is_demanded(daemon):
--- a/src/sassafrasstair/forwarding/_daemon.py
+++ b/src/sassafrasstair/forwarding/_daemon.py
@@ -1,4 +1,4 @@
-"""Start, periodic work and planned stop of one daemon."""
+"""Starts one daemon, runs its periodic work and shuts it down."""
 
 from __future__ import annotations
 
@@ -35,38 +35,47 @@
 
 TICK_SECONDS = 0.05
 SHEDDING_LOG_TICKS = 20
-"""Ticks between two lines on the routes that are shed in part."""
+"""Ticks between two log lines about routes with load shedding."""
 SWEEP_TICKS = 5
-"""Ticks between two looks at idle connections and at the settings."""
+"""Ticks between two checks of idle connections and of the settings."""
 ACCEPT_SECONDS = 2.3
-"""For how long a stopping daemon takes new connections at least: readiness
-is asked once a second, and clients are sent elsewhere after two misses."""
+"""Minimum time for which a stopping daemon accepts new connections:
+readiness is polled once a second, and clients are sent elsewhere after two
+failed polls."""
 ACCEPT_GRACE_RATIO = 0.55
-"""The part of the grace after which it takes none, though clients still
-come: all others of its failure domain may be away."""
+"""The fraction of the grace period after which a stopping daemon accepts no
+connections, even if clients still connect because all other daemons of the
+failure domain are unavailable."""
 UPSTREAM_GRACE_RATIO = 0.2
-"""The part of the grace in which a stopping daemon's upstream still gets
-work. What runs then ends before the daemon does, and the upstream is idle
-for 2 s in place of 4 s."""
+"""The fraction of the grace period in which a stopping daemon's upstream
+still gets work. Requests started in it end before the daemon does, and the
+upstream is idle for 2 s instead of 4 s."""
 ANSWER_GRACE_RATIO = 0.85
-"""The part of the grace after which what still runs gets an answer."""
+"""The fraction of the grace period after which requests still in flight are
+answered without a result."""
 QUIET_SECONDS = 0.3
-"""Without a request for so long after that, a stopping daemon is done."""
+"""A stopping daemon may end after it has had no request in flight for this
+long."""
 DAEMON_LIMITS = httpio.Limits(
     body_bytes=256 * 1024 * 1024, head_bytes=65_536, idle_seconds=120.0
 )
 OPERATOR_LIMITS = httpio.Limits(body_bytes=0, idle_seconds=60.0)
 LATE_TICK_SECONDS = 0.25
-"""A tick that is later than this was held up by the machine."""
+"""A tick delayed by more than this means that the process was stalled."""
 
 
 class RunningDaemon:
-    """A daemon with its listeners, and what its stop waits for."""
+    """A daemon with its listeners.
+
+    ``stopping`` is set by a signal to stop. ``settings_version`` identifies
+    the settings read last, and ``policy_version`` the policy whose limits the
+    listener for clients applies. ``ticked_at`` is the time of the last tick.
+    """
 
     def __init__(self, daemon: _state.Daemon) -> None:
         self.daemon = daemon
         self.stopping = asyncio.Event()
-        refuse = functools.partial(_refusal, daemon)
+        refuse = functools.partial(_refusal_fields, daemon)
         self.callers = _listener(
             daemon, functools.partial(_entrance.handle, daemon), refuse
         )
@@ -103,7 +112,7 @@
     running = RunningDaemon(daemon)
     await open_listeners(running)
     loop = asyncio.get_running_loop()
-    # A second signal changes nothing: it must not cut requests.
+    # A second signal has no effect, so that it can't cut off requests.
     loop.add_signal_handler(signal.SIGTERM, running.stopping.set)
     loop.add_signal_handler(signal.SIGINT, running.stopping.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, running)
@@ -116,7 +125,7 @@
 
 
 def start(running: RunningDaemon) -> None:
-    """Begin to follow the store and the periodic work."""
+    """Start to follow the store, and start the periodic tasks."""
     daemon = running.daemon
     _state.start_task(daemon, _sync.follow(daemon))
     _state.start_task(daemon, _peers.ask_while_lost(daemon))
@@ -126,29 +135,29 @@
 
 
 async def open_listeners(running: RunningDaemon) -> None:
-    """Listen on the addresses of the settings; raises ``OSError``."""
+    """Listen on the addresses in the settings; raises ``OSError``."""
     settings = running.daemon.settings
-    at = settings.callers
-    await running.callers.open(at.host, at.port)
-    at = settings.daemons
-    await running.daemons.open(at.host, at.port)
-    at = settings.operators
-    await running.operators.open(at.host, at.port)
+    address = settings.callers
+    await running.callers.open(address.host, address.port)
+    address = settings.daemons
+    await running.daemons.open(address.host, address.port)
+    address = settings.operators
+    await running.operators.open(address.host, address.port)
     if settings.seeding is not None and settings.seeding != settings.daemons:
         seeding = _listener(
             running.daemon,
             functools.partial(_inbound.handle, running.daemon),
-            functools.partial(_refusal, running.daemon),
+            functools.partial(_refusal_fields, running.daemon),
         )
         await seeding.open(settings.seeding.host, settings.seeding.port)
-    at = settings.metrics
-    if at != settings.operators:
-        scraped = _listener(
+    address = settings.metrics
+    if address != settings.operators:
+        metrics = _listener(
             running.daemon,
             functools.partial(_status.serve, running.daemon),
-            functools.partial(_refusal, running.daemon),
+            functools.partial(_refusal_fields, running.daemon),
         )
-        await scraped.open(at.host, at.port)
+        await metrics.open(address.host, address.port)
 
 
 def _listener(
@@ -159,8 +168,8 @@
     return httpio.Listener(handle, refuse, daemon.clock, daemon.memory)
 
 
-def _refusal(daemon: _state.Daemon, status: int) -> httpio.Fields:
-    """Return the fields of an answer to a request not read whole."""
+def _refusal_fields(daemon: _state.Daemon, status: int) -> httpio.Fields:
+    """Return the fields of the answer to an incompletely read request."""
     daemon.journal.request("unread", str(status), status=status)
     _counters.count_answer(daemon.counters, "none", 0, status, "unread", 0.0)
     return [(b"Retry-After", b"0.5")] if status == 503 else []
@@ -174,17 +183,17 @@
         try:
             _tick(running, count)
         except Exception as error:
-            # One fault must not end deadlines, pings and logs for good.
+            # An error in one tick must not stop deadlines, pings and logs.
             running.daemon.journal.note("tick_failed", error=repr(error))
 
 
 def _tick(running: RunningDaemon, count: int) -> None:
     daemon = running.daemon
     now = daemon.clock.monotonic()
-    late = now - running.ticked_at - TICK_SECONDS
+    delay = now - running.ticked_at - TICK_SECONDS
     running.ticked_at = now
-    if late > LATE_TICK_SECONDS:
-        daemon.journal.note("held_up", seconds=late)
+    if delay > LATE_TICK_SECONDS:
+        daemon.journal.note("held_up", seconds=delay)
         for call in list(daemon.calls):
             if call.progress.deadline <= now:
                 _entrance.expire_call(daemon, call)
@@ -193,34 +202,34 @@
     _polls.tick(daemon, now)
     _checks.tick(daemon, now)
     _quotas.tick(daemon, now)
-    told = views.expire(daemon.view, now)
-    _learning.learned(daemon, told, "time")
+    news = views.expire(daemon.view, now)
+    _learning.learned(daemon, news, "time")
     daemon.journal.tick(now)
     if count % SWEEP_TICKS:
         return
-    _use_limits(running)
+    _apply_client_limits(running)
     for listener in (running.callers, running.daemons, running.operators):
         listener.sweep(now)
     for pool in [*daemon.pools.values(), daemon.upstream]:
         pool.sweep(now)
-    mark = daemon.dialect.settings_mark()
-    if mark != running.settings_version:
+    version = daemon.dialect.settings_mark()
+    if version != running.settings_version:
         _reload(running)
     if count % SHEDDING_LOG_TICKS == 0:
-        _log_shares(daemon)
+        _log_shedding(daemon)
         _crashes.tick(daemon, now)
 
 
-def _log_shares(daemon: _state.Daemon) -> None:
-    """Log which routes are shed in part, and by which load."""
+def _log_shedding(daemon: _state.Daemon) -> None:
+    """Log the routes with load shedding, and the load that causes it."""
     for route, gate in admission.shedding(daemon.gates):
         daemon.journal.request(
             "shedding", route, share=gate.share, load=gate.load
         )
 
 
-def _use_limits(running: RunningDaemon) -> None:
-    """Apply what the policy in force lets clients send."""
+def _apply_client_limits(running: RunningDaemon) -> None:
+    """Apply the client limits of the policy in force."""
     table = running.daemon.view.table
     if table is None or table.policy.version == running.policy_version:
         return
@@ -238,7 +247,7 @@
 
 
 def _reload(running: RunningDaemon) -> None:
-    """Read the settings again; bad ones change nothing."""
+    """Reload the settings; invalid settings change nothing."""
     daemon = running.daemon
     running.settings_version = daemon.dialect.settings_mark()
     try:
@@ -253,28 +262,34 @@
 
 
 async def stop(running: RunningDaemon) -> None:
-    """End in order: no cut request, no answer made up while one comes."""
+    """Shut down without cutting off requests.
+
+    Requests in flight get the time to finish before they are answered
+    without a result.
+    """
     daemon = running.daemon
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_at = loop.time()
     grace = daemon.settings.bounds.grace_seconds
     daemon.leaving = True
     _polls.answer_all(daemon)
     daemon.journal.note("stopping", calls=len(daemon.calls))
     running.callers.closing = True
-    quiet_from = begun
-    while loop.time() < begun + ANSWER_GRACE_RATIO * grace:
+    idle_since = started_at
+    while loop.time() < started_at + ANSWER_GRACE_RATIO * grace:
         await asyncio.sleep(TICK_SECONDS)
         now = loop.time()
-        daemon.upstream_leaving = now >= begun + UPSTREAM_GRACE_RATIO * grace
+        daemon.upstream_leaving = (
+            now >= started_at + UPSTREAM_GRACE_RATIO * grace
+        )
         if daemon.calls or daemon.executions:
-            quiet_from = now
-        quiet = now - quiet_from >= QUIET_SECONDS
-        if quiet and now >= begun + min(
+            idle_since = now
+        idle = now - idle_since >= QUIET_SECONDS
+        if idle and now >= started_at + min(
             ACCEPT_SECONDS, ACCEPT_GRACE_RATIO * grace
         ):
             break
-        if now >= begun + ACCEPT_GRACE_RATIO * grace:
+        if now >= started_at + ACCEPT_GRACE_RATIO * grace:
             running.callers.stop_accepting()
     running.callers.stop_accepting()
     for call in list(daemon.calls):
@@ -285,5 +300,5 @@
         task.cancel()
     for check in list(daemon.store_checks):
         check.cancel()
-    daemon.journal.note("stopped", seconds=loop.time() - begun)
+    daemon.journal.note("stopped", seconds=loop.time() - started_at)
     daemon.journal.tick(loop.time() + 1.0)
--- a/src/sassafrasstair/forwarding/_dialect.py
+++ b/src/sassafrasstair/forwarding/_dialect.py
@@ -1,4 +1,4 @@
-"""What the daemon needs of the place it runs in, as typed interfaces."""
+"""Interfaces between the daemon and the platform that it runs on."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class SettingsError(Exception):
-    """Settings that can't be used; says which key and why."""
+    """Invalid settings; the message names the key and the reason."""
 
 
 class SourceReason(enum.Enum):
-    """Why the store gave no answer."""
+    """Why a call to the store failed."""
 
     UNREACHABLE = "unreachable"
     TIMEOUT = "timeout"
@@ -32,7 +32,7 @@
 
 
 class SourceError(Exception):
-    """A call to the store that failed, with its reason."""
+    """A failed call to the store."""
 
     def __init__(self, reason: SourceReason, detail: str = "") -> None:
         super().__init__(f"{reason.value}: {detail}")
@@ -42,25 +42,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderNames:
-    """Names of the header fields that clients and upstreams know."""
+    """Names of the header fields shared with clients and upstreams."""
 
     request_id: bytes
     deadline_ms: bytes
     target: bytes
-    """Names the instance that alone may run the request."""
+    """Names the only instance that may run the request."""
     caller: bytes
-    """Names the service on the VM where the request began."""
+    """Names the service on the VM where the request entered."""
     signature: bytes
-    """An upstream puts it on each answer that it gave itself."""
+    """Set by an upstream on every answer that it produced itself."""
     not_run: bytes
-    """An upstream puts it on an answer when it did not run the request."""
+    """Set by an upstream on an answer to a request that it did not run."""
     key: bytes
     """Holds a customer's API key."""
     customer: bytes
     """Names the customer to the upstream."""
 
     def lowercased(self) -> HeaderNames:
-        """Return the names lower-cased, as they are looked up."""
+        """Return the names in lower case, for looking up received fields."""
         return HeaderNames(
             *(
                 getattr(self, field.name).lower()
@@ -79,10 +79,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the place demands; durations in seconds.
-
-    ``revocation_seconds`` is how long after it was taken away a key may work
-    at most, whatever can be reached; None if that is not demanded.
+    """Limits that the platform requires; durations in seconds.
+
+    ``drain_seconds`` and ``propagation_seconds`` are the times within which
+    daemons must learn of leaving instances and of new policies.
+    ``grace_seconds`` is the time between SIGTERM and the end of the process.
+    ``budget`` are the rules for retries, ``quota`` those for customers'
+    quotas. ``revocation_seconds`` is the longest time for which a removed
+    key may still work, even while the store can't be reached; None if there
+    is no such limit.
     """
 
     drain_seconds: float
@@ -98,10 +103,11 @@
     """The settings of one daemon. Addresses that are None are not served.
 
     ``host`` is the VM's own address, by which the store names it.
-    ``callers`` is where clients and the own upstream call, ``daemons``
-    where other daemons do, ``operators`` where readiness is asked and
-    ``seeding`` where a daemon asks that knows no other yet; ``seeds`` are
-    such addresses of others.
+    ``regions`` maps failure domains to their regions. The daemon listens on
+    ``callers`` for clients and its own upstream, on ``daemons`` for other
+    daemons, on ``operators`` for readiness checks and on ``metrics`` for
+    metrics. On ``seeding`` it serves daemons that know no other daemon yet;
+    ``seeds`` are the seeding addresses of other daemons.
     """
 
     vm: str
@@ -123,7 +129,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RefusedItem:
-    """An item of the store that could not be used, and why."""
+    """An unusable item of the store, and why it is unusable."""
 
     key: str
     revision: int
@@ -132,11 +138,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reading:
-    """Changes of the store up to ``revision``, the last at ``content``.
+    """Changes of the store up to ``revision``.
 
-    Both hold the store's era, see ``views.revision``. ``whole`` when they
-    are all that the store holds. ``refused`` are the items that could not be
-    used.
+    ``content`` is the revision of the last change. Both numbers include the
+    store's era, see ``views.revision``. ``whole`` is set if the changes are
+    the entire contents of the store. ``refused`` lists unusable items.
     """
 
     changes: tuple[views.Change, ...]
@@ -150,45 +156,49 @@
     """The store that publishes policy and instances."""
 
     async def read(self, stale: bool) -> Reading:
-        """Return all that the store holds; raises ``SourceError``.
+        """Return the entire contents of the store; raises ``SourceError``.
 
-        ``stale`` takes an answer that may be seconds old, and costs less.
+        ``stale`` allows an answer that may be seconds old, and costs less.
         """
 
     async def watch(self, after: int, wait: float) -> Reading:
-        """Return what changed after a revision, waiting for the first.
+        """Return the changes after a revision, waiting up to ``wait`` seconds.
 
-        Raises ``SourceError``, with ``HISTORY_GONE`` when the changes are
-        no longer to be had, or the revision is of another era.
+        Raises ``SourceError``, with ``HISTORY_GONE`` if the changes are no
+        longer available, or if the revision belongs to another era.
         """
 
     async def check(self, fresh: bool, latest: bool) -> int:
         """Return the store's revision.
 
-        It may be seconds old, and then costs as little as the store allows,
-        unless the ``latest`` is asked for. It is answered as long as the
-        store is there. ``fresh`` makes a connection of its own for it.
-        Raises ``SourceError``.
+        Without ``latest`` the revision may be seconds old; such a call is
+        the cheapest that the store offers, and any reachable store answers
+        it. ``fresh`` opens a new connection for the call. Raises
+        ``SourceError``.
         """
 
     async def policy(self) -> Reading:
-        """Return the latest policy alone; raises ``SourceError``."""
+        """Return only the latest policy; raises ``SourceError``."""
 
     def close(self) -> None:
         """Close all connections."""
 
 
 class Dialect(typing.Protocol):
-    """The names and formats of one place."""
+    """Adapter to one platform.
+
+    It supplies the names of header fields, the path of readiness checks, the
+    settings and the client of the store.
+    """
 
     names: HeaderNames
     ready_path: bytes
 
     def settings(self) -> Settings:
-        """Read the settings anew; raises ``SettingsError``."""
+        """Read the settings; raises ``SettingsError``."""
 
     def settings_mark(self) -> object:
-        """Return a value that changes when the settings have changed."""
+        """Return a value that changes whenever the settings change."""
 
     def source(self, settings: Settings, clock: clocks.Clock) -> Source:
         """Return the store that the settings name."""
--- a/src/sassafrasstair/forwarding/_endings.py
+++ b/src/sassafrasstair/forwarding/_endings.py
@@ -1,4 +1,4 @@
-"""Final answers: an instance's own, or one in its place, and their log."""
+"""Sends, counts and logs the final answers to clients."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 UNKNOWN_STATUS = 502
 TIMEOUT_STATUS = 504
 START_SECONDS = 1.0
-"""After which a client is told to come back to a daemon that starts."""
+"""Retry delay sent to clients while the daemon is starting."""
 
 
 def forward_answer(
     daemon: _state.Daemon, call: _records.Call, response: httpio.Response
 ) -> None:
-    """Pass an instance's answer on as it came."""
+    """Forward an instance's answer to the client unchanged."""
     fields = httpio.end_to_end(
         response.fields, response.found, _wire.INTERNAL_HEADERS
     )
@@ -42,9 +42,13 @@
 def answer_failed_call(
     daemon: _state.Daemon, call: _records.Call, reason: outcomes.Reason
 ) -> None:
-    """Answer in the instances' place, by what is known of the request."""
-    known = requests.outcome(call.progress)
-    if known is outcomes.Outcome.NOT_RUN:
+    """Answer a request that got no answer from an instance.
+
+    A request that certainly has not run is refused, which allows the client
+    to retry. For any other request the outcome is unknown.
+    """
+    outcome = requests.outcome(call.progress)
+    if outcome is outcomes.Outcome.NOT_RUN:
         refuse(daemon, call, reason)
         return
     status = UNKNOWN_STATUS
@@ -52,25 +56,27 @@
         status = TIMEOUT_STATUS
     log_end(daemon, call, "gave_up", status, reason.value)
     finish_call(daemon, call, status, reason.value)
-    call.exchange.respond(status, _own_fields(daemon, call), b"")
+    call.exchange.respond(status, _id_fields(daemon, call), b"")
 
 
 def refuse(
     daemon: _state.Daemon, call: _records.Call, reason: outcomes.Reason
 ) -> None:
-    """Say that the request has not run, and when to come back."""
-    after = requests.retry_after(call.progress.route, daemon.rng)
+    """Answer that the request has not run, and when to retry."""
+    retry_after = requests.retry_after(call.progress.route, daemon.rng)
     if reason is outcomes.Reason.CRASHES_INSTANCES:
-        after = max(after, _crashes.blocked_seconds(daemon, call))
+        retry_after = max(retry_after, _crashes.blocked_seconds(daemon, call))
     status = REFUSED_STATUS
     if reason is outcomes.Reason.QUOTA_EXCEEDED:
         status = QUOTA_STATUS
-        after = max(after, _quotas.seconds_until_token(daemon, call.customer))
+        retry_after = max(
+            retry_after, _quotas.seconds_until_token(daemon, call.customer)
+        )
     if call.holds_token:
         call.holds_token = False
         _quotas.return_token(daemon, call.customer)
-    fields = _own_fields(daemon, call)
-    fields.append((b"Retry-After", b"%.3f" % after))
+    fields = _id_fields(daemon, call)
+    fields.append((b"Retry-After", b"%.3f" % retry_after))
     log_end(daemon, call, "refused", status, reason.value)
     finish_call(daemon, call, status, reason.value)
     call.exchange.respond(status, fields, b"")
@@ -79,7 +85,7 @@
 def finish_call(
     daemon: _state.Daemon, call: _records.Call, status: int, reason: str
 ) -> None:
-    """Forget the request; its final answer is about to be sent."""
+    """Remove a request and count its final answer, which is sent next."""
     daemon.calls.discard(call)
     if call.timer is not None:
         call.timer.cancel()
@@ -104,7 +110,7 @@
     status: int,
     reason: str,
 ) -> None:
-    """Log how the request ended and what it was decided by."""
+    """Log how the request ended, with the data behind the decision."""
     if not daemon.journal.should_log(name, reason):
         return
     progress = call.progress
@@ -149,7 +155,7 @@
     exchange: httpio.Exchange,
     reason: outcomes.Reason,
 ) -> None:
-    """Refuse while too little is known to route requests."""
+    """Refuse a request while the daemon knows too little to route it."""
     fields = [(b"Retry-After", b"%.3f" % START_SECONDS)]
     answer_early(daemon, exchange, REFUSED_STATUS, reason, fields)
 
@@ -161,7 +167,7 @@
     reason: outcomes.Reason,
     fields: httpio.Fields | None = None,
 ) -> None:
-    """Answer a request for which there is no route to go by."""
+    """Answer a request that was rejected before it became a call."""
     request = exchange.request
     request_id = request.found.get(daemon.header_keys.request_id, b"")
     table = daemon.view.table
@@ -181,9 +187,9 @@
     _counters.count_answer(
         daemon.counters, "none", 0, status, reason.value, 0.0
     )
-    named = (daemon.header_names.request_id, request_id)
-    exchange.respond(status, [*(fields or []), named], b"")
+    id_field = (daemon.header_names.request_id, request_id)
+    exchange.respond(status, [*(fields or []), id_field], b"")
 
 
-def _own_fields(daemon: _state.Daemon, call: _records.Call) -> httpio.Fields:
+def _id_fields(daemon: _state.Daemon, call: _records.Call) -> httpio.Fields:
     return [(daemon.header_names.request_id, call.request_id)]
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -1,4 +1,4 @@
-"""The entrance: a client's request from its head to its final answer."""
+"""Handles requests of clients, from their arrival to the final answer."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def handle(daemon: _state.Daemon, exchange: httpio.Exchange) -> None:
-    """Serve one request of a client or of the own upstream."""
+    """Serve one request of a client or of this VM's upstream."""
     route = _find_route(daemon, exchange)
     if route is None:
         return
@@ -35,23 +35,27 @@
     if customer is None:
         return
     now = daemon.clock.monotonic()
-    call = _begin(daemon, exchange, route, customer, now)
+    call = _begin_call(daemon, exchange, route, customer, now)
     call.key_digest = key
-    above = _importance(route, customer) - daemon.least_importance
-    if not admission.admit(daemon.gates, route.name, above, now, daemon.rng):
+    relative_importance = (
+        _importance(route, customer) - daemon.least_importance
+    )
+    if not admission.admit(
+        daemon.gates, route.name, relative_importance, now, daemon.rng
+    ):
         _endings.refuse(daemon, call, outcomes.Reason.SHED_AT_ENTRANCE)
         return
     if customer.rate > 0.0:
-        answer = functools.partial(_charged, daemon, call)
+        answer = functools.partial(_continue_call, daemon, call)
         _quotas.take_token(daemon, customer, answer)
         return
     _attempts.send_attempt(daemon, call)
 
 
-def _charged(
+def _continue_call(
     daemon: _state.Daemon, call: _records.Call, reason: outcomes.Reason
 ) -> None:
-    """Go on with a request once it is known whether its quota allows it."""
+    """Continue a request once its customer's quota has been checked."""
     if reason is outcomes.Reason.NONE:
         if call not in daemon.calls:
             _quotas.return_token(daemon, call.customer)
@@ -63,7 +67,7 @@
 
 
 def _importance(route: policies.Route, customer: policies.Customer) -> int:
-    """Return a request's importance: its customer goes before its route."""
+    """Return a request's importance; its customer's overrides its route's."""
     if customer.importance is None:
         return route.importance
     return customer.importance
@@ -72,7 +76,7 @@
 def _find_route(
     daemon: _state.Daemon, exchange: httpio.Exchange
 ) -> policies.Route | None:
-    """Return the request's route; without one, answer and return None."""
+    """Return the request's route, or reject the request and return None."""
     found = exchange.request.found
     table = daemon.view.table
     if table is None:
@@ -94,28 +98,30 @@
     return route
 
 
-def _begin(
+def _begin_call(
     daemon: _state.Daemon,
     exchange: httpio.Exchange,
     route: policies.Route,
     customer: policies.Customer,
     now: float,
 ) -> _records.Call:
-    """Return the request as a call under way, with its deadline set."""
+    """Register the request as a call in flight, with its deadline set."""
     request = exchange.request
     service = policies.choose_service(route, daemon.rng)
-    patience = _patience(request.found.get(daemon.header_keys.deadline_ms))
-    deadline = request.began + min(route.timeout, patience)
-    rank = _rank(daemon, route, customer, request.began + patience)
+    client_wait = _client_wait(
+        request.found.get(daemon.header_keys.deadline_ms)
+    )
+    deadline = request.began + min(route.timeout, client_wait)
+    rank = _rank(daemon, route, customer, request.began + client_wait)
     call = _records.Call(
         exchange,
         request.found[daemon.header_keys.request_id],
         requests.new_progress(route, service, rank, deadline),
-        _passed_on(daemon, request),
+        _forwarded_fields(daemon, request),
         customer=customer.name,
     )
     daemon.calls.add(call)
-    exchange.gone = functools.partial(_gone, daemon, call)
+    exchange.gone = functools.partial(_abort_call, daemon, call)
     call.timer = asyncio.get_running_loop().call_later(
         max(0.0, deadline - now), expire_call, daemon, call
     )
@@ -124,7 +130,7 @@
 
 
 def expire_call(daemon: _state.Daemon, call: _records.Call) -> None:
-    """Give the final answer at the request's deadline, whatever runs."""
+    """Answer a request at its deadline, and abort its current attempt."""
     if call not in daemon.calls:
         return
     if call.attempt is not None and _attempts.may_have_run(
@@ -135,8 +141,8 @@
     _endings.answer_failed_call(daemon, call, outcomes.Reason.DEADLINE_PASSED)
 
 
-def _gone(daemon: _state.Daemon, call: _records.Call) -> None:
-    """End the work for a client that has left."""
+def _abort_call(daemon: _state.Daemon, call: _records.Call) -> None:
+    """Abort the request of a client that closed its connection."""
     if call not in daemon.calls:
         return
     _attempts.abort_attempt(daemon, call)
@@ -144,13 +150,13 @@
     _endings.finish_call(daemon, call, 0, "client_left")
 
 
-def _passed_on(
+def _forwarded_fields(
     daemon: _state.Daemon, request: httpio.Request
 ) -> httpio.Fields:
-    """Return the fields for the upstream, with the caller's service."""
+    """Return the header fields to forward, with the caller's service."""
     table = daemon.view.table
-    keyed = table is not None and table.customers is not None
-    dropped = _dropped(daemon.header_keys, keyed)
+    has_customers = table is not None and table.customers is not None
+    dropped = _dropped_fields(daemon.header_keys, has_customers)
     fields = httpio.end_to_end(request.fields, request.found, dropped)
     fields.append(
         (daemon.header_names.caller, daemon.settings.service.encode())
@@ -159,13 +165,15 @@
 
 
 @functools.lru_cache(maxsize=4)
-def _dropped(keys: _dialect.HeaderNames, keyed: bool) -> frozenset[bytes]:
-    """Return the fields that go no further, or that this daemon sets itself.
+def _dropped_fields(
+    keys: _dialect.HeaderNames, has_customers: bool
+) -> frozenset[bytes]:
+    """Return the header fields that are dropped or set by this daemon.
 
-    ``keyed`` where requests carry the keys of customers.
+    With ``has_customers`` they include the customer's API key.
     """
     own = {keys.caller, keys.customer, keys.deadline_ms, keys.target}
-    if keyed:
+    if has_customers:
         own.add(keys.key)
     return _wire.INTERNAL_HEADERS | own
 
@@ -176,9 +184,12 @@
     customer: policies.Customer,
     expires: float,
 ) -> float:
-    """Return the rank of a request: its own, or that of what it is part of.
+    """Return the rank of a request.
 
-    Only the own upstream calls an inner route here.
+    A request for a route that only upstreams call takes the rank of the
+    request during which this VM's upstream made it. Any other request has
+    its importance plus a random fraction. If the customer sets the
+    importance, the fraction also increases with the route's importance.
     """
     if admission.called_only_by_upstreams(daemon.chains, route.name):
         running = [
@@ -195,8 +206,8 @@
     return customer.importance + within
 
 
-def _patience(value: bytes | None) -> float:
-    """Return the seconds that the client waits, without end if not told."""
+def _client_wait(value: bytes | None) -> float:
+    """Return for how many seconds the client waits, infinity by default."""
     if value is None or not value.isdigit():
         return float("inf")
     return int(value) / 1000.0
--- a/src/sassafrasstair/forwarding/_events.py
+++ b/src/sassafrasstair/forwarding/_events.py
@@ -1,9 +1,9 @@
-"""The daemon's log: one JSON line an event, bounded, never waited for.
+"""The daemon's log: a JSON line per event, rate-limited and non-blocking.
 
-Of each kind of event a few lines a second are written, and the rest are
-counted in a summary line, so that no kind goes silent in a surge. Lines are
-kept in memory and written when the reader has room; when it has none for
-long, the oldest lines go and are counted.
+Only a few lines a second of each kind of event are written. The others are
+counted in a summary line, so that every kind shows up even in a surge. Lines
+are buffered in memory and written when the reader can take them. When the
+buffer is full, the oldest lines are dropped and counted.
 """
 
 from __future__ import annotations
@@ -19,97 +19,102 @@
 from sassafrasstair import logs
 
 LINES_PER_SECOND = 5
-"""Lines a second of one event and reason; a surge refuses hundreds."""
+"""Maximum lines per second of one event and reason; a surge can refuse
+hundreds of requests per second."""
 BUFFERED_LINES_MAX = 500
-"""Lines kept for a reader that is slow: about 150 KB."""
-_PIPE_ATOMIC = 4096
-"""A pipe that polls as writable takes as many bytes without waiting
-(``PIPE_BUF``, pipe(7))."""
+"""Maximum lines buffered for a slow reader: about 150 KB."""
+_PIPE_ATOMIC_BYTES = 4096
+"""Bytes that can be written without blocking to a pipe that polls as
+writable (``PIPE_BUF``, pipe(7))."""
 _SUMMARY_SECONDS = 1.0
 
 Field = logs.Field
 
 
 @dataclasses.dataclass(slots=True)
-class _Kind:
-    """What was logged of one event and reason since the last summary."""
+class _EventCounts:
+    """Lines written and held back of one event and reason in this period."""
 
     written: int = 0
     held_back: int = 0
 
 
 class Sink(typing.Protocol):
-    """Where lines go; says how many bytes it took, 0 for no room."""
+    """Output for lines; returns the bytes written, 0 if it has no room."""
 
     def __call__(self, data: bytes) -> int:
-        """Write without waiting."""
+        """Write without blocking."""
 
 
 class Journal(logging.Handler):
-    """A log handler that never makes its caller wait."""
+    """A log handler that never blocks its caller.
+
+    ``lost_lines`` counts the lines dropped since the last summary.
+    """
 
     def __init__(self, sink: Sink) -> None:
         super().__init__()
         self.setFormatter(logs.JsonFormatter())
-        self.lost = 0
+        self.lost_lines = 0
         self._sink = sink
         self._lines: collections.deque[bytes] = collections.deque()
-        self._kinds: dict[tuple[str, str], _Kind] = {}
-        self._summed = 0.0
+        self._counts_by_event: dict[tuple[str, str], _EventCounts] = {}
+        self._summed_at = 0.0
         self._logger = logging.getLogger("sassafrasstair.forwarding")
 
     def attach(self) -> None:
-        """Take all of the process's logging."""
+        """Handle all log records of the process."""
         root = logging.getLogger()
         root.handlers[:] = [self]
         root.setLevel(logging.INFO)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep the line of a record until ``flush_lines``."""
-        line = self.format(record).encode()[: _PIPE_ATOMIC - 1] + b"\n"
+        """Buffer the line of a record until ``flush_lines``."""
+        line = self.format(record).encode()[: _PIPE_ATOMIC_BYTES - 1] + b"\n"
         if len(self._lines) >= BUFFERED_LINES_MAX:
             self._lines.popleft()
-            self.lost += 1
+            self.lost_lines += 1
         self._lines.append(line)
 
     def note(self, name: str, **fields: Field) -> None:
-        """Log what a process believes or does; not bounded, so rare."""
+        """Log a rare event of the process, without a rate limit."""
         logs.event(self._logger, logging.INFO, name, **fields)
 
     def should_log(self, name: str, reason: str) -> bool:
-        """Return whether a line would be written; counts it if not.
+        """Return whether a line would be written, and count it if not.
 
-        For what happens all the time: the fields are then not put
-        together in vain.
+        Callers that log frequently can skip building the fields.
         """
-        kind = self._kinds.get((name, reason))
-        if kind is None or kind.written < LINES_PER_SECOND:
+        counts = self._counts_by_event.get((name, reason))
+        if counts is None or counts.written < LINES_PER_SECOND:
             return True
-        kind.held_back += 1
+        counts.held_back += 1
         return False
 
     def request(self, name: str, reason: str, **fields: Field) -> None:
-        """Log a decision that touches a request, within the bound."""
+        """Log a decision about a request, within the rate limit."""
         if not self.should_log(name, reason):
             return
-        kind = self._kinds.setdefault((name, reason), _Kind())
-        kind.written += 1
+        counts = self._counts_by_event.setdefault(
+            (name, reason), _EventCounts()
+        )
+        counts.written += 1
         logs.event(self._logger, logging.INFO, name, reason=reason, **fields)
 
     def tick(self, now: float) -> None:
-        """Sum up what was held back, and write what there is room for."""
-        if now - self._summed >= _SUMMARY_SECONDS:
-            self._summed = now
-            self._sum_up()
+        """Log a summary once a second, and write buffered lines."""
+        if now - self._summed_at >= _SUMMARY_SECONDS:
+            self._summed_at = now
+            self._log_summary()
         self.flush_lines()
 
     def flush_lines(self) -> None:
-        """Write lines, as many at once as fit, until there is no room."""
+        """Write buffered lines in chunks until the sink has no room."""
         while self._lines:
             count, size = 0, 0
             for line in self._lines:
                 size += len(line)
-                if count and size > _PIPE_ATOMIC:
+                if count and size > _PIPE_ATOMIC_BYTES:
                     break
                 count += 1
             chunk = itertools.islice(self._lines, count)
@@ -118,20 +123,20 @@
             for _ in range(count):
                 self._lines.popleft()
 
-    def _sum_up(self) -> None:
-        for (name, reason), kind in self._kinds.items():
-            if kind.held_back:
+    def _log_summary(self) -> None:
+        for (name, reason), counts in self._counts_by_event.items():
+            if counts.held_back:
                 logs.event(
                     self._logger,
                     logging.INFO,
                     "held_back",
                     of=name,
                     reason=reason,
-                    lines=kind.held_back,
+                    lines=counts.held_back,
                 )
-        self._kinds.clear()
-        if self.lost:
-            lost_lines, self.lost = self.lost, 0
+        self._counts_by_event.clear()
+        if self.lost_lines:
+            lost_lines, self.lost_lines = self.lost_lines, 0
             self.note("log_lines_lost", lines=lost_lines)
 
 
@@ -146,7 +151,7 @@
         try:
             return os.write(descriptor, data)
         except OSError:
-            # The reader has gone: lines are of no use to anybody.
+            # The reader has closed the pipe, so the lines are discarded.
             return len(data)
 
     return write
--- a/src/sassafrasstair/forwarding/_guards.py
+++ b/src/sassafrasstair/forwarding/_guards.py
@@ -1,4 +1,8 @@
-"""The guards of the instances that ran on this VM, one for each run."""
+"""Load guards of the instances on this VM.
+
+A restarted instance gets a new guard, so a guard is identified by the id and
+the start of its instance.
+"""
 
 from __future__ import annotations
 
@@ -12,29 +16,29 @@
     from sassafrasstair.forwarding import _state
 
 UNKNOWN_SLOTS = 16
-"""Slots of an instance whose entry this daemon has not read yet."""
+"""Slots assumed for an instance whose entry has not been read yet."""
 SPARE_SLOTS_RATIO = 0.06
-"""The part of an instance's slots that is left free: some slow down when
-they are nearly full, by more than the last slots are worth."""
+"""The fraction of an instance's slots that is left free. Some instances slow
+down so much when nearly full that using the last slots lowers throughput."""
 SPARE_SLOTS_MIN = 16
-"""With fewer slots than this one left free would be too many."""
+"""Instances with fewer slots use all: one spare slot would be too many."""
 GUARDS_MAX = 4
-"""Guards of instances that ran on this VM one after the other."""
+"""Maximum guards kept, for instances that ran on this VM in succession."""
 START_MARGIN_SECONDS = 0.1
-"""By so much earlier than the instance's start a request must have been
-handed over to be counted as lost with the run before: the time of day is
-read at another moment than it was written."""
+"""A request counts as lost in a restart only if it was sent this much before
+the instance's start. The start is a wall-clock time that was written at one
+moment and is converted at another."""
 
 GuardKey = tuple[str, int]
-"""An instance's id and when its run started, 0 where that is not known."""
+"""An instance's id and its start in milliseconds, 0 if unknown."""
 
 
 def get_guard(daemon: _state.Daemon, instance: str, now: float) -> load.Guard:
-    """Return the guard of the instance's latest run."""
+    """Return the guard of the instance since its latest start."""
     key = instance, views.born_at(daemon.view, instance)
     guard = daemon.guards.get(key)
     if guard is None:
-        # Until its start is told a run is known by its id alone.
+        # A guard created before the start was known is keyed by 0.
         guard = daemon.guards.pop((instance, 0), None)
         if guard is None:
             slots = _usable_slots(views.instance_by_id(daemon.view, instance))
@@ -45,24 +49,24 @@
 
 
 def resize(daemon: _state.Daemon, instance: str, guard: load.Guard) -> None:
-    """Let the guard have the slots that the instance's entry tells."""
-    known = views.instance_by_id(daemon.view, instance)
-    slots = _usable_slots(known)
-    if known is not None and slots != guard.limit_state.slots:
+    """Resize the guard to the slots in the instance's entry."""
+    entry = views.instance_by_id(daemon.view, instance)
+    slots = _usable_slots(entry)
+    if entry is not None and slots != guard.limit_state.slots:
         load.resize(guard, slots)
 
 
 def has_ended(daemon: _state.Daemon, key: GuardKey) -> bool:
-    """Return whether the run is over: the instance has started again."""
+    """Return whether the instance has restarted since the key's start."""
     instance, born = key
     return 0 < born < views.born_at(daemon.view, instance)
 
 
 def started_at(daemon: _state.Daemon, instance: str, now: float) -> float:
-    """Return when the latest run started, on the clock of ``now``.
+    """Return when the instance last started, on the clock of ``now``.
 
-    Minus infinity where the time of day can't tell: it has been set back
-    since, or the start is not known.
+    Minus infinity if the start is unknown, or lies in the future because the
+    wall clock has been set back since.
     """
     born = views.born_at(daemon.view, instance)
     age = daemon.clock.wall().timestamp() - born / 1000
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -1,4 +1,4 @@
-"""Requests from other daemons: orders for the upstream, pings, views."""
+"""Serves other daemons: forwarded requests, pings, polls and quotas."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 
 
 def handle(daemon: _state.Daemon, exchange: httpio.Exchange) -> None:
-    """Serve one request of a daemon."""
+    """Serve one request of another daemon."""
     request = exchange.request
-    asked = request.found.get(_wire.METADATA_HEADER_LOWER)
-    if asked is not None:
-        _serve_order(daemon, exchange, asked)
+    metadata_value = request.found.get(_wire.METADATA_HEADER_LOWER)
+    if metadata_value is not None:
+        _serve_forwarded(daemon, exchange, metadata_value)
         return
     path, _, query = request.target.partition(b"?")
     if path == _wire.PING_PATH:
         peer = exchange.peer
         _crash_updates.receive(daemon, peer, request.found)
-        told = [
-            _own_state(daemon),
+        fields = [
+            _state_field(daemon),
             _polls.own_status(daemon),
             _crash_updates.field(daemon, peer),
             *_confirmations.fields(daemon),
         ]
-        exchange.respond(200, told, b"")
+        exchange.respond(200, fields, b"")
     elif path == _feed_wire.VIEW_PATH:
         _polls.serve(daemon, exchange, query)
     elif path in (_quota_wire.ASK_PATH, _quota_wire.UPDATE_PATH):
@@ -52,43 +52,45 @@
         exchange.respond(404, [], b"")
 
 
-def _serve_order(
-    daemon: _state.Daemon, exchange: httpio.Exchange, asked: bytes
+def _serve_forwarded(
+    daemon: _state.Daemon, exchange: httpio.Exchange, metadata_value: bytes
 ) -> None:
     request = exchange.request
     try:
-        ask = _wire.decode_metadata(asked)
+        metadata = _wire.decode_metadata(metadata_value)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
         return
-    _peers.heard(daemon, exchange.peer, ask.content)
+    _peers.heard(daemon, exchange.peer, metadata.content)
     customer = _customers.identify_forwarded(
-        daemon, ask.route, request.found.get(_wire.KEY_DIGEST_HEADER_LOWER)
+        daemon,
+        metadata.route,
+        request.found.get(_wire.KEY_DIGEST_HEADER_LOWER),
     )
     if customer is None:
         reason = outcomes.Reason.POLICY_BEHIND
-        state = _own_state(daemon, requests.Ending.TURNED_AWAY, reason)
+        state = _state_field(daemon, requests.Ending.TURNED_AWAY, reason)
         exchange.respond(503, [state], b"")
         return
     request_id = request.found.get(daemon.header_keys.request_id, b"")
     dropped = _wire.INTERNAL_HEADERS
-    order = _records.InboundRequest(
-        ask,
+    inbound = _records.InboundRequest(
+        metadata,
         request.found.get(daemon.header_keys.caller, b"").decode("latin-1"),
         request_id,
         request.method,
         request.found.get(b"host", b""),
         request.target,
         httpio.end_to_end(
-            request.fields, request.found, _dropped(daemon.header_keys)
+            request.fields, request.found, _dropped_fields(daemon.header_keys)
         ),
         request.body,
         _wire.decode_trial(request.found.get(_wire.TRIAL_HEADER_LOWER)),
         customer.name,
     )
 
-    def done(result: _records.Result) -> None:
+    def on_done(result: _records.Result) -> None:
         state = (_wire.STATE_HEADER, _wire.encode_state(result.state))
         response = result.response
         if response is None:
@@ -100,17 +102,17 @@
             response.status, fields, response.body, daemon.upstream_leaving
         )
 
-    key = _callee.submit(daemon, order, done)
+    key = _callee.submit(daemon, inbound, on_done)
     exchange.gone = lambda: _callee.cancel(daemon, key)
 
 
 @functools.lru_cache(maxsize=4)
-def _dropped(keys: _dialect.HeaderNames) -> frozenset[bytes]:
-    """Return the fields that this daemon sets itself, whoever sent them."""
+def _dropped_fields(keys: _dialect.HeaderNames) -> frozenset[bytes]:
+    """Return the header fields that only this daemon may set."""
     return _wire.INTERNAL_HEADERS | {keys.customer, keys.deadline_ms}
 
 
-def _own_state(
+def _state_field(
     daemon: _state.Daemon,
     ending: requests.Ending | None = None,
     reason: outcomes.Reason = outcomes.Reason.NONE,
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -1,7 +1,8 @@
-"""Tokens for the requests of customers with a limit.
+"""Quota tokens for the requests of customers with a limit.
 
-A request takes a token that was granted ahead of need. Where there is none it
-waits for a moment while the allocator of the failure domain is asked.
+A request takes a token that the failure domain's allocator granted in
+advance. If there is none, the request waits briefly while the allocator is
+asked for more.
 """
 
 from __future__ import annotations
@@ -23,18 +24,19 @@
     from sassafrasstair.decisions import policies
 
 TOKEN_WAIT_SECONDS = 0.3
-"""For so long a request waits for a token at most."""
+"""Maximum time for which a request waits for a token."""
 ALLOCATOR_TIMEOUT_SECONDS = 0.25
 ASK_GAP_SECONDS = 0.05
-"""Between two questions when no request waits."""
+"""Minimum interval between two questions when no request waits."""
 ASK_PERIOD_SECONDS = 0.5
 ASK_PERIOD_SECONDS_MAX = 2.0
 ASKS_PER_SECOND_MAX = 110
-"""Between two questions without need: they tell the demand. Longer where so
-many daemons of a domain ask that one allocator would have much to do."""
+"""Maximum questions per second to one allocator. Daemons that need no tokens
+still ask once per period to report their demand; the period grows with the
+number of daemons in the domain so that the allocator is not overloaded."""
 PREFETCH_PERIODS = 1.4
 AVOID_SECONDS = 2.0
-"""For how long an allocator that gave no answer is passed over."""
+"""Mean time for which an allocator that did not answer is skipped."""
 
 
 def take_token(
@@ -42,10 +44,11 @@
     customer: policies.Customer,
     answer: _tokens.TokenCallback,
 ) -> None:
-    """Tell, now or soon, whether a request of a customer may run.
+    """Take a token for a request, and call ``answer`` with the result.
 
-    ``QUOTA_EXCEEDED`` says that there is no token, and ``QUOTA_UNKNOWN``
-    that no allocator has told.
+    ``answer`` is called immediately if the result is known, and otherwise
+    after the allocator's answer. ``QUOTA_EXCEEDED`` means that there is no
+    token, and ``QUOTA_UNKNOWN`` that no allocator has answered in time.
     """
     tokens, now = daemon.tokens, daemon.clock.monotonic()
     quotas.track_request(tokens.stocks, customer.name, now)
@@ -56,107 +59,114 @@
     elif quotas.is_exhausted(tokens.stocks, customer.name, now):
         answer(outcomes.Reason.QUOTA_EXCEEDED)
     else:
-        _wait(daemon, customer.name, answer)
+        _wait_for_token(daemon, customer.name, answer)
 
 
 def return_token(daemon: _state.Daemon, customer: str) -> None:
-    """Return the token of a request that has not run and never will."""
+    """Return the token of a request that has not run and will not run."""
     now = daemon.clock.monotonic()
     quotas.give_back_token(daemon.tokens.stocks, customer, now)
 
 
 def seconds_until_token(daemon: _state.Daemon, customer: str) -> float:
-    """Return after how many seconds a token is expected."""
+    """Return the seconds until a token is expected to be available."""
     now = daemon.clock.monotonic()
     return quotas.token_wait_seconds(daemon.tokens.stocks, customer, now)
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Ask for tokens that will be needed, and tell the demand."""
+    """Ask the allocator for tokens in advance, and report the demand."""
     _shares.tick(daemon, now)
     tokens = daemon.tokens
     if tokens.asking or not tokens.stocks.by_customer:
         return
-    period = _period(daemon)
+    period = _ask_period(daemon)
     tokens.stocks.prefetch_seconds = PREFETCH_PERIODS * period
     since = now - tokens.asked_at
     if since >= period or (tokens.ask_soon and since >= ASK_GAP_SECONDS):
-        _ask(daemon, now)
+        _ask_allocator(daemon, now)
 
 
-def _period(daemon: _state.Daemon) -> float:
-    least = len(daemon.feed.hosts) / ASKS_PER_SECOND_MAX
-    return min(ASK_PERIOD_SECONDS_MAX, max(ASK_PERIOD_SECONDS, least))
+def _ask_period(daemon: _state.Daemon) -> float:
+    min_period = len(daemon.feed.hosts) / ASKS_PER_SECOND_MAX
+    return min(ASK_PERIOD_SECONDS_MAX, max(ASK_PERIOD_SECONDS, min_period))
 
 
-def _wait(
+def _wait_for_token(
     daemon: _state.Daemon, customer: str, answer: _tokens.TokenCallback
 ) -> None:
     loop = asyncio.get_running_loop()
-    waits = daemon.tokens.waiting.setdefault(customer, [])
+    waiting = daemon.tokens.waiting.setdefault(customer, [])
     timer = loop.call_later(
-        TOKEN_WAIT_SECONDS, _waited, daemon, customer, answer
+        TOKEN_WAIT_SECONDS, _end_wait, daemon, customer, answer
     )
-    waits.append(_tokens.WaitingRequest(answer, timer))
-    _note_waiting(daemon, customer)
+    waiting.append(_tokens.WaitingRequest(answer, timer))
+    _update_waiting_count(daemon, customer)
     if not daemon.tokens.asking:
-        # What else comes in this turn of the loop goes with the same question.
+        # Requests that arrive in the same loop iteration share the question.
         loop.call_soon(_ask_for_waiting, daemon)
 
 
 def _ask_for_waiting(daemon: _state.Daemon) -> None:
     if daemon.tokens.waiting and not daemon.tokens.asking:
-        _ask(daemon, daemon.clock.monotonic())
+        _ask_allocator(daemon, daemon.clock.monotonic())
 
 
-def _waited(
+def _end_wait(
     daemon: _state.Daemon, customer: str, answer: _tokens.TokenCallback
 ) -> None:
-    """End a wait that is too long."""
-    waits = daemon.tokens.waiting.get(customer, [])
-    kept = [each for each in waits if each.answer is not answer]
-    if len(kept) == len(waits):
+    """End the wait of a request that has waited for too long."""
+    waiting = daemon.tokens.waiting.get(customer, [])
+    remaining = [
+        request for request in waiting if request.answer is not answer
+    ]
+    if len(remaining) == len(waiting):
         return
-    if kept:
-        daemon.tokens.waiting[customer] = kept
+    if remaining:
+        daemon.tokens.waiting[customer] = remaining
     else:
         daemon.tokens.waiting.pop(customer, None)
-    _note_waiting(daemon, customer)
+    _update_waiting_count(daemon, customer)
     answer(outcomes.Reason.QUOTA_UNKNOWN)
 
 
-def _note_waiting(daemon: _state.Daemon, customer: str) -> None:
+def _update_waiting_count(daemon: _state.Daemon, customer: str) -> None:
     stock = daemon.tokens.stocks.by_customer.get(customer)
     if stock is not None:
         stock.waiting = len(daemon.tokens.waiting.get(customer, ()))
 
 
-def _ask(daemon: _state.Daemon, now: float) -> None:
-    """Ask the allocator, which may be this daemon."""
+def _ask_allocator(daemon: _state.Daemon, now: float) -> None:
+    """Ask the allocator, which may run in this daemon."""
     tokens = daemon.tokens
-    host = _allocator(daemon, now)
+    host = _choose_allocator(daemon, now)
     tokens.asked_at, tokens.ask_soon = now, False
-    asked = quotas.AllocationRequest(
+    request = quotas.AllocationRequest(
         daemon.feed.own_host, quotas.list_needs(tokens.stocks, now)
     )
     if host == daemon.feed.own_host:
-        _take(daemon, _shares.serve_ask(daemon, asked), host, now)
+        _apply_grants(daemon, _shares.serve_ask(daemon, request), host, now)
         return
     tokens.asking = True
-    body = _quota_wire.encode(asked)
+    body = _quota_wire.encode(request)
     head = httpio.request_head(
         b"POST", _quota_wire.ASK_PATH, [(b"Host", host.encode())], len(body)
     )
-    done = functools.partial(_answered, daemon, host, now)
+    done = functools.partial(_handle_answer, daemon, host, now)
     job = httpio.Job(head + body, done)
     asyncio.get_running_loop().call_later(
-        ALLOCATOR_TIMEOUT_SECONDS, _give_up, daemon, host, job
+        ALLOCATOR_TIMEOUT_SECONDS, _time_out, daemon, host, job
     )
     _state.pool(daemon, host).send(job)
 
 
-def _allocator(daemon: _state.Daemon, now: float) -> str:
-    """Return whom to ask: the one that answered, or the first to pass."""
+def _choose_allocator(daemon: _state.Daemon, now: float) -> str:
+    """Return the host to ask for tokens.
+
+    This is the current allocator, unless it is avoided or no longer a known
+    host. Then it is the first earlier host that is not avoided, or else this
+    daemon's own host.
+    """
     tokens, feed = daemon.tokens, daemon.feed
     for host in [
         each for each, end in tokens.avoided_until.items() if end <= now
@@ -165,43 +175,43 @@
     current = tokens.allocator
     if current in feed.hosts and current not in tokens.avoided_until:
         return current
-    fit = (
+    available = (
         host for host in feed.earlier_hosts if host not in tokens.avoided_until
     )
-    tokens.allocator = next(fit, feed.own_host)
+    tokens.allocator = next(available, feed.own_host)
     return tokens.allocator
 
 
-def _give_up(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
+def _time_out(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
     if not job.wanted:
         return
     job.abort()
     _state.pool(daemon, host).drop_idle()
-    _failed(daemon, host, "timeout")
+    _allocator_failed(daemon, host, "timeout")
 
 
-def _answered(
+def _handle_answer(
     daemon: _state.Daemon,
     host: str,
     asked_at: float,
     result: httpio.Response | httpio.Failure,
 ) -> None:
     if isinstance(result, httpio.Failure):
-        _failed(daemon, host, result.value)
+        _allocator_failed(daemon, host, result.value)
         return
     if result.status != 200:
-        _failed(daemon, host, f"status {result.status}")
+        _allocator_failed(daemon, host, f"status {result.status}")
         return
     try:
         granted = _quota_wire.decode(result.body, quotas.GrantResponse)
     except _wire.WireError as error:
-        _failed(daemon, host, str(error))
+        _allocator_failed(daemon, host, str(error))
         return
     daemon.tokens.asking = False
-    _take(daemon, granted, host, asked_at)
+    _apply_grants(daemon, granted, host, asked_at)
 
 
-def _failed(daemon: _state.Daemon, host: str, reason: str) -> None:
+def _allocator_failed(daemon: _state.Daemon, host: str, reason: str) -> None:
     tokens, now = daemon.tokens, daemon.clock.monotonic()
     tokens.asking = False
     tokens.avoided_until[host] = now + AVOID_SECONDS * (
@@ -213,13 +223,13 @@
         asyncio.get_running_loop().call_soon(_ask_for_waiting, daemon)
 
 
-def _take(
+def _apply_grants(
     daemon: _state.Daemon,
     granted: quotas.GrantResponse,
     host: str,
     asked_at: float,
 ) -> None:
-    """Take what was granted, and serve who waits."""
+    """Add the granted tokens, and serve the waiting requests."""
     tokens, now = daemon.tokens, daemon.clock.monotonic()
     if granted.redirect and granted.redirect != host:
         if granted.redirect not in tokens.avoided_until:
@@ -235,19 +245,19 @@
 
 def _serve_waiting(daemon: _state.Daemon, customer: str, now: float) -> None:
     stocks = daemon.tokens.stocks
-    waits = daemon.tokens.waiting.pop(customer)
-    kept: list[_tokens.WaitingRequest] = []
-    ends: list[tuple[_tokens.WaitingRequest, outcomes.Reason]] = []
-    for each in waits:
+    waiting = daemon.tokens.waiting.pop(customer)
+    remaining: list[_tokens.WaitingRequest] = []
+    decided: list[tuple[_tokens.WaitingRequest, outcomes.Reason]] = []
+    for request in waiting:
         if quotas.take_token(stocks, customer, now):
-            ends.append((each, outcomes.Reason.NONE))
+            decided.append((request, outcomes.Reason.NONE))
         elif quotas.is_exhausted(stocks, customer, now):
-            ends.append((each, outcomes.Reason.QUOTA_EXCEEDED))
+            decided.append((request, outcomes.Reason.QUOTA_EXCEEDED))
         else:
-            kept.append(each)
-    if kept:
-        daemon.tokens.waiting[customer] = kept
-    _note_waiting(daemon, customer)
-    for each, reason in ends:
-        each.timer.cancel()
-        each.answer(reason)
+            remaining.append(request)
+    if remaining:
+        daemon.tokens.waiting[customer] = remaining
+    _update_waiting_count(daemon, customer)
+    for request, reason in decided:
+        request.timer.cancel()
+        request.answer(reason)
--- a/src/sassafrasstair/forwarding/_records.py
+++ b/src/sassafrasstair/forwarding/_records.py
@@ -1,4 +1,4 @@
-"""Records of the requests under way, which all parts of the path share."""
+"""Records of the requests in flight, shared by the modules of the path."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 @dataclasses.dataclass(slots=True)
 class InboundRequest:
-    """A request for the upstream, with what its entrance told.
+    """A request for this VM's upstream, as its entrance forwarded it.
 
-    ``caller`` is the service on the VM where it began, ``host`` names the
-    site that it is for. ``trial`` is after how many strikes its entrance tries
-    a request again that was blocked, 0 if it was not. ``customer`` names who
-    sent it, '' for a request without a key. ``fingerprint`` is worked out when
-    it is needed.
+    ``caller`` is the service on the VM where the request entered, and
+    ``host`` the value of its Host field. ``trial_strikes`` is the number of
+    strikes after which the entrance tries a blocked request again, 0 if the
+    request was not blocked. ``customer`` is the sender's name, '' for a
+    request without a key. ``fingerprint`` is computed when it is needed.
     """
 
     metadata: _wire.RequestMetadata
@@ -42,7 +42,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Result:
-    """The end of a run: the instance's answer, or why there is none."""
+    """The end of an execution: the instance's answer, or why it has none."""
 
     state: _wire.CalleeState
     response: httpio.Response | None
@@ -50,11 +50,13 @@
 
 @dataclasses.dataclass(slots=True)
 class Execution:
-    """One request that waits for the upstream or is there.
+    """One request that waits for the upstream or runs there.
 
-    ``guard`` is that of the run of the instance for which it came.
-    ``broken`` once its connection has ended without a whole answer.
-    ``isolated`` when no other suspect may run beside it.
+    ``guard`` is the guard of the instance that the request names, since the
+    instance's latest start when the request arrived. ``job`` is set once the
+    request is sent to the upstream. ``connection_broken`` is set if the
+    connection ended before the answer was complete. ``isolated`` is set if
+    no other suspect may run beside the request.
     """
 
     key: str
@@ -68,23 +70,25 @@
 
     @property
     def rank(self) -> float:
-        """What the entrance told of its importance; see ``load.Work``."""
+        """The rank that the entrance gave the request; see ``load.Work``."""
         return self.request.metadata.rank
 
     @property
     def route(self) -> str:
-        """The name of its route."""
+        """The name of the request's route."""
         return self.request.metadata.route
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Attempt:
-    """The attempt under way.
-
-    It goes over the network as ``job``, or as ``run`` to the instance on
-    this VM, with ``ask`` and ``fields``. ``born`` is the start of the
-    instance that was asked, as the view had it; ``left`` says why it is in
-    another failure domain. ``trial`` is that of its ``Order``.
+    """The current attempt of a call.
+
+    ``job`` is set if the attempt goes to another daemon, ``execution_key`` if
+    it goes to the instance on this VM. ``metadata`` and ``fields`` are sent
+    with it. ``host`` is the address of the instance's VM, and ``born`` the
+    instance's start according to the view. ``cross_domain_reason`` says why
+    the instance is in another failure domain, None if it is in this one.
+    ``trial_strikes`` is as in ``InboundRequest``.
     """
 
     instance: str
@@ -101,11 +105,13 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Call:
-    """One client's request under way.
+    """One client's request in flight.
 
-    ``customer`` names who sent it, '' for a request without a key, and
-    ``key`` is the digest of its key. ``charged`` while it holds a token of the
-    customer's quota. ``fingerprint`` is worked out when it is needed.
+    ``fields`` are the header fields to forward, and ``timer`` fires at the
+    deadline. ``customer`` is the sender's name, '' for a request without a
+    key, and ``key_digest`` the digest of its API key. ``holds_token`` is set
+    while the request holds a token of the customer's quota. ``fingerprint``
+    is computed when it is needed.
     """
 
     exchange: httpio.Exchange
--- a/src/sassafrasstair/forwarding/_state.py
+++ b/src/sassafrasstair/forwarding/_state.py
@@ -1,4 +1,4 @@
-"""The state of one daemon, shared by the parts of its path."""
+"""The state of one daemon, shared by the modules of this package."""
 
 from __future__ import annotations
 
@@ -29,50 +29,62 @@
     from sassafrasstair.forwarding import _records
 
 PEER_IDLE_SECONDS = 30.0
-"""For how long a connection between daemons is kept without a request."""
+"""Time after which an idle connection to another daemon is closed."""
 UPSTREAM_IDLE_SECONDS = 4.0
-"""The same towards the upstream, where it does not tell a time."""
+"""The same for connections to an upstream that announces no timeout."""
 BODY_SHARE = 0.3
-"""The part of the memory limit that request bodies may take."""
+"""The fraction of the memory limit that request bodies may occupy."""
 
 
 @dataclasses.dataclass(slots=True)
 class Daemon:
-    """One daemon.
-
-    ``calls`` are under way here as the entrance, ``runs`` at the own
-    upstream or waiting for it, by their keys. ``hosts``, ``services`` and
-    ``least_importance`` are taken from the view whenever it changes.
-
-    ``guards`` are by instance and when its run started.
-
-    ``broken`` are runs whose connection broke, by their keys, until it is
-    known whether the upstream has crashed. ``familiar`` are requests that
-    were completed here, the latest last, by method, host, target and body;
-    ``familiar_prints`` their fingerprints while crashes are known.
-
-    ``tokens`` are those of customers with a limit, ``allocation`` the
-    allocator of the failure domain if it runs here.
-
-    ``ledger`` holds the known crashes, of which peers were sent all up to
-    ``crash_sent_version``; ``crash_peers`` are the digests of peers by host.
-    ``standings`` are those of requests that may not run freely.
-
-    ``refused`` are keys of the store's unusable items, by their revision.
-
-    ``checks`` are those under way that the store answers.
-
-    ``polls`` of other daemons wait for news, ``encoded`` are answers to
-    them by the content that was asked from, and ``woken`` ends what the
-    feed waits for. ``foreign_readers`` are hosts in other failure domains.
-
-    ``mark`` names this process in its polls. ``pulling`` are hosts that are
-    being asked for what they know more, ``confirming`` while the policy alone
-    is read.
-
-    ``names`` are those of header fields, and ``keys`` the same lower-cased.
-    ``leaving`` after SIGTERM; the own upstream still takes work until
-    ``upstream_leaving``.
+    """The state of one daemon.
+
+    ``calls`` are the requests of clients in flight here. ``executions`` are
+    the requests that run at this VM's upstream or wait for it, by key;
+    ``execution_serial`` is the last key given. ``hosts``, ``services`` (a
+    count) and ``least_importance`` are derived from the view whenever it
+    changes.
+
+    ``gates`` hold the state of load shedding by route, ``callers`` the calls
+    by route and calling service, ``chains`` the loads reported with answers
+    on routes that only upstreams call, and ``parents`` the counts from which
+    the rank of such a call is derived. ``retry_windows`` hold the retry
+    budget of each service, and ``pools`` the connections to other daemons by
+    host. ``guards`` are keyed by an instance's id and start.
+
+    ``broken_results`` are the results of executions whose connection broke,
+    by key, until it is known whether the upstream crashed.
+    ``completed_requests`` are requests completed here, the latest last, by
+    method, host, target and body. ``completed_fingerprints`` are their
+    fingerprints, computed only while crashes are known.
+
+    ``crash_ledger`` holds the known crashes; peers have been sent its changes
+    up to ``crash_sent_version``. ``crash_peers`` are the digests of peers by
+    host. ``crash_changed`` and ``crash_urgent`` signal changes to be sent.
+    ``suspect_standings`` are the standings of isolated and blocked requests,
+    by fingerprint.
+
+    ``tokens`` are the quota tokens of customers with a limit. ``allocation``
+    is the allocator of the failure domain, if it runs in this daemon.
+
+    ``refused_items`` maps the keys of unusable items of the store to their
+    revisions. ``store_checks`` are the pending checks of the store.
+
+    ``held_polls`` are the polls of other daemons that wait for changes, and
+    ``encoded_answers`` the answers to them by the revision that they start
+    from. ``feed_woken`` interrupts the feed's waiting. ``foreign_readers``
+    are hosts in other failure domains.
+
+    ``process_mark`` identifies this process in its polls. ``pulled_hosts``
+    are hosts that are being asked for newer data. ``confirming_policy`` is
+    set while only the policy is being read.
+
+    ``header_names`` are the platform's names of header fields, and
+    ``header_keys`` the same in lower case. ``leaving`` is set from SIGTERM
+    on; this VM's upstream still gets work until ``upstream_leaving`` is set.
+    ``upstream_down`` is set while the upstream accepts no connections, and
+    ``upstream_tried`` is the time of the last connection attempt.
     """
 
     dialect: _dialect.Dialect
@@ -168,7 +180,7 @@
     rng: random.Random,
     journal: _events.Journal,
 ) -> Daemon:
-    """Return a daemon that has not started."""
+    """Create the state of a daemon that has not started."""
     domain = settings.failure_domain
     region = settings.regions.get(domain, "")
     return Daemon(
@@ -193,7 +205,7 @@
 
 
 def pool(daemon: Daemon, host: str) -> httpio.Pool:
-    """Return the connections to the daemon at ``host``."""
+    """Return the connection pool of the daemon at ``host``."""
     found = daemon.pools.get(host)
     if found is None:
         port = daemon.settings.daemons.port
@@ -203,7 +215,7 @@
 
 
 def apply_settings(daemon: Daemon, settings: _dialect.Settings) -> None:
-    """Take settings that have changed; what is under way is not cut."""
+    """Apply changed settings without interrupting requests in flight."""
     old = daemon.settings
     daemon.settings = settings
     daemon.feed.timing = _timing(settings)
@@ -224,7 +236,7 @@
 
 
 def slack_part(daemon: Daemon, service: str) -> float:
-    """Return this daemon's part of a service's slack for repeats."""
+    """Return this daemon's part of a service's slack for retries."""
     return requests.slack_part(
         daemon.settings.bounds.budget,
         service,
@@ -234,7 +246,7 @@
 
 
 def update_slack_parts(daemon: Daemon) -> None:
-    """Take anew the parts of the slack: other daemons are known."""
+    """Recompute the parts of the slack after the known daemons changed."""
     for service, window in daemon.retry_windows.items():
         window.slack = slack_part(daemon, service)
 
@@ -242,7 +254,7 @@
 def start_task(
     daemon: Daemon, work: typing.Coroutine[typing.Any, typing.Any, None]
 ) -> None:
-    """Run ``work`` beside the loop's callbacks until it ends."""
+    """Run ``work`` as a task, and keep a reference to it until it ends."""
     task = asyncio.get_running_loop().create_task(work)
     daemon.tasks.add(task)
     task.add_done_callback(daemon.tasks.discard)
--- a/src/sassafrasstair/forwarding/_status.py
+++ b/src/sassafrasstair/forwarding/_status.py
@@ -1,4 +1,4 @@
-"""What a daemon tells operators: readiness, metrics, whom it follows."""
+"""Serves readiness, metrics and status pages to operators."""
 
 from __future__ import annotations
 
@@ -28,11 +28,17 @@
 
 
 class FeedStatus(msgspec.Struct, frozen=True):
-    """Where a daemon's news come from; ages in seconds.
-
-    ``parent`` is the host that it follows, ``store`` or ``nobody``;
-    ``avoided`` and ``lost`` are hosts that it passes over. ``era`` counts how
-    often the store has come back from an older copy.
+    """The source of a daemon's updates; ages and times in seconds.
+
+    ``parent`` is the host that the daemon follows, ``store`` or ``nobody``,
+    and ``since`` for how long. ``view_age`` is the time since the store last
+    confirmed the view, and ``store_lost`` the time since the store was lost,
+    None while it is reachable. ``revision`` is the store's revision,
+    ``content`` that of the last change, and ``policy`` the policy's version,
+    -1 without one. ``rank`` is the number of known hosts before this one,
+    ``known`` that of all known hosts, and ``waiting`` that of held polls.
+    ``avoided`` and ``lost`` are hosts that the daemon skips. ``era`` counts
+    how often the store has been restored from an older copy.
     """
 
     parent: str
@@ -51,16 +57,17 @@
 
 
 class CrashStatus(msgspec.Struct, frozen=True):
-    """One crash that counts against a request; its age in seconds."""
+    """One crash that counts against a request; ``age`` is in seconds."""
 
     instance: str
     age: float
 
 
 class SuspectStatus(msgspec.Struct, frozen=True):
-    """A request that may not run freely, and why; see ``crashes.Verdict``.
+    """An isolated or blocked request and why; see ``crashes.Verdict``.
 
-    ``blocked_for`` is for how many seconds this daemon will not run it.
+    ``blocked_for`` is the number of seconds for which this daemon still
+    blocks the request.
     """
 
     fingerprint: str
@@ -75,9 +82,10 @@
 class CustomerStatus(msgspec.Struct, frozen=True):
     """A customer with a limit, as this daemon knows it.
 
-    ``rate`` is its limit and ``demand`` what it sends here, in requests a
-    second. ``tokens`` may be used here, and ``share`` of the limit is handed
-    out by this daemon, None if another one does.
+    ``rate`` is the limit and ``demand`` the rate of the customer's requests
+    to this daemon, both in requests per second. ``tokens`` is the number of
+    tokens available here. ``share`` is the part of the limit that this
+    daemon allocates, None if another daemon is the allocator.
     """
 
     customer: str
@@ -88,10 +96,11 @@
 
 
 class QuotasStatus(msgspec.Struct, frozen=True):
-    """Quotas at one daemon; ``allocator`` is the host that hands out tokens.
+    """Quotas at one daemon.
 
-    ``policy_age`` is how many seconds ago the policy was known to be the
-    newest, None if that is not known.
+    ``allocator`` is the host that grants tokens. ``policy_age`` is the number
+    of seconds since the policy was confirmed to be the newest, None if it
+    never was.
     """
 
     allocator: str
@@ -122,7 +131,7 @@
 
 
 def feed_status(daemon: _state.Daemon) -> FeedStatus:
-    """Return where the daemon's news come from now."""
+    """Return the current source of the daemon's updates."""
     view, feed = daemon.view, daemon.feed
     now = daemon.clock.monotonic()
     return FeedStatus(
@@ -136,14 +145,14 @@
         rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
         waiting=len(daemon.held_polls),
-        avoided=_current(feed.avoided_until, now),
-        lost=_current(feed.without_store_until, now),
+        avoided=_skipped_hosts(feed.avoided_until, now),
+        lost=_skipped_hosts(feed.without_store_until, now),
         era=views.era_of(view.revision),
     )
 
 
 def suspects_status(daemon: _state.Daemon) -> list[SuspectStatus]:
-    """Return the requests that this daemon holds back, and why."""
+    """Return the requests that this daemon isolates or blocks, and why."""
     now = daemon.clock.monotonic()
     return [
         SuspectStatus(
@@ -163,7 +172,7 @@
 
 
 def quotas_status(daemon: _state.Daemon) -> QuotasStatus:
-    """Return the customers with a limit, and who hands out their tokens."""
+    """Return the customers with a limit, and the allocator of their tokens."""
     now = daemon.clock.monotonic()
     table = daemon.view.table
     customers = () if table is None else table.policy.customers or ()
@@ -199,7 +208,7 @@
 
 
 def parent_name(parent: str | None) -> str:
-    """Return whom a daemon follows, as logs and operators are told."""
+    """Return the name of the followed host for logs and status pages."""
     return _NOBODY if parent is None else parent or STORE
 
 
@@ -235,9 +244,17 @@
 
 
 def view_age(daemon: _state.Daemon, now: float) -> float:
-    """Return how long ago the last word of the store came, by any way."""
+    """Return the age of the last answer of the store, in seconds.
+
+    The answer may have come directly or through another daemon. Before the
+    first one the age counts from the daemon's start.
+    """
     return now - max(daemon.view.store_answered_at, daemon.feed.started_at)
 
 
-def _current(passed: dict[str, float], now: float) -> tuple[str, ...]:
-    return tuple(sorted(host for host, end in passed.items() if end > now))
+def _skipped_hosts(
+    skipped_until: dict[str, float], now: float
+) -> tuple[str, ...]:
+    return tuple(
+        sorted(host for host, end in skipped_until.items() if end > now)
+    )
--- a/src/sassafrasstair/forwarding/_tokens.py
+++ b/src/sassafrasstair/forwarding/_tokens.py
@@ -1,4 +1,4 @@
-"""State of a daemon's tokens, and of the allocator that may run in it."""
+"""State of a daemon's quota tokens, and of its allocator if it runs one."""
 
 from __future__ import annotations
 
@@ -13,12 +13,13 @@
     import asyncio
 
 TokenCallback = typing.Callable[[outcomes.Reason], None]
-"""Told ``NONE`` with a token, else why there is none."""
+"""Called with ``NONE`` if a token was taken, else with the reason why there
+is none."""
 
 
 @dataclasses.dataclass(slots=True)
 class WaitingRequest:
-    """A request that waits for a token until its timer ends."""
+    """A request that waits for a token until its timer fires."""
 
     answer: TokenCallback
     timer: asyncio.TimerHandle
@@ -26,10 +27,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Tokens:
-    """The tokens of this daemon, and where it gets them.
-
-    ``allocator`` is the host that is asked, and ``avoided`` those that gave
-    no answer, until when.
+    """The tokens of this daemon, and the allocator that grants them.
+
+    ``stocks`` are the tokens by customer and ``waiting`` the requests that
+    wait for one. ``allocator`` is the host that is asked for tokens.
+    ``avoided_until`` maps hosts that did not answer to the time until which
+    they are skipped. ``asking`` is set while a question to the allocator is
+    pending, ``asked_at`` is the time of the last one, and ``ask_soon`` makes
+    the next tick ask without waiting for the full period.
     """
 
     stocks: quotas.PrefetchStore = dataclasses.field(
@@ -49,11 +54,13 @@
 class Allocation:
     """The allocator that runs in this daemon.
 
-    ``asked`` is when it last was asked for tokens. ``contacts`` are the hosts
-    that allocate for other domains, as far as known, and ``tried`` how many
-    others were tried there in vain; ``updating`` are the domains that have an
-    update under way, ``updated`` when each had the last one. ``policy`` is the
-    version whose limits are taken.
+    ``ticked_at`` is the time of its last tick, and ``asked_at`` the time when
+    it was last asked for tokens. ``peer_allocators`` maps other failure
+    domains to the hosts known to allocate for them, and ``failed_contacts``
+    to the number of hosts that were tried there in vain.
+    ``updates_in_flight`` are the domains to which an update is being sent,
+    and ``updated_at`` maps domains to the time of their last update.
+    ``policy_version`` is the version of the policy whose limits apply.
     """
 
     allocator: quotas.Allocator
--- a/src/sassafrasstair/forwarding/_wire.py
+++ b/src/sassafrasstair/forwarding/_wire.py
@@ -1,7 +1,8 @@
-"""What two daemons tell each other with a request and its answer.
+"""Header fields that daemons add to forwarded requests and their answers.
 
-Both travel as HTTP/1.1 requests between daemons with one field of our own
-each: positional, since it is written and read for each call.
+A forwarded request carries ``RequestMetadata`` and its answer carries
+``CalleeState``, each in one header field. The values in a field are
+positional because they are encoded and decoded for every call.
 """
 
 from __future__ import annotations
@@ -19,10 +20,10 @@
 METADATA_HEADER_LOWER = METADATA_HEADER.lower()
 STATE_HEADER_LOWER = STATE_HEADER.lower()
 TRIAL_HEADER = b"Sassafras-Trial"
-"""After how many strikes a request is tried that was blocked."""
+"""The number of strikes after which a blocked request is tried again."""
 TRIAL_HEADER_LOWER = TRIAL_HEADER.lower()
 KEY_DIGEST_HEADER = b"Sassafras-Key"
-"""The digest of a request's API key, in hexadecimal."""
+"""The digest of the request's API key, in hexadecimal."""
 KEY_DIGEST_HEADER_LOWER = KEY_DIGEST_HEADER.lower()
 INTERNAL_HEADERS = httpio.kept_back(
     {
@@ -38,15 +39,17 @@
 
 
 class WireError(Exception):
-    """A field between daemons that is not in their format."""
+    """A header field of another daemon that can't be decoded."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What the entrance tells: see ``load.Work`` for rank and wait.
+    """What the entrance sends with a forwarded request.
 
-    ``content`` is that of the sender's view; ``remaining`` and ``wait``
-    are seconds from now.
+    ``content`` is the revision of the last change in the sender's view.
+    ``remaining`` is the time until the deadline and ``max_wait`` the longest
+    wait for a slot, in seconds from now. See ``load.Work`` for ``rank`` and
+    the wait.
     """
 
     content: int
@@ -59,13 +62,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CalleeState:
-    """What a callee's daemon tells with each answer.
-
-    ``ahead`` is what a request of the asked rank must yield to at the
-    instance, as a share of its limit, and ``below`` the load of the busiest
-    service further down the chain, as such requests meet it; ``inner`` says
-    that only upstreams call the route. ``ending`` is None when the answer is
-    the instance's own.
+    """What the callee's daemon sends with each answer.
+
+    ``content`` is the revision of the last change in its view. ``leaving``
+    is set while its upstream takes no new work. ``load_at_rank`` is the
+    load at the instance that takes precedence over a request of the same
+    rank, as a fraction of the instance's limit. ``downstream_load`` is the
+    load of the busiest service that the instance's service calls, as
+    requests of that rank meet it. ``internal_route`` is set if only
+    upstreams call the route. ``ending`` is None if the instance itself
+    answered.
     """
 
     content: int
@@ -103,11 +109,11 @@
             _amount(wait),
         )
     except ValueError as error:
-        raise WireError(f"ask: {error}") from error
+        raise WireError(f"invalid Sassafras-Ask field: {error}") from error
 
 
 def decode_trial(value: bytes | None) -> int:
-    """Return the strikes that the field tells, 0 without it."""
+    """Return the strikes in the field, 0 without a valid field."""
     return int(value) if value is not None and value.isdigit() else 0
 
 
@@ -148,15 +154,15 @@
             outcomes.Reason(reason),
         )
     except ValueError as error:
-        raise WireError(f"state: {error}") from error
+        raise WireError(f"invalid Sassafras-State field: {error}") from error
 
 
 def _amount(value: bytes | str) -> float:
-    """Return a number that can be counted with; raises ``ValueError``.
+    """Return a finite, non-negative number; raises ``ValueError``.
 
-    An infinite or negative load would spoil averages for good.
+    An infinite or negative load would corrupt averages permanently.
     """
     amount = float(value)
     if not 0.0 <= amount < math.inf:
-        raise ValueError(f"not an amount: {value!r}")
+        raise ValueError(f"not a finite, non-negative number: {value!r}")
     return amount
--- a/tests/forwarding/test_events.py
+++ b/tests/forwarding/test_events.py
@@ -1,4 +1,4 @@
-"""The log is bounded and is never waited for."""
+"""Tests that the log is rate-limited and never blocks."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
     return [json.loads(line) for line in lines]
 
 
-def test_surge_of_refusals_is_bounded_and_summed_up() -> None:
-    """A surge refuses ten thousand requests in one second.
+def test_surge_of_refusals_is_rate_limited_and_summarized() -> None:
+    """Ten thousand requests are refused in one second.
 
-    A line for each would cost more than the requests; without a summary
-    a kind of failure could go unseen.
+    A line for each would cost more than the requests. Without a summary, a
+    kind of failure could go unnoticed.
     """
     lines: list[bytes] = []
 
@@ -46,10 +46,10 @@
     }
 
 
-def test_reader_that_stops_costs_lines_and_no_time() -> None:
-    """Whatever reads standard output stops; the pipe fills up.
+def test_stopped_reader_loses_lines_but_blocks_nothing() -> None:
+    """The reader of standard output stops reading, and the pipe fills up.
 
-    A daemon that waited for it would answer nobody.
+    A daemon that blocked on the pipe would stop answering requests.
     """
     reader, writer = os.pipe()
     try:
@@ -61,7 +61,7 @@
             if serial % 50 == 0:
                 journal.flush_lines()
         assert time.monotonic() - begun < 5.0
-        assert journal.lost > 0
+        assert journal.lost_lines > 0
         read = b""
         for second in range(10):
             os.set_blocking(reader, False)
@@ -74,7 +74,7 @@
         os.close(writer)
 
 
-def test_reader_that_is_gone_does_no_harm() -> None:
+def test_closed_reader_raises_no_error() -> None:
     reader, writer = os.pipe()
     os.close(reader)
     journal = _events.Journal(_events.descriptor_sink(writer))
--- a/tests/forwarding/test_walks.py
+++ b/tests/forwarding/test_walks.py
@@ -1,4 +1,4 @@
-"""From a failed request's id to its cause, by logs alone.
+"""Tests that the logs alone lead from a failed request's id to its cause.
 
 ``pytest -s tests/forwarding/test_walks.py`` prints what the command shows;
 docs/OPERATIONS.md quotes it.
@@ -24,21 +24,22 @@
     import pathlib
 
 
-async def _fill_and_call(world: place.Cluster) -> place.Answer:
-    """Hold the only slot with other requests, then send one more."""
+async def _fill_and_call(cluster: place.Cluster) -> place.Answer:
+    """Occupy the only slot with other requests, then send one more."""
     held = [
-        asyncio.ensure_future(world.call(test_path.A, "/s/")) for _ in range(4)
+        asyncio.ensure_future(cluster.call(test_path.A, "/s/"))
+        for _ in range(4)
     ]
-    while not world.upstreams[test_path.B].got:
+    while not cluster.upstreams[test_path.B].got:
         await asyncio.sleep(0.01)
-    got = await world.call(test_path.A, "/s/")
+    got = await cluster.call(test_path.A, "/s/")
     for call in held:
         call.cancel()
     return got
 
 
-async def _call(world: place.Cluster) -> place.Answer:
-    return await world.call(test_path.A, "/s/", "POST")
+async def _call(cluster: place.Cluster) -> place.Answer:
+    return await cluster.call(test_path.A, "/s/", "POST")
 
 
 @pytest.mark.parametrize(
@@ -50,7 +51,7 @@
             503,
             "r5",
             "run_ended reason=queue_delay",
-            id="refused though room seemed to be there",
+            id="refused after waiting for a slot",
         ),
         pytest.param(
             test_path.hang,
@@ -81,15 +82,15 @@
     cause: str,
 ) -> None:
     async def test() -> None:
-        world = await test_path._world(script, False, 0.6, slots=1)
-        got = await send(world)
+        cluster = await test_path._world(script, False, 0.6, slots=1)
+        got = await send(cluster)
         assert got.status == status
-        # The callee's daemon hears of the end a moment later.
+        # The callee's daemon learns of the end slightly later.
         await asyncio.sleep(0.1)
-        for running in world.daemons.values():
+        for running in cluster.daemons.values():
             running.daemon.journal.flush_lines()
         log = tmp_path / "daemons.log"
-        log.write_bytes(b"".join(world.lines))
+        log.write_bytes(b"".join(cluster.lines))
         result = testing.CliRunner().invoke(
             application.main, ["explain", request_id, str(log)]
         )
@@ -103,23 +104,23 @@
 
 
 def test_shed_request_tells_by_which_load(tmp_path: pathlib.Path) -> None:
-    """A lookup is refused at the entrance and its caller complains.
+    """A lookup is refused at the entrance because of load shedding.
 
-    The line of the refusal must tell the load that decided it, and a line
-    a second which routes are shed, so that nobody has to guess.
+    The log line of the refusal must contain the load that caused it, and a
+    line each second must name the routes with load shedding.
     """
 
     async def test() -> None:
-        world = await test_path._world()
-        daemon = world.daemons[test_path.A].daemon
+        cluster = await test_path._world()
+        daemon = cluster.daemons[test_path.A].daemon
         gate = admission.Gate(share=0.0, load=3.5, updated_at=1e12)
         daemon.gates.gates["s"] = gate
-        assert (await world.call(test_path.A, "/s/")).status == 503
-        _daemon._log_shares(daemon)
-        for running in world.daemons.values():
+        assert (await cluster.call(test_path.A, "/s/")).status == 503
+        _daemon._log_shedding(daemon)
+        for running in cluster.daemons.values():
             running.daemon.journal.flush_lines()
         log = tmp_path / "daemons.log"
-        log.write_bytes(b"".join(world.lines))
+        log.write_bytes(b"".join(cluster.lines))
         assert '"event": "shedding", "reason": "s"' in log.read_text()
         result = testing.CliRunner().invoke(
             application.main, ["explain", "r1", str(log)]
@@ -131,21 +132,22 @@
 
 
 def test_restarted_instance_shows_in_the_log_by_its_address() -> None:
-    """Two entries name one address, and requests to one of them fail.
+    """Two entries have the same address, and requests to one of them fail.
 
-    With ids alone on the lines nobody could see that they belong together.
+    The lines must contain the address: ids alone do not show that the
+    entries belong together.
     """
 
     async def test() -> None:
-        world = await test_path._world()
-        world.put_instance("i-new", test_path.B, "s")
-        await world.wait_until_known(test_path.A)
-        for running in world.daemons.values():
+        cluster = await test_path._world()
+        cluster.put_instance("i-new", test_path.B, "s")
+        await cluster.wait_until_known(test_path.A)
+        for running in cluster.daemons.values():
             running.daemon.journal.flush_lines()
-        address = f"{test_path.B}:{world.ports[3]}"
+        address = f"{test_path.B}:{cluster.ports[3]}"
         lines = [
             json.loads(line)
-            for line in b"".join(world.lines).split(b"\n")
+            for line in b"".join(cluster.lines).split(b"\n")
             if line
         ]
         ids = {
