--- a/tests/forwarding/measure_hop.py
+++ b/tests/forwarding/measure_hop.py
@@ -1,9 +1,10 @@
-"""Processor time of a call through two daemons, and what logs add to it.
+"""Measures the processor time of a call through two daemons.
 
     python -m tests.forwarding.measure_hop
 
-Client, upstream and both daemons share one process, so the figures hold for
-their ratios: rounds with and without logs, and of refused calls, alternate.
+Rounds with logs, rounds without logs and rounds of refused calls alternate.
+Client, upstream and both daemons share one process, so only the ratios
+between the kinds of rounds are meaningful.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 
 class _Upstream(asyncio.Protocol):
-    """Answers each request at once."""
+    """An upstream that answers each request immediately."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = typing.cast("asyncio.Transport", transport)
@@ -42,7 +43,7 @@
 
 
 class _Client(asyncio.Protocol):
-    """Sends one request after the other."""
+    """A client that sends requests one after the other."""
 
     def __init__(self, path: bytes) -> None:
         self._path = path
@@ -65,45 +66,45 @@
         self._transport.write(HEAD % (self._path, self._left))
 
 
-async def _measure(world: place.Cluster, path: bytes) -> float:
-    """Return microseconds of processor time a call."""
+async def _measure(cluster: place.Cluster, path: bytes) -> float:
+    """Return the processor time per call in microseconds."""
     loop = asyncio.get_running_loop()
     begun = time.process_time()
     _, client = await loop.create_connection(
-        lambda: _Client(path), place.HOSTS[0], world.ports[0]
+        lambda: _Client(path), place.HOSTS[0], cluster.ports[0]
     )
     await client.done
     return (time.process_time() - begun) / CALLS * 1e6
 
 
-async def _world() -> place.Cluster:
+async def _start_cluster() -> place.Cluster:
     entrance, callee, _ = place.HOSTS
-    world = place.Cluster()
-    world.policy(3, place.route("/s/", "s"), place.route("/t/", "s"))
+    cluster = place.Cluster()
+    cluster.policy(3, place.route("/s/", "s"), place.route("/t/", "s"))
     loop = asyncio.get_running_loop()
-    await loop.create_server(_Upstream, callee, world.ports[3])
-    world.put_entry(callee, "s", slots=100)
-    await world.daemon(entrance, "front")
-    await world.daemon(callee, "s")
-    await world.wait_until_known(entrance, callee)
-    return world
+    await loop.create_server(_Upstream, callee, cluster.ports[3])
+    cluster.put_entry(callee, "s", slots=100)
+    await cluster.daemon(entrance, "front")
+    await cluster.daemon(callee, "s")
+    await cluster.wait_until_known(entrance, callee)
+    return cluster
 
 
 async def _main() -> None:
-    world = await _world()
-    daemons = [running.daemon for running in world.daemons.values()]
+    cluster = await _start_cluster()
+    daemons = [running.daemon for running in cluster.daemons.values()]
     gate = admission.Gate(share=0.0, load=99.0, updated_at=1e12)
     daemons[0].gates.gates["t"] = gate
     taken: dict[str, list[float]] = {"logs": [], "none": [], "refused": []}
-    await _measure(world, b"/s/")
+    await _measure(cluster, b"/s/")
     for _ in range(ROUNDS):
-        taken["logs"].append(await _measure(world, b"/s/"))
+        taken["logs"].append(await _measure(cluster, b"/s/"))
         for daemon in daemons:
             daemon.journal._logger.disabled = True
-        taken["none"].append(await _measure(world, b"/s/"))
+        taken["none"].append(await _measure(cluster, b"/s/"))
         for daemon in daemons:
             daemon.journal._logger.disabled = False
-        taken["refused"].append(await _measure(world, b"/t/"))
+        taken["refused"].append(await _measure(cluster, b"/t/"))
     for name, values in taken.items():
         print(
             f"{name:8} median {statistics.median(values):6.0f} us a call,"
--- a/tests/forwarding/place.py
+++ b/tests/forwarding/place.py
@@ -1,7 +1,7 @@
-"""A small place for daemons in one loop: store, upstreams and clients.
+"""A test cluster in one event loop: daemons, a store, upstreams and clients.
 
-Each host is an address of the loopback network; upstreams do what a test's
-script says.
+Each host is an address of the loopback network. The behaviour of an upstream
+is set by a test's handler.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 class Source:
-    """A store that a test changes, and that can be away for some hosts."""
+    """A store that a test modifies; hosts in ``away`` can't reach it."""
 
     def __init__(self) -> None:
         self.items: dict[str, views.Change] = {}
@@ -96,8 +96,8 @@
         self.changed = asyncio.Event()
 
 
-class _View:
-    """The store as one host sees it."""
+class _StoreClient:
+    """The client of the store on one host."""
 
     def __init__(self, source: Source, host: str) -> None:
         self._source = source
@@ -138,7 +138,7 @@
         return forwarding.Reading(found, revision, revision, False)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no connection is open."""
 
     def _check(self) -> None:
         if self._host in self._source.away:
@@ -148,7 +148,7 @@
 
 
 class Dialect:
-    """Names and settings of one host of the place."""
+    """Header names and settings of one host of the cluster."""
 
     names = NAMES
     ready_path = b"/ready"
@@ -196,12 +196,16 @@
     def source(
         self, settings: forwarding.Settings, clock: clocks.Clock
     ) -> forwarding.Source:
-        return _View(self._place.source, self._host)
+        return _StoreClient(self._place.source, self._host)
 
 
 @dataclasses.dataclass
 class ReceivedRequest:
-    """What an upstream got: the request's head, fields and body."""
+    """A request that an upstream received.
+
+    ``line`` is the request line, and ``cut`` is set when the client closes
+    the connection before the answer.
+    """
 
     line: bytes
     fields: dict[bytes, bytes]
@@ -215,14 +219,14 @@
 
 
 async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Answer as a sound instance does."""
+    """Answer as a healthy instance does."""
     writer.write(signed(got, b"whole"))
 
 
 def signed(
     got: ReceivedRequest, body: bytes, status: bytes = b"200 OK"
 ) -> bytes:
-    """Return an instance's whole answer."""
+    """Return an instance's complete, signed answer."""
     return (
         b"HTTP/1.1 %s\r\nX-Request: %s\r\nX-Signature: s\r\n"
         b"Content-Length: %d\r\n\r\n%s"
@@ -231,7 +235,7 @@
 
 
 class Upstream:
-    """An instance that answers as its script says."""
+    """An instance whose answers are written by its handler ``script``."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -244,7 +248,7 @@
         self._server = await asyncio.start_server(self.serve, host, port)
 
     def crash(self) -> None:
-        """Take no more connections, and break all."""
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -291,7 +295,7 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a client got; status 0 when the connection just ended."""
+    """An answer to a client; status 0 if the connection ended without one."""
 
     status: int
     fields: dict[bytes, bytes]
@@ -300,7 +304,7 @@
 
 
 class Cluster:
-    """Hosts with a daemon and an upstream each, and one store."""
+    """Hosts with one daemon and one upstream each, and a shared store."""
 
     def __init__(self) -> None:
         self.source = Source()
@@ -346,7 +350,7 @@
         slots: int = 8,
         born: int = 0,
     ) -> None:
-        """Write the entry of one run of the instance on a host."""
+        """Write an entry under ``key`` for the instance on a host."""
         since = self.since.setdefault(key, self.source.revision + 1)
         port = self.ports[3]
         self.source.put(
@@ -391,7 +395,7 @@
             writer.close()
 
     async def daemon(self, host: str, service: str) -> _daemon.RunningDaemon:
-        """Start a daemon and wait until it knows what the store holds."""
+        """Start a daemon; ``wait_until_known`` waits for its view."""
         dialect = Dialect(self, host, service)
         journal = _events.Journal(self._take_line)
         journal.attach()
@@ -409,7 +413,7 @@
         return running
 
     async def wait_until_known(self, *hosts: str) -> None:
-        """Wait until the daemons know all that the store holds."""
+        """Wait until the daemons know the store's latest revision."""
         for host in hosts:
             view = self.daemons[host].daemon.view
             while view.revision < self.source.revision:
@@ -465,8 +469,8 @@
 def _free_ports(count: int) -> list[int]:
     """Return ports that are free on all hosts of the tests.
 
-    Below the range from which the kernel takes ports for connections: one
-    of those could be taken between this look and the listening.
+    The ports are below the kernel's ephemeral range: a connection could take
+    an ephemeral port between this check and the listening.
     """
     found: list[int] = []
     while len(found) < count:
--- a/tests/forwarding/test_counters.py
+++ b/tests/forwarding/test_counters.py
@@ -1,4 +1,4 @@
-"""The metrics page of the forwarder."""
+"""Tests of the metrics page of the forwarder."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def test_series_are_bounded() -> None:
-    """A policy with hundreds of routes must not make as many histograms."""
+    """A policy with hundreds of routes must not create as many histograms."""
     counters = _counters.new_counters()
     for serial in range(500):
         _counters.count_answer(counters, f"r{serial}", 9, 200, "answered", 0.1)
--- a/tests/forwarding/test_customers.py
+++ b/tests/forwarding/test_customers.py
@@ -1,4 +1,4 @@
-"""Keys, customers and quotas on the path of a request."""
+"""Tests of API keys, customers and quotas on the path of a request."""
 
 from __future__ import annotations
 
@@ -32,21 +32,25 @@
     return _field(b"X-Key", value)
 
 
-async def _started(
+async def _start_cluster(
     service_here: str = "s",
     customers: tuple[policies.Customer, ...] = CUSTOMERS,
     revocation: float | None = None,
 ) -> tuple[Place, place_module.Upstream]:
-    """Return a place whose first daemon serves, or sends on to the other."""
-    place = Place()
-    place.customers, place.revocation = customers, revocation
-    place.policy(1, CLOSED, OPEN)
+    """Start a cluster with an instance of ``s``.
+
+    It runs on the first host if ``service_here`` is ``s``. Otherwise it runs
+    on the other host, to which the first daemon forwards requests.
+    """
+    cluster = Place()
+    cluster.customers, cluster.revocation = customers, revocation
+    cluster.policy(1, CLOSED, OPEN)
     there = ONE if service_here == "s" else OTHER
-    upstream = await place.upstream(there, "s")
+    upstream = await cluster.upstream(there, "s")
     for host, service in ((ONE, service_here), (OTHER, "s")):
-        await place.daemon(host, service)
-    await place.wait_until_known(ONE, OTHER)
-    return place, upstream
+        await cluster.daemon(host, service)
+    await cluster.wait_until_known(ONE, OTHER)
+    return cluster, upstream
 
 
 FORGED = _field(b"X-Customer", b"two")
@@ -77,18 +81,18 @@
     status: int,
     customer: bytes | None,
 ) -> None:
-    """A client named another customer, or its key reached an instance."""
+    """No client may pose as another customer, and no key may leak."""
 
     async def test() -> None:
-        place, upstream = await _started(service_here)
-        answer = await place.call(ONE, path, headers=headers)
+        cluster, upstream = await _start_cluster(service_here)
+        answer = await cluster.call(ONE, path, headers=headers)
         assert answer.status == status
         assert len(upstream.got) == (status == 200)
         for got in upstream.got:
             assert got.fields.get(b"x-customer") == customer
             assert b"x-key" not in got.fields
             assert not any(b"sassafras" in name for name in got.fields)
-        assert KEY not in b"".join(place.lines)
+        assert KEY not in b"".join(cluster.lines)
 
     asyncio.run(test())
 
@@ -105,17 +109,17 @@
         (policies.digest_key(b"no-such-key").hex().encode(), None),
     ],
 )
-def test_daemons_port_lets_nobody_name_a_customer(
+def test_forwarded_requests_need_a_known_key_digest(
     key: bytes | None, customer: bytes | None
 ) -> None:
-    """A client that spoke like a daemon ran requests as any customer."""
+    """A client that mimics a daemon can't run requests as any customer."""
 
     async def test() -> None:
-        place, upstream = await _started()
+        cluster, upstream = await _start_cluster()
         headers = _field(b"Sassafras-Ask", ASK) + FORGED
         if key is not None:
             headers += _field(b"Sassafras-Key", key)
-        await place.send_to_peer_port(ONE, "/open/a", headers)
+        await cluster.send_to_peer_port(ONE, "/open/a", headers)
         for got in upstream.got:
             assert got.fields.get(b"x-customer") == customer
         assert len(upstream.got) == (key is None or customer is not None)
@@ -123,13 +127,13 @@
     asyncio.run(test())
 
 
-def test_order_without_a_key_runs_on_open_routes_alone() -> None:
-    """A client that spoke like a daemon ran requests without a key."""
+def test_forwarded_request_without_a_key_runs_only_on_open_routes() -> None:
+    """A client that mimics a daemon can't run requests without a key."""
 
     async def test() -> None:
-        place, upstream = await _started()
+        cluster, upstream = await _start_cluster()
         ask = ASK.replace(b" open ", b" s ")
-        await place.send_to_peer_port(
+        await cluster.send_to_peer_port(
             ONE, "/s/a", _field(b"Sassafras-Ask", ask)
         )
         assert not upstream.got
@@ -137,19 +141,23 @@
     asyncio.run(test())
 
 
-def test_key_that_is_added_or_removed_counts_with_its_version() -> None:
-    """A key went on working, or did not begin to, after a change."""
+def test_added_and_removed_keys_take_effect() -> None:
+    """Guards against added or removed keys that do not take effect."""
 
     async def test() -> None:
-        place, _ = await _started()
-        place.customers = CUSTOMERS[1:]
-        place.policy(2, CLOSED, OPEN)
-        await place.wait_until_known(ONE, OTHER)
-        assert (await place.call(ONE, "/s/a", headers=_key(KEY))).status == 401
-        place.customers = CUSTOMERS
-        place.policy(3, CLOSED, OPEN)
-        await place.wait_until_known(ONE, OTHER)
-        assert (await place.call(ONE, "/s/a", headers=_key(KEY))).status == 200
+        cluster, _ = await _start_cluster()
+        cluster.customers = CUSTOMERS[1:]
+        cluster.policy(2, CLOSED, OPEN)
+        await cluster.wait_until_known(ONE, OTHER)
+        assert (
+            await cluster.call(ONE, "/s/a", headers=_key(KEY))
+        ).status == 401
+        cluster.customers = CUSTOMERS
+        cluster.policy(3, CLOSED, OPEN)
+        await cluster.wait_until_known(ONE, OTHER)
+        assert (
+            await cluster.call(ONE, "/s/a", headers=_key(KEY))
+        ).status == 200
 
     asyncio.run(test())
 
@@ -158,60 +166,70 @@
 def test_keys_are_refused_while_the_policy_is_unconfirmed(
     headers: bytes,
 ) -> None:
-    """A daemon without the store accepted keys, or denied them for good."""
+    """A daemon cut off from the store can't tell whether a key is valid.
+
+    It must neither accept nor permanently reject a request with a key.
+    """
 
     async def test() -> None:
-        place, _ = await _started(revocation=2.5)
-        answer = await place.call(ONE, "/s/a", headers=_key(KEY))
+        cluster, _ = await _start_cluster(revocation=2.5)
+        answer = await cluster.call(ONE, "/s/a", headers=_key(KEY))
         while answer.status != 200:
-            answer = await place.call(ONE, "/s/a", headers=_key(KEY))
-        place.source.away |= {ONE, OTHER}
+            answer = await cluster.call(ONE, "/s/a", headers=_key(KEY))
+        cluster.source.away |= {ONE, OTHER}
         await asyncio.sleep(3.0)
-        answer = await place.call(ONE, "/s/a", headers=headers)
+        answer = await cluster.call(ONE, "/s/a", headers=headers)
         assert answer.status == 503
         assert b"retry-after" in answer.fields
-        assert (await place.call(ONE, "/open/a")).status == 200
+        assert (await cluster.call(ONE, "/open/a")).status == 200
 
     asyncio.run(test())
 
 
-def test_clock_that_jumped_over_a_suspension_counts() -> None:
-    """The first request after a pause was judged by the age before it."""
+def test_policy_age_includes_a_suspension() -> None:
+    """After a suspension the policy may have become too old.
+
+    The first request must be judged by the age after the suspension.
+    """
 
     async def test() -> None:
-        place, _ = await _started(revocation=2.5)
-        answer = await place.call(ONE, "/s/a", headers=_key(KEY))
+        cluster, _ = await _start_cluster(revocation=2.5)
+        answer = await cluster.call(ONE, "/s/a", headers=_key(KEY))
         while answer.status != 200:
-            answer = await place.call(ONE, "/s/a", headers=_key(KEY))
-        daemon = place.daemons[ONE].daemon
+            answer = await cluster.call(ONE, "/s/a", headers=_key(KEY))
+        daemon = cluster.daemons[ONE].daemon
         daemon.view.confirmed_at -= 2.6
-        answer = await place.call(ONE, "/s/a", headers=_key(KEY))
+        answer = await cluster.call(ONE, "/s/a", headers=_key(KEY))
         assert answer.status == 503
 
     asyncio.run(test())
 
 
-def test_customer_beyond_its_quota_is_told_when_to_come_back() -> None:
-    """Requests beyond a limit ran, or were refused without a time."""
+def test_customer_over_quota_is_told_when_to_retry() -> None:
+    """Guards against requests that exceed a limit, or lack a retry time."""
 
     async def test() -> None:
         limited = dataclasses.replace(CUSTOMERS[0], rate=1.0, burst=4.0)
-        place, upstream = await _started(customers=(limited, CUSTOMERS[1]))
+        cluster, upstream = await _start_cluster(
+            customers=(limited, CUSTOMERS[1])
+        )
         await asyncio.sleep(0.5)
-        calls = [place.call(ONE, "/s/a", headers=_key(KEY)) for _ in range(20)]
+        calls = [
+            cluster.call(ONE, "/s/a", headers=_key(KEY)) for _ in range(20)
+        ]
         answers = await asyncio.gather(*calls)
         refused = [each for each in answers if each.status == 429]
         assert 1 <= len(upstream.got) <= 6
         assert len(refused) == 20 - len(upstream.got)
         assert all(b"retry-after" in each.fields for each in refused)
-        other = await place.call(ONE, "/s/a", headers=_key(OTHER_KEY))
+        other = await cluster.call(ONE, "/s/a", headers=_key(OTHER_KEY))
         assert other.status == 200
 
     asyncio.run(test())
 
 
-def test_request_that_has_not_run_costs_no_token() -> None:
-    """What an instance refused was charged to its customer's quota."""
+def test_request_that_has_not_run_uses_no_token() -> None:
+    """A request that its instance refused must not use up the quota."""
 
     async def refuse(
         got: place_module.ReceivedRequest, writer: asyncio.StreamWriter
@@ -223,11 +241,11 @@
 
     async def test() -> None:
         limited = dataclasses.replace(CUSTOMERS[0], rate=0.5, burst=2.0)
-        place, upstream = await _started(customers=(limited,))
+        cluster, upstream = await _start_cluster(customers=(limited,))
         upstream.script = typing.cast("place_module.Script", refuse)
         await asyncio.sleep(1.5)
         statuses = [
-            (await place.call(ONE, "/s/a", headers=_key(KEY))).status
+            (await cluster.call(ONE, "/s/a", headers=_key(KEY))).status
             for _ in range(8)
         ]
         assert statuses == [503] * 8
--- a/tests/forwarding/test_lifecycle.py
+++ b/tests/forwarding/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""Stop, reload and freeze of a daemon while requests are under way."""
+"""Tests of stop, reload and suspension while requests are in flight."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 A, B, C = place.HOSTS
 
 
-def test_planned_stop_cuts_nothing() -> None:
-    """SIGTERM comes while requests run and while more arrive.
+def test_planned_stop_cuts_off_no_request() -> None:
+    """SIGTERM arrives while requests run, and more requests follow.
 
-    Each gets its answer; readiness says at once that others should serve.
+    Each request gets its answer, and readiness fails immediately so that
+    clients use other daemons.
     """
 
     async def slow(
@@ -25,15 +26,15 @@
         writer.write(place.signed(got, b"whole"))
 
     async def test() -> None:
-        world = await test_path._world(slow)
-        running = world.daemons[A]
-        calls = [asyncio.ensure_future(world.call(A, "/s/"))]
+        cluster = await test_path._world(slow)
+        running = cluster.daemons[A]
+        calls = [asyncio.ensure_future(cluster.call(A, "/s/"))]
         await asyncio.sleep(0.05)
 
         stopping = asyncio.ensure_future(_daemon.stop(running))
         await asyncio.sleep(0.05)
-        calls.append(asyncio.ensure_future(world.call(A, "/s/")))
-        reader, writer = await asyncio.open_connection(A, world.ports[2])
+        calls.append(asyncio.ensure_future(cluster.call(A, "/s/")))
+        reader, writer = await asyncio.open_connection(A, cluster.ports[2])
         writer.write(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
         assert (await reader.readline()).startswith(b"HTTP/1.1 503")
         writer.close()
@@ -45,11 +46,11 @@
     test_path.run(test())
 
 
-def test_settings_that_change_cut_nothing() -> None:
+def test_settings_change_cuts_off_no_request() -> None:
     """The settings file changes without a signal while a request runs.
 
-    First it can't be read, as in the middle of its writing: nothing changes
-    and the log says why. Then it has another memory limit.
+    At first it is invalid, as if partly written: nothing changes and the log
+    gives the reason. Then it is valid and has another memory limit.
     """
 
     async def slow(
@@ -59,17 +60,17 @@
         writer.write(place.signed(got, b"whole"))
 
     async def test() -> None:
-        world = await test_path._world(slow)
-        memory = world.daemons[A].daemon.memory
+        cluster = await test_path._world(slow)
+        memory = cluster.daemons[A].daemon.memory
         before = memory.most
-        call = asyncio.ensure_future(world.call(A, "/s/", "POST"))
+        call = asyncio.ensure_future(cluster.call(A, "/s/", "POST"))
         await asyncio.sleep(0.05)
-        world.bad_settings, world.settings_mark = True, 1
-        while not any(b"settings_refused" in line for line in world.lines):
+        cluster.bad_settings, cluster.settings_mark = True, 1
+        while not any(b"settings_refused" in line for line in cluster.lines):
             await asyncio.sleep(0.02)
         assert memory.most == before
-        world.memory_bytes, world.settings_mark = 50_000_000, 2
-        world.bad_settings = False
+        cluster.memory_bytes, cluster.settings_mark = 50_000_000, 2
+        cluster.bad_settings = False
         while memory.most == before:
             await asyncio.sleep(0.02)
         assert not call.done()
@@ -78,12 +79,11 @@
     test_path.run(test())
 
 
-def test_deadlines_are_looked_at_again_after_a_freeze() -> None:
-    """The VM stands still for longer than a request may take.
+def test_deadlines_are_checked_after_a_suspension() -> None:
+    """The VM is suspended for longer than a request may take.
 
-    A request that waited for a slot must not be started when the VM wakes
-    up: nobody waits for it any more. Its client gets its final answer at
-    once.
+    A request that waited for a slot must not be started when the VM resumes,
+    since its deadline has passed. Its client gets the final answer at once.
     """
 
     async def slow(
@@ -93,49 +93,49 @@
         writer.write(place.signed(got, b"whole"))
 
     async def test() -> None:
-        world = await test_path._world(
+        cluster = await test_path._world(
             slow, idempotent=False, timeout=0.5, slots=1
         )
         calls = [
-            asyncio.ensure_future(world.call(A, "/s/", "POST"))
+            asyncio.ensure_future(cluster.call(A, "/s/", "POST"))
             for _ in range(3)
         ]
-        while len(world.daemons[B].daemon.executions) < len(calls):
+        while len(cluster.daemons[B].daemon.executions) < len(calls):
             await asyncio.sleep(0.01)
         time.sleep(1.0)
         woken = time.monotonic()
         statuses = [got.status for got in await asyncio.gather(*calls)]
         assert time.monotonic() - woken < 0.5
-        assert len(world.upstreams[B].got) == 1
+        assert len(cluster.upstreams[B].got) == 1
         assert set(statuses) <= {503, 504}
 
     test_path.run(test())
 
 
-def test_upstream_of_a_stopping_daemon_works_on_for_a_while() -> None:
-    """Daemons are stopped one after the other, each beside its upstream.
+def test_upstream_of_a_stopping_daemon_still_gets_work() -> None:
+    """Daemons are restarted one after the other while their upstreams run.
 
-    The upstream got no work from the signal until the daemon was back, so
-    that a service of four lost a quarter of its room for 4 s each time. New
-    work is turned away, unsent, only shortly before the daemon ends.
+    If an upstream got no work from the signal until its daemon is back, a
+    service of four would lose a quarter of its capacity for 4 s each time.
+    New work is turned away, unsent, only shortly before the daemon ends.
     """
 
     async def test() -> None:
-        world = await test_path._world(idempotent=False)
-        await world.upstream(C, "s")
-        await world.daemon(C, "s")
-        await world.wait_until_known(A, B, C)
-        stopping = asyncio.ensure_future(_daemon.stop(world.daemons[B]))
+        cluster = await test_path._world(idempotent=False)
+        await cluster.upstream(C, "s")
+        await cluster.daemon(C, "s")
+        await cluster.wait_until_known(A, B, C)
+        stopping = asyncio.ensure_future(_daemon.stop(cluster.daemons[B]))
         await asyncio.sleep(0.1)
         for _ in range(20):
-            assert (await world.call(A, "/s/", "POST")).status == 200
-        assert world.upstreams[B].got
-        while not world.daemons[B].daemon.upstream_leaving:
+            assert (await cluster.call(A, "/s/", "POST")).status == 200
+        assert cluster.upstreams[B].got
+        while not cluster.daemons[B].daemon.upstream_leaving:
             await asyncio.sleep(0.01)
-        before = len(world.upstreams[B].got)
+        before = len(cluster.upstreams[B].got)
         for _ in range(20):
-            assert (await world.call(A, "/s/", "POST")).status == 200
-        assert len(world.upstreams[B].got) == before
+            assert (await cluster.call(A, "/s/", "POST")).status == 200
+        assert len(cluster.upstreams[B].got) == before
         await asyncio.wait_for(stopping, place.GRACE)
 
     test_path.run(test())
--- a/tests/forwarding/test_path.py
+++ b/tests/forwarding/test_path.py
@@ -1,4 +1,7 @@
-"""The path of a request through two daemons, with sound and odd instances."""
+"""Tests of the path of a request through two daemons.
+
+The instances are healthy or fail in different ways.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def run(test: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
-    """Run a test in a loop of its own, with an end in any case."""
+    """Run a test in its own event loop, with a timeout."""
 
     async def bounded() -> None:
         await asyncio.wait_for(test, 20.0)
@@ -27,14 +30,14 @@
     timeout: float = 2.0,
     slots: int = 8,
 ) -> place.Cluster:
-    """Return a client's VM A, and an instance of ``s`` on B."""
-    world = place.Cluster()
-    world.policy(3, place.route("/s/", "s", idempotent, timeout))
-    await world.upstream(B, "s", script, slots)
-    await world.daemon(A, "front")
-    await world.daemon(B, "s")
-    await world.wait_until_known(A, B)
-    return world
+    """Start a client's VM A, and an instance of ``s`` on B."""
+    cluster = place.Cluster()
+    cluster.policy(3, place.route("/s/", "s", idempotent, timeout))
+    await cluster.upstream(B, "s", script, slots)
+    await cluster.daemon(A, "front")
+    await cluster.daemon(B, "s")
+    await cluster.wait_until_known(A, B)
+    return cluster
 
 
 async def refuse(
@@ -92,15 +95,15 @@
 
 
 @pytest.mark.parametrize("host", [A, B])
-def test_answer_is_the_instances_own(host: str) -> None:
-    """Also when the instance is on the client's own VM."""
+def test_instance_answer_is_forwarded_unchanged(host: str) -> None:
+    """The answer is also unchanged if the instance is on the client's VM."""
 
     async def test() -> None:
-        world = await _world()
-        got = await world.call(host, "/s/a%20b?q", "POST", b"body")
+        cluster = await _world()
+        got = await cluster.call(host, "/s/a%20b?q", "POST", b"body")
         assert (got.status, got.body) == (200, b"whole")
         assert got.fields[b"x-signature"] == b"s"
-        (seen,) = world.upstreams[B].got
+        (seen,) = cluster.upstreams[B].got
         assert seen.line == b"POST /s/a%20b?q HTTP/1.1"
         assert seen.body == b"body"
         assert seen.fields[b"x-target"] == f"i-{B}".encode()
@@ -109,20 +112,20 @@
     run(test())
 
 
-def test_caller_deadline_and_target_are_the_systems() -> None:
-    """A client names another service, instance and a list of hops.
+def test_forged_internal_fields_are_replaced() -> None:
+    """A client forges the caller, the target and hop-by-hop fields.
 
-    An instance that believed it would serve the wrong caller.
+    An instance that trusted these fields would serve the wrong caller.
     """
 
     async def test() -> None:
-        world = await _world()
+        cluster = await _world()
         forged = (
             b"X-Caller: boss\r\nX-Target: i-1\r\nX-Hop: 1\r\n"
             b"Connection: X-Hop, keep-alive\r\nAccept: a;q=1\r\n"
         )
-        await world.call(A, "/s/", headers=forged, deadline_ms=900)
-        fields = world.upstreams[B].got[0].fields
+        await cluster.call(A, "/s/", headers=forged, deadline_ms=900)
+        fields = cluster.upstreams[B].got[0].fields
         assert fields[b"x-caller"] == b"front"
         assert fields[b"x-target"] == f"i-{B}".encode()
         assert 700 < int(fields[b"x-deadline-ms"]) <= 900
@@ -149,19 +152,22 @@
         pytest.param(cut_short, False, 502, id="cut short, once only"),
     ],
 )
-def test_failure_of_an_instance_is_told_as_it_is(
+def test_instance_failure_has_the_right_status(
     script: place.Script, idempotent: bool, status: int
 ) -> None:
-    """503 promises that nothing ran; only the instance's word allows it."""
+    """A 503 promises that the request has not run.
+
+    It may be sent only if the instance says so itself.
+    """
 
     async def test() -> None:
-        world = await _world(script, idempotent)
-        got = await world.call(A, "/s/", "POST")
+        cluster = await _world(script, idempotent)
+        got = await cluster.call(A, "/s/", "POST")
         assert got.status == status
         assert (b"x-signature" in got.fields) is (status == 500)
         assert (b"retry-after" in got.fields) is (status == 503)
         if not idempotent and status != 503:
-            assert len(world.upstreams[B].got) == 1
+            assert len(cluster.upstreams[B].got) == 1
 
     run(test())
 
@@ -174,22 +180,22 @@
         pytest.param(lose, False, 0, id="lost and once only not"),
     ],
 )
-def test_second_instance_is_asked_where_it_may_be(
+def test_second_instance_is_tried_if_safe(
     script: place.Script, idempotent: bool, runs: int
 ) -> None:
     async def test() -> None:
-        world = await _world(script, idempotent)
-        await world.upstream(C, "s")
-        await world.daemon(C, "s")
-        await world.wait_until_known(A, B, C)
-        # Until the first choice was the instance that fails.
-        while not world.upstreams[B].got:
-            got = await world.call(A, "/s/", "POST")
+        cluster = await _world(script, idempotent)
+        await cluster.upstream(C, "s")
+        await cluster.daemon(C, "s")
+        await cluster.wait_until_known(A, B, C)
+        # Repeat until the failing instance is chosen first.
+        while not cluster.upstreams[B].got:
+            got = await cluster.call(A, "/s/", "POST")
         sound = [
             seen
-            for seen in world.upstreams[C].got
+            for seen in cluster.upstreams[C].got
             if seen.fields[b"x-request"]
-            == world.upstreams[B].got[0].fields[b"x-request"]
+            == cluster.upstreams[B].got[0].fields[b"x-request"]
         ]
         assert len(sound) == runs
         assert (got.status == 200) is bool(runs)
@@ -199,20 +205,20 @@
 
 def test_timeout_of_the_route_ends_the_request_everywhere() -> None:
     async def test() -> None:
-        world = await _world(hang, timeout=0.4)
-        got = await world.call(A, "/s/")
+        cluster = await _world(hang, timeout=0.4)
+        got = await cluster.call(A, "/s/")
         assert got.status == 504
         assert 0.35 < got.seconds < 0.8
-        await asyncio.wait_for(world.upstreams[B].got[0].cut.wait(), 0.5)
+        await asyncio.wait_for(cluster.upstreams[B].got[0].cut.wait(), 0.5)
 
     run(test())
 
 
-def test_lookup_leaves_a_silent_daemon_for_another() -> None:
-    """The daemon of the chosen instance takes the request and falls silent.
+def test_idempotent_request_leaves_a_hanging_daemon() -> None:
+    """The daemon of the chosen instance accepts the request, then hangs.
 
-    The request may run twice, so it goes to another instance as soon as a
-    ping shows the silence, instead of waiting for its timeout.
+    The request is idempotent, so it is retried at another instance as soon
+    as a ping fails, without waiting for its timeout.
     """
 
     async def silent(
@@ -222,15 +228,15 @@
         writer.close()
 
     async def test() -> None:
-        world = place.Cluster()
-        world.policy(3, place.route("/s/", "s", True, 4.0))
-        await asyncio.start_server(silent, C, world.ports[1])
-        await world.upstream(B, "s")
-        world.put_entry(C, "s")
-        await world.daemon(A, "front")
-        await world.daemon(B, "s")
-        await world.wait_until_known(A, B)
-        calls = [world.call(A, "/s/") for _ in range(8)]
+        cluster = place.Cluster()
+        cluster.policy(3, place.route("/s/", "s", True, 4.0))
+        await asyncio.start_server(silent, C, cluster.ports[1])
+        await cluster.upstream(B, "s")
+        cluster.put_entry(C, "s")
+        await cluster.daemon(A, "front")
+        await cluster.daemon(B, "s")
+        await cluster.wait_until_known(A, B)
+        calls = [cluster.call(A, "/s/") for _ in range(8)]
         answers = await asyncio.gather(*calls)
         assert [got.status for got in answers] == [200] * 8
         assert max(got.seconds for got in answers) < 2.0
@@ -238,11 +244,11 @@
     run(test())
 
 
-def test_silent_daemon_is_waited_for_no_longer_than_the_timeout() -> None:
-    """The daemon of the only instance takes the request and falls silent.
+def test_wait_for_a_hanging_daemon_ends_at_the_timeout() -> None:
+    """The daemon of the only instance accepts the request, then hangs.
 
-    It may have run there and must not run twice, so the entrance waits; at
-    the route's timeout the client has its answer whatever comes.
+    The request may have run and must not run twice, so the entrance waits.
+    At the route's timeout the client gets its answer in any case.
     """
 
     async def silent(
@@ -252,86 +258,86 @@
         writer.close()
 
     async def test() -> None:
-        world = place.Cluster()
-        world.policy(3, place.route("/s/", "s", False, 0.8))
-        world.put_entry(C, "s")
-        await asyncio.start_server(silent, C, world.ports[1])
-        await world.daemon(A, "front")
-        await world.wait_until_known(A)
-        got = await world.call(A, "/s/", "POST")
+        cluster = place.Cluster()
+        cluster.policy(3, place.route("/s/", "s", False, 0.8))
+        cluster.put_entry(C, "s")
+        await asyncio.start_server(silent, C, cluster.ports[1])
+        await cluster.daemon(A, "front")
+        await cluster.wait_until_known(A)
+        got = await cluster.call(A, "/s/", "POST")
         assert got.status == 504
         assert 0.75 < got.seconds < 1.2
 
     run(test())
 
 
-def test_service_out_of_reach_is_refused_at_once() -> None:
-    """No daemon of the service's instances answers its pings.
+def test_unreachable_service_is_refused_at_once() -> None:
+    """No daemon of the service's instances answers pings.
 
-    Each request was tried there all the same, and its client was told late,
-    or never, that it had not run.
+    A request that is tried there nevertheless delays the answer that it has
+    not run, or prevents it.
     """
 
     async def test() -> None:
-        world = place.Cluster()
-        world.policy(3, place.route("/s/", "s", False))
-        world.put_entry(C, "s")
-        await world.daemon(A, "front")
-        await world.wait_until_known(A)
-        assert (await world.call(A, "/s/", "POST")).status == 503
-        peers = world.daemons[A].daemon.routes.peers
+        cluster = place.Cluster()
+        cluster.policy(3, place.route("/s/", "s", False))
+        cluster.put_entry(C, "s")
+        await cluster.daemon(A, "front")
+        await cluster.wait_until_known(A)
+        assert (await cluster.call(A, "/s/", "POST")).status == 503
+        peers = cluster.daemons[A].daemon.routes.peers
         while not peers[f"i-{C}"].unreachable:
             await asyncio.sleep(0.02)
-        got = await world.call(A, "/s/", "POST")
+        got = await cluster.call(A, "/s/", "POST")
         assert got.status == 503
         assert got.seconds < 0.1
-        await world.upstream(C, "s")
-        await world.daemon(C, "s")
-        while (await world.call(A, "/s/", "POST")).status != 200:
+        await cluster.upstream(C, "s")
+        await cluster.daemon(C, "s")
+        while (await cluster.call(A, "/s/", "POST")).status != 200:
             await asyncio.sleep(0.05)
 
     run(test())
 
 
-def test_request_that_waited_here_to_its_timeout_has_not_run() -> None:
+def test_request_queued_here_until_its_timeout_has_not_run() -> None:
     """The only slot, on the client's own VM, is taken until the timeout.
 
-    The request never left this daemon, so its client may be told to come
-    back; 504 would say that it may have run.
+    The request never left this daemon, so the client may be told to retry.
+    A 504 would mean that it may have run.
     """
 
     async def test() -> None:
-        world = await _world(hang, idempotent=False, timeout=0.4, slots=1)
-        first = asyncio.ensure_future(world.call(B, "/s/"))
-        while not world.upstreams[B].got:
+        cluster = await _world(hang, idempotent=False, timeout=0.4, slots=1)
+        first = asyncio.ensure_future(cluster.call(B, "/s/"))
+        while not cluster.upstreams[B].got:
             await asyncio.sleep(0.01)
-        second = await world.call(B, "/s/", deadline_ms=100)
+        second = await cluster.call(B, "/s/", deadline_ms=100)
         assert second.status == 503
         assert (await first).status == 504
-        assert len(world.upstreams[B].got) == 1
+        assert len(cluster.upstreams[B].got) == 1
 
     run(test())
 
 
-def test_request_that_waits_too_long_at_the_callee_may_come_back() -> None:
+def test_request_queued_too_long_at_the_callee_may_be_retried() -> None:
     """The route's timeout is shorter than its objective.
 
-    A posting waited for a slot at the instance's daemon to its timeout, and
-    its client was told 504, after which it must not send it again. Turned
-    away before, it is told that it has not run and when to come back.
+    If a request waits for a slot at the instance's daemon until its timeout,
+    the client gets a 504 and must not retry. If the request is turned away
+    earlier, the client learns that it has not run and when to retry.
     """
 
     async def test() -> None:
-        world = place.Cluster()
-        world.policy(3, place.route("/s/", "s", False, 0.6, objective=4.0))
-        await world.upstream(B, "s", hang, slots=1)
-        await world.daemon(A, "front")
-        await world.daemon(B, "s")
-        await world.wait_until_known(A, B)
-        first = asyncio.ensure_future(world.call(A, "/s/", "POST"))
-        while not world.upstreams[B].got:
+        cluster = place.Cluster()
+        cluster.policy(3, place.route("/s/", "s", False, 0.6, objective=4.0))
+        await cluster.upstream(B, "s", hang, slots=1)
+        await cluster.daemon(A, "front")
+        await cluster.daemon(B, "s")
+        await cluster.wait_until_known(A, B)
+        first = asyncio.ensure_future(cluster.call(A, "/s/", "POST"))
+        while not cluster.upstreams[B].got:
             await asyncio.sleep(0.01)
-        got = await world.call(A, "/s/", "POST")
+        got = await cluster.call(A, "/s/", "POST")
         assert got.status == 503
         assert b"retry-after" in got.fields
         assert (await first).status == 504
@@ -339,16 +345,16 @@
     run(test())
 
 
-def test_client_that_leaves_ends_the_work() -> None:
-    """The client closes its connection half a second into its request."""
+def test_client_disconnect_aborts_the_request() -> None:
+    """The client closes its connection while its request runs."""
 
     async def test() -> None:
-        world = await _world(hang)
-        call = asyncio.ensure_future(world.call(A, "/s/"))
-        while not world.upstreams[B].got:
+        cluster = await _world(hang)
+        call = asyncio.ensure_future(cluster.call(A, "/s/"))
+        while not cluster.upstreams[B].got:
             await asyncio.sleep(0.01)
         call.cancel()
-        await asyncio.wait_for(world.upstreams[B].got[0].cut.wait(), 0.5)
+        await asyncio.wait_for(cluster.upstreams[B].got[0].cut.wait(), 0.5)
 
     run(test())
 
@@ -358,17 +364,17 @@
 )
 def test_route_decides(path: str, status: int) -> None:
     async def test() -> None:
-        world = await _world()
-        assert (await world.call(A, path)).status == status
+        cluster = await _world()
+        assert (await cluster.call(A, path)).status == status
 
     run(test())
 
 
-def test_instances_queue_is_ours_and_ordered() -> None:
-    """More requests come than the instance has slots.
+def test_waiting_requests_stay_in_the_daemons_queue() -> None:
+    """More requests arrive than the instance has slots.
 
-    Those that wait do so at its daemon, which can still turn them away;
-    in the instance's own queue they could not be called back.
+    They wait at its daemon, which can still turn them away. They could not
+    be withdrawn from the instance's own queue.
     """
 
     async def slow(
@@ -378,18 +384,18 @@
         writer.write(place.signed(got, b"whole"))
 
     async def test() -> None:
-        world = await _world(slow, slots=2)
+        cluster = await _world(slow, slots=2)
         most = 0
 
         async def look() -> None:
             nonlocal most
             while True:
-                held = world.daemons[B].daemon.executions.values()
+                held = cluster.daemons[B].daemon.executions.values()
                 most = max(most, sum(run.job is not None for run in held))
                 await asyncio.sleep(0.005)
 
         looking = asyncio.ensure_future(look())
-        calls = [world.call(A, "/s/") for _ in range(8)]
+        calls = [cluster.call(A, "/s/") for _ in range(8)]
         statuses = [got.status for got in await asyncio.gather(*calls)]
         looking.cancel()
         assert statuses.count(200) >= 6
@@ -398,40 +404,40 @@
     run(test())
 
 
-def test_upstream_that_takes_no_connection_is_left_alone() -> None:
-    """An instance has ended and its entry is still there.
+def test_unreachable_upstream_gets_no_requests() -> None:
+    """An instance has ended, but its entry still exists.
 
-    Each request sent to it would first wait for its connection; instead its
-    daemon turns them away at once, until a connection is made again.
+    Each request sent to it would first wait for a connection. Its daemon
+    turns requests away at once until a connection succeeds again.
     """
 
     async def test() -> None:
-        world = place.Cluster()
-        world.policy(3, place.route("/s/", "s"))
-        world.put_entry(B, "s")
-        await world.daemon(A, "front")
-        await world.daemon(B, "s")
-        await world.wait_until_known(A, B)
-        assert (await world.call(A, "/s/")).status == 503
-        assert world.daemons[B].daemon.upstream_down
-        await world.upstream(B, "s")
-        while world.daemons[B].daemon.upstream_down:
+        cluster = place.Cluster()
+        cluster.policy(3, place.route("/s/", "s"))
+        cluster.put_entry(B, "s")
+        await cluster.daemon(A, "front")
+        await cluster.daemon(B, "s")
+        await cluster.wait_until_known(A, B)
+        assert (await cluster.call(A, "/s/")).status == 503
+        assert cluster.daemons[B].daemon.upstream_down
+        await cluster.upstream(B, "s")
+        while cluster.daemons[B].daemon.upstream_down:
             await asyncio.sleep(0.02)
-        while (await world.call(A, "/s/")).status != 200:
+        while (await cluster.call(A, "/s/")).status != 200:
             await asyncio.sleep(0.05)
 
     run(test())
 
 
-def test_reader_of_the_log_that_stops_delays_no_request() -> None:
-    """Whatever reads the daemons' output has no room from the start."""
+def test_stopped_log_reader_delays_no_request() -> None:
+    """The reader of the daemons' output never reads anything."""
 
     async def test() -> None:
-        world = await _world(refuse)
-        for running in world.daemons.values():
+        cluster = await _world(refuse)
+        for running in cluster.daemons.values():
             running.daemon.journal._sink = lambda data: 0
         for _ in range(300):
-            got = await world.call(A, "/s/", "POST")
+            got = await cluster.call(A, "/s/", "POST")
             assert got.status == 503
             assert got.seconds < 1.0
 
--- a/tests/forwarding/test_restarts.py
+++ b/tests/forwarding/test_restarts.py
@@ -1,4 +1,4 @@
-"""An instance that starts again under the id that it had."""
+"""Tests of an instance that restarts under the same id."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run(test: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
-    """Run a test in a loop of its own, with an end in any case."""
+    """Run a test in its own event loop, with a timeout."""
     asyncio.run(asyncio.wait_for(test, 20.0))
 
 
@@ -30,51 +30,52 @@
     await asyncio.sleep(60.0)
 
 
-async def _world(idempotent: bool) -> place.Cluster:
-    """Return a client's VM A, and an instance of one slot on B that hangs."""
-    world = place.Cluster()
-    world.policy(3, place.route("/s/", "s", idempotent, timeout=3.0))
-    await world.upstream(B, "s", _hang, slots=1)
-    world.put_instance(f"i-{B}", B, "s", slots=1, born=_now_ms() - AGO_MS)
-    await world.daemon(A, "front")
-    await world.daemon(B, "s")
-    await world.daemon(C, "s")
-    await world.wait_until_known(A, B, C)
-    return world
+async def _start_cluster(idempotent: bool) -> place.Cluster:
+    """Start a client's VM A, and a hanging instance with one slot on B."""
+    cluster = place.Cluster()
+    cluster.policy(3, place.route("/s/", "s", idempotent, timeout=3.0))
+    await cluster.upstream(B, "s", _hang, slots=1)
+    cluster.put_instance(f"i-{B}", B, "s", slots=1, born=_now_ms() - AGO_MS)
+    await cluster.daemon(A, "front")
+    await cluster.daemon(B, "s")
+    await cluster.daemon(C, "s")
+    await cluster.wait_until_known(A, B, C)
+    return cluster
 
 
-async def _restart(world: place.Cluster) -> None:
-    """Start B's instance again, and one on C that answers."""
-    await world.upstream(C, "s")
-    await world.wait_until_known(A, B, C)
-    world.upstreams[B].script = place.answer
-    world.put_instance(f"i-{B}", B, "s", slots=1, born=_now_ms())
-    await world.wait_until_known(A, B, C)
+async def _restart(cluster: place.Cluster) -> None:
+    """Restart B's instance, and start one on C that answers."""
+    await cluster.upstream(C, "s")
+    await cluster.wait_until_known(A, B, C)
+    cluster.upstreams[B].script = place.answer
+    cluster.put_instance(f"i-{B}", B, "s", slots=1, born=_now_ms())
+    await cluster.wait_until_known(A, B, C)
 
 
 @pytest.mark.parametrize(
     ("idempotent", "statuses"), [(True, [200, 200]), (False, [200, 502])]
 )
-def test_restart_under_the_same_id_ends_what_the_run_before_held(
+def test_restart_under_the_same_id_ends_earlier_requests(
     idempotent: bool, statuses: list[int]
 ) -> None:
-    """An instance falls silent and starts again under its id.
+    """An instance hangs and restarts under the same id.
 
-    What had been handed to it waited for its deadline, and what waited for
-    a slot behind it too. The first is lost: it goes elsewhere only if it
-    may run twice. The second has not run and goes elsewhere.
+    Requests sent before the restart, and those queued for its slot, must not
+    wait for their deadlines. The request that was sent is lost and is retried
+    elsewhere only if it is idempotent. The queued one has not run and is
+    always retried elsewhere.
     """
 
     async def test() -> None:
-        world = await _world(idempotent)
+        cluster = await _start_cluster(idempotent)
         calls = [
-            asyncio.ensure_future(world.call(A, "/s/", "POST"))
+            asyncio.ensure_future(cluster.call(A, "/s/", "POST"))
             for _ in range(2)
         ]
-        while len(world.daemons[B].daemon.executions) < 2:
+        while len(cluster.daemons[B].daemon.executions) < 2:
             await asyncio.sleep(0.01)
         await asyncio.sleep(0.3)
-        await _restart(world)
+        await _restart(cluster)
         answers = await asyncio.gather(*calls)
         assert sorted(answer.status for answer in answers) == statuses
         assert all(answer.seconds < 2.0 for answer in answers)
@@ -82,31 +83,31 @@
     run(test())
 
 
-def test_guard_and_entrance_know_nothing_of_the_run_before() -> None:
-    """A run had become slow and its slots few; it ended, and starts anew.
+def test_restart_resets_the_guard_and_routing_statistics() -> None:
+    """A slow instance whose slot is taken restarts under the same id.
 
-    The next run under the id was judged by what the one before had shown.
+    It must not be judged by statistics from before the restart.
     """
 
     async def test() -> None:
-        world = await _world(True)
+        cluster = await _start_cluster(True)
         instance = f"i-{B}"
-        call = asyncio.ensure_future(world.call(A, "/s/"))
-        while not world.daemons[B].daemon.executions:
+        call = asyncio.ensure_future(cluster.call(A, "/s/"))
+        while not cluster.daemons[B].daemon.executions:
             await asyncio.sleep(0.01)
-        (before,) = world.daemons[B].daemon.guards.values()
-        peers = world.daemons[A].daemon.routes.peers
+        (before,) = cluster.daemons[B].daemon.guards.values()
+        peers = cluster.daemons[A].daemon.routes.peers
         peers[instance].ejected = True
         peers[instance].service_seconds = 9.0
         await asyncio.sleep(0.3)
-        await _restart(world)
+        await _restart(cluster)
         assert (await call).status == 200
         assert not peers[instance].ejected
         assert peers[instance].service_seconds < 1.0
         assert peers[instance].in_flight == 0
-        answers = [await world.call(B, "/s/") for _ in range(20)]
+        answers = [await cluster.call(B, "/s/") for _ in range(20)]
         assert {answer.status for answer in answers} == {200}
-        guards = world.daemons[B].daemon.guards
+        guards = cluster.daemons[B].daemon.guards
         assert before in guards.values()
         assert not before.running
         assert len(guards) == 2
@@ -115,28 +116,28 @@
 
 
 @pytest.mark.parametrize("told_late", [False, True])
-def test_start_that_is_told_first_now_is_no_restart(told_late: bool) -> None:
-    """An entry changes, or tells its start where it had told none before.
+def test_entry_that_gains_a_start_is_no_restart(told_late: bool) -> None:
+    """An entry changes, or gains the start time that it lacked before.
 
-    Taken for a restart, all that runs there would be given up.
+    Mistaking this for a restart would abort all requests at the instance.
     """
 
     async def test() -> None:
-        world = await _world(True)
+        cluster = await _start_cluster(True)
         key = f"i-{B}"
-        born = views.born_at(world.daemons[A].daemon.view, key)
+        born = views.born_at(cluster.daemons[A].daemon.view, key)
         if told_late:
             key = "untold"
-            world.put_instance(key, B, "s", slots=1)
-            await world.wait_until_known(A, B, C)
-        call = asyncio.ensure_future(world.call(A, "/s/"))
-        while not world.daemons[B].daemon.executions:
+            cluster.put_instance(key, B, "s", slots=1)
+            await cluster.wait_until_known(A, B, C)
+        call = asyncio.ensure_future(cluster.call(A, "/s/"))
+        while not cluster.daemons[B].daemon.executions:
             await asyncio.sleep(0.01)
-        guards = dict(world.daemons[B].daemon.guards)
-        world.put_instance(key, B, "s", slots=2, born=born)
-        await world.wait_until_known(A, B, C)
+        guards = dict(cluster.daemons[B].daemon.guards)
+        cluster.put_instance(key, B, "s", slots=2, born=born)
+        await cluster.wait_until_known(A, B, C)
         await asyncio.sleep(0.2)
-        assert len(world.daemons[B].daemon.executions) == 1
+        assert len(cluster.daemons[B].daemon.executions) == 1
         assert not any(guard.leaving for guard in guards.values())
         call.cancel()
 
--- a/tests/forwarding/test_wire.py
+++ b/tests/forwarding/test_wire.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other, and what is refused of it."""
+"""Tests of encoding and validation of messages between daemons."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 )
 
 
-def test_fields_come_back_as_they_were() -> None:
+def test_decoding_reverses_encoding() -> None:
     assert _wire.decode_metadata(_wire.encode_metadata(ASK)) == ASK
     assert _wire.decode_state(_wire.encode_state(STATE)) == STATE
     snapshot = views.Snapshot(5, 4, POLICY, (INSTANCE,))
@@ -64,17 +64,15 @@
         b"x i-1 lookup 5.25 1.5 0.5",
     ],
 )
-def test_ask_that_cannot_be_counted_with_is_refused(value: bytes) -> None:
+def test_invalid_metadata_is_refused(value: bytes) -> None:
     with pytest.raises(_wire.WireError):
         _wire.decode_metadata(value)
 
 
 @pytest.mark.parametrize("bad", [b"inf", b"nan", b"-1", b"x"])
 @pytest.mark.parametrize("at", range(2, 7))
-def test_state_that_cannot_be_counted_with_is_refused(
-    at: int, bad: bytes
-) -> None:
-    """One infinite load would keep a route's average there for good."""
+def test_state_with_an_invalid_number_is_refused(at: int, bad: bytes) -> None:
+    """One infinite load would corrupt a route's average permanently."""
     parts = _wire.encode_state(STATE).split(b" ")
     parts[at] = bad
     with pytest.raises(_wire.WireError):
@@ -96,7 +94,7 @@
         {"born": -1},
     ],
 )
-def test_instance_that_cannot_be_asked_is_left_out_of_a_snapshot(
+def test_invalid_instance_is_left_out_of_a_snapshot(
     change: dict[str, object],
 ) -> None:
     bad = dataclasses.replace(INSTANCE, **change)  # type: ignore[arg-type]
@@ -105,7 +103,7 @@
     assert found.instances == (INSTANCE,)
 
 
-def test_snapshot_with_an_unsound_policy_is_refused() -> None:
+def test_snapshot_with_an_invalid_policy_is_refused() -> None:
     route = dataclasses.replace(POLICY.routes[0], timeout=float("inf"))
     policy = dataclasses.replace(POLICY, routes=(route,))
     body = _feed_wire.encode_snapshot(views.Snapshot(5, 4, policy, ()))
@@ -116,7 +114,7 @@
 def test_snapshots_of_the_version_before_and_of_this_one_are_understood() -> (
     None
 ):
-    """Daemons of two versions run side by side while one is rolled out."""
+    """Daemons of two versions run side by side during a rollout."""
     snapshot = views.Snapshot(5, 4, POLICY, (INSTANCE,))
     built = msgspec.to_builtins(snapshot)
     del built["instances"][0]["born"]
@@ -128,7 +126,7 @@
 
 
 @given(st.binary(max_size=60))
-def test_any_bytes_are_understood_or_refused(data: bytes) -> None:
+def test_any_bytes_are_decoded_or_refused(data: bytes) -> None:
     for decode in (
         _wire.decode_metadata,
         _wire.decode_state,
