--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: partners, watchers and the targets of calls."""
+"""Rendezvous hashing: gossip partners, watchers and call targets."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
     from sassafrasstair.decisions.fleet import _messages
 
-OWN_RINGS = 4
+OWN_DOMAIN_RINGS = 4
 WATCHERS = 2
-MOST_WATCHERS = 4
-SPILL_SHARE = 4
+MAX_WATCHERS = 4
+SPILLOVER_DIVISOR = 4
 
 
 @functools.lru_cache(maxsize=32768)
@@ -33,36 +33,40 @@
 def partners(
     node: _states.Node,
 ) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Return the gossip partners: of the own failure domain, of others.
+    """Return the gossip partners in the own and in other failure domains.
 
-    Each ring is the members in the order of a hash; a partner is the next
-    one. So every member has exactly as many own-domain partners that test
-    it as there are rings, and connections stay few and lasting.
+    Each ring orders the members by a hash, and the partner is the next
+    member in the ring. So every member is tested by one own-domain partner
+    per ring, and connections stay few and long-lived.
     """
-    if node.partners_roster != node.membership_version:
+    if node.partners_version != node.membership_version:
         node.partners = (_own_partners(node), _other_partners(node))
-        node.partners_roster = node.membership_version
+        node.partners_version = node.membership_version
     return node.partners
 
 
 def watchers(node: _states.Node) -> list[str]:
-    """Return who of the own failure domain watches the platform.
+    """Return the VMs of the own failure domain that watch the platform.
 
-    The two of greatest weight; while these say that they are blind they
-    keep trying, and up to two more take over.
+    These are the two VMs of greatest weight. While they report that they
+    cannot reach the platform they keep trying, and up to two more join.
     """
     domain = node.local_record.failure_domain
     ranked = sorted(
-        (vm for vm in _domain(node, domain) if not node.members[vm].ejected),
+        (
+            vm
+            for vm in _serving_vms(node, domain)
+            if not node.members[vm].ejected
+        ),
         key=lambda vm: _watch_rank(node, vm),
         reverse=True,
-    )[:MOST_WATCHERS]
+    )[:MAX_WATCHERS]
     chosen: list[str] = []
     for vm in ranked:
-        sighted = [
+        with_platform = [
             vm for vm in chosen if not node.members[vm].platform_unreachable
         ]
-        if len(sighted) >= WATCHERS:
+        if len(with_platform) >= WATCHERS:
             break
         chosen.append(vm)
     return chosen
@@ -73,42 +77,42 @@
 ) -> tuple[calls.Target, ...]:
     """Return the instances of ``service`` that this daemon may call.
 
-    At most the bundle's ``subset_size``, those of the own failure domain
-    first, and some of others to spill over to; none before there is a
-    bundle.
+    There are at most ``subset_size`` of the bundle: those of the own
+    failure domain first, then some of other domains for spillover. Without
+    a bundle there are none.
     """
     if node.in_force is None:
         return ()
     size = node.in_force.bundle.subset_size
-    if node.targets_edition != node.usability_version:
+    if node.targets_version != node.usability_version:
         node.targets = {}
-        node.targets_edition = node.usability_version
+        node.targets_version = node.usability_version
     key = (service, size)
     if key not in node.targets:
-        node.targets[key] = choose(node, service, size, now)
+        node.targets[key] = choose_targets(node, service, size, now)
     return node.targets[key]
 
 
-def choose(
+def choose_targets(
     node: _states.Node, service: str, size: int, now: float
 ) -> tuple[calls.Target, ...]:
     """Return up to ``size`` usable instances, see ``targets``."""
-    live = _usable(node, service, now)
-    if not live:
-        # Failure: after a time of heavy loss every instance is held back
-        # as one that flaps, and all calls are refused though all serve.
-        # Held back instances are better than none.
-        live = _usable(node, service, math.inf)
-    live.sort(
+    usable = _usable_records(node, service, now)
+    if not usable:
+        # After a period of heavy packet loss every instance may be in
+        # hold-down, so that all calls would be refused although all
+        # instances serve. Then instances in hold-down are used.
+        usable = _usable_records(node, service, math.inf)
+    usable.sort(
         key=lambda record: weight(node.local_record.vm, record.vm),
         reverse=True,
     )
     domain = node.local_record.failure_domain
-    own = [record for record in live if record.failure_domain == domain]
-    others = [record for record in live if record.failure_domain != domain]
+    own = [record for record in usable if record.failure_domain == domain]
+    others = [record for record in usable if record.failure_domain != domain]
     others.sort(key=lambda record: record.region != node.local_record.region)
-    spill = min(len(others), max(1, size // SPILL_SHARE))
-    near = own[: size - spill]
+    spillover = min(len(others), max(1, size // SPILLOVER_DIVISOR))
+    near = own[: size - spillover]
     chosen = near + others[: size - len(near)]
     return tuple(
         calls.Target(
@@ -123,40 +127,40 @@
     rng: random.Random,
     accept: abc.Callable[[_states.Member], bool],
 ) -> str | None:
-    """Return a VM other than this one that ``accept`` takes, if any."""
+    """Return a random other VM that ``accept`` accepts, None if none."""
     names = list(node.members)
     for _ in range(8):
         vm = rng.choice(names)
         if vm != node.local_record.vm and accept(node.members[vm]):
             return vm
-    left = [
+    remaining = [
         vm
         for vm, member in node.members.items()
         if vm != node.local_record.vm and accept(member)
     ]
-    return rng.choice(left) if left else None
+    return rng.choice(remaining) if remaining else None
 
 
-def _usable(
+def _usable_records(
     node: _states.Node, service: str, now: float
 ) -> list[_messages.Record]:
     return [
         member.record
         for member in node.members.values()
         if member.record.service == service
-        and _members.usable(node, member, now)
+        and _members.is_usable(node, member, now)
     ]
 
 
 def _own_partners(node: _states.Node) -> tuple[str, ...]:
-    names = list(_domain(node, node.local_record.failure_domain))
-    return _next_in_rings(node.local_record.vm, names, "own", OWN_RINGS)
+    names = list(_serving_vms(node, node.local_record.failure_domain))
+    return _next_in_rings(node.local_record.vm, names, "own", OWN_DOMAIN_RINGS)
 
 
 def _other_partners(node: _states.Node) -> tuple[str, ...]:
     """Return one partner in each other failure domain."""
-    # With a few partners anywhere, a small fleet may have nobody who tests
-    # some domain: its loss would go unseen until calls fail.
+    # If partners were drawn from all domains alike, a small fleet might have
+    # none in some domain, whose loss would go unnoticed until calls fail.
     by_domain: dict[str, list[str]] = {}
     for vm, member in node.members.items():
         domain = member.record.failure_domain
@@ -174,23 +178,26 @@
 
 
 def _next_in_rings(
-    me: str, names: list[str], kind: str, rings: int
+    own_vm: str, names: list[str], kind: str, rings: int
 ) -> tuple[str, ...]:
-    others = [vm for vm in names if vm != me]
+    others = [vm for vm in names if vm != own_vm]
     if not others:
         return ()
     chosen = []
     for ring in range(rings):
         salt = f"{kind} {ring}"
-        mine = weight(salt, me)
+        own_weight = weight(salt, own_vm)
         modulus = 1 << 64
         chosen.append(
-            min(others, key=lambda vm: (weight(salt, vm) - mine) % modulus)
+            min(
+                others,
+                key=lambda vm: (weight(salt, vm) - own_weight) % modulus,
+            )
         )
     return tuple(dict.fromkeys(chosen))
 
 
-def _domain(node: _states.Node, domain: str) -> abc.Iterator[str]:
+def _serving_vms(node: _states.Node, domain: str) -> abc.Iterator[str]:
     for vm, member in node.members.items():
         if member.record.failure_domain != domain:
             continue
@@ -199,8 +206,8 @@
 
 
 def _watch_rank(node: _states.Node, vm: str) -> tuple[bool, int]:
-    # Failure: all VMs of a failure domain are being replaced and leave;
-    # with nobody left to watch, new bundles never come into force there.
-    # Those that leave therefore rank last but are not left out.
+    # VMs that are leaving rank last but stay eligible. If all VMs of a
+    # failure domain are being replaced and leave, nobody else could watch,
+    # and new bundles would never come into force there.
     member = node.members[vm]
     return not member.leaving, weight(node.local_record.failure_domain, vm)
