--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -31,9 +31,10 @@
 ASK_PERIOD_SECONDS = 0.5
 ASK_PERIOD_SECONDS_MAX = 2.0
 ASKS_PER_SECOND_MAX = 110
-"""Maximum questions per second to one allocator. Daemons that need no tokens
-still ask once per period to report their demand; the period grows with the
-number of daemons in the domain so that the allocator is not overloaded."""
+"""Maximum questions per second to one allocator from daemons that need no
+tokens. They still ask once per period to report their demand, and the period
+grows with the number of daemons in the domain, up to its maximum, so that the
+allocator is not overloaded."""
 PREFETCH_PERIODS = 1.4
 AVOID_SECONDS = 2.0
 """Mean time for which an allocator that did not answer is skipped."""
--- a/src/sassafrasstair/forwarding/_status.py
+++ b/src/sassafrasstair/forwarding/_status.py
@@ -66,8 +66,11 @@
 class SuspectStatus(msgspec.Struct, frozen=True):
     """An isolated or blocked request and why; see ``crashes.Verdict``.
 
-    ``blocked_for`` is the number of seconds for which this daemon still
-    blocks the request.
+    ``fingerprint`` identifies the request by its content. ``strikes`` is the
+    number of crashes that count against it, and ``isolated`` the number of
+    those in which it was the only suspect. ``familiar`` is set if an instance
+    had completed the request before. ``blocked_for`` is the number of seconds
+    for which this daemon still blocks it.
     """
 
     fingerprint: str
--- a/tests/forwarding/place.py
+++ b/tests/forwarding/place.py
@@ -1,7 +1,7 @@
 """A test cluster in one event loop: daemons, a store, upstreams and clients.
 
 Each host is an address of the loopback network. The behaviour of an upstream
-is set by a test's handler.
+is set by a test's script.
 """
 
 from __future__ import annotations
@@ -153,15 +153,15 @@
     names = NAMES
     ready_path = b"/ready"
 
-    def __init__(self, place: Cluster, host: str, service: str) -> None:
-        self._place = place
+    def __init__(self, cluster: Cluster, host: str, service: str) -> None:
+        self._cluster = cluster
         self._host = host
         self._service = service
 
     def settings(self) -> forwarding.Settings:
-        if self._place.bad_settings:
+        if self._cluster.bad_settings:
             raise forwarding.SettingsError("ip: is missing")
-        ports = self._place.ports
+        ports = self._cluster.ports
 
         def at(port: int) -> forwarding.Address:
             return forwarding.Address(self._host, port)
@@ -177,26 +177,26 @@
             operators=at(ports[2]),
             metrics=at(ports[2]),
             seeding=None,
-            seeds=self._place.seeds,
+            seeds=self._cluster.seeds,
             upstream=at(ports[3]),
             store=at(1),
-            memory_bytes=self._place.memory_bytes,
+            memory_bytes=self._cluster.memory_bytes,
             bounds=forwarding.Bounds(
                 2.0,
                 2.0,
                 GRACE,
                 requests.BudgetRules(0.2, 400.0, 10.0),
-                self._place.revocation,
+                self._cluster.revocation_seconds,
             ),
         )
 
     def settings_mark(self) -> object:
-        return self._place.settings_mark
+        return self._cluster.settings_mark
 
     def source(
         self, settings: forwarding.Settings, clock: clocks.Clock
     ) -> forwarding.Source:
-        return _StoreClient(self._place.source, self._host)
+        return _StoreClient(self._cluster.source, self._host)
 
 
 @dataclasses.dataclass
@@ -235,7 +235,7 @@
 
 
 class Upstream:
-    """An instance whose answers are written by its handler ``script``."""
+    """An instance whose answers are written by its ``script``."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -304,7 +304,15 @@
 
 
 class Cluster:
-    """Hosts with one daemon and one upstream each, and a shared store."""
+    """Hosts with one daemon and one upstream each, and a shared store.
+
+    ``ports`` are those for clients, daemons, operators and the upstream, the
+    same on each host. ``lines`` collects the log. ``entry_since`` maps
+    instances to the revision of their first entry. ``seeds``,
+    ``memory_bytes`` and ``revocation_seconds`` are settings of the daemons; a
+    changed ``settings_mark`` makes the daemons reload them, which fails with
+    ``bad_settings``. ``customers`` are those of the next policy.
+    """
 
     def __init__(self) -> None:
         self.source = Source()
@@ -313,23 +321,23 @@
         self.daemons: dict[str, _daemon.RunningDaemon] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.lines: list[bytes] = []
-        self.since: dict[str, int] = {}
+        self.entry_since: dict[str, int] = {}
         self.settings_mark = 0
         self.bad_settings = False
         self.memory_bytes = 100_000_000
         self.customers: tuple[policies.Customer, ...] | None = None
-        self.revocation: float | None = None
+        self.revocation_seconds: float | None = None
         self._serial = 0
 
     async def upstream(
         self, host: str, service: str, script: Script = answer, slots: int = 8
     ) -> Upstream:
         """Start an instance and write its entry."""
-        made = Upstream(script)
-        await made.open(host, self.ports[3])
-        self.upstreams[host] = made
+        upstream = Upstream(script)
+        await upstream.open(host, self.ports[3])
+        self.upstreams[host] = upstream
         self.put_entry(host, service, slots=slots)
-        return made
+        return upstream
 
     def put_entry(
         self,
@@ -351,7 +359,7 @@
         born: int = 0,
     ) -> None:
         """Write an entry under ``key`` for the instance on a host."""
-        since = self.since.setdefault(key, self.source.revision + 1)
+        since = self.entry_since.setdefault(key, self.source.revision + 1)
         port = self.ports[3]
         self.source.put(
             key,
@@ -389,8 +397,8 @@
         ).encode()
         writer.write(head + headers + b"\r\n")
         try:
-            begun = asyncio.get_running_loop().time()
-            return await _read_answer(reader, begun)
+            started_at = asyncio.get_running_loop().time()
+            return await _read_answer(reader, started_at)
         finally:
             writer.close()
 
@@ -399,14 +407,14 @@
         dialect = Dialect(self, host, service)
         journal = _events.Journal(self._take_line)
         journal.attach()
-        made = _state.new_daemon(
+        daemon = _state.new_daemon(
             dialect,
             dialect.settings(),
             clocks.SystemClock(),
             random.Random(1),
             journal,
         )
-        running = _daemon.RunningDaemon(made)
+        running = _daemon.RunningDaemon(daemon)
         await _daemon.open_listeners(running)
         _daemon.start(running)
         self.daemons[host] = running
@@ -436,10 +444,10 @@
             f"X-Request: r{self._serial}\r\nX-Deadline-Ms: {deadline_ms}\r\n"
             f"Content-Length: {len(body)}\r\n"
         ).encode()
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         writer.write(head + headers + b"\r\n" + body)
         try:
-            return await _read_answer(reader, begun)
+            return await _read_answer(reader, started_at)
         finally:
             writer.close()
 
@@ -448,22 +456,24 @@
         return len(data)
 
 
-async def _read_answer(reader: asyncio.StreamReader, begun: float) -> Answer:
+async def _read_answer(
+    reader: asyncio.StreamReader, started_at: float
+) -> Answer:
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Answer(0, {}, b"", _since(begun))
+        return Answer(0, {}, b"", _elapsed(started_at))
     line, _, rest = head.partition(b"\r\n")
     fields = {}
     for field in rest.strip().split(b"\r\n"):
         name, _, value = field.partition(b":")
         fields[name.strip().lower()] = value.strip()
     body = await reader.readexactly(int(fields[b"content-length"]))
-    return Answer(int(line.split(b" ")[1]), fields, body, _since(begun))
+    return Answer(int(line.split(b" ")[1]), fields, body, _elapsed(started_at))
 
 
-def _since(begun: float) -> float:
-    return asyncio.get_running_loop().time() - begun
+def _elapsed(started_at: float) -> float:
+    return asyncio.get_running_loop().time() - started_at
 
 
 def _free_ports(count: int) -> list[int]:
--- a/tests/forwarding/test_customers.py
+++ b/tests/forwarding/test_customers.py
@@ -11,7 +11,7 @@
 from sassafrasstair.decisions import policies
 from tests.forwarding import place as place_module
 
-Place = place_module.Cluster
+Cluster = place_module.Cluster
 ONE, OTHER, _ = place_module.HOSTS
 KEY, OTHER_KEY = b"key-of-one", b"key-of-two"
 CUSTOMERS = (
@@ -36,14 +36,14 @@
     service_here: str = "s",
     customers: tuple[policies.Customer, ...] = CUSTOMERS,
     revocation: float | None = None,
-) -> tuple[Place, place_module.Upstream]:
+) -> tuple[Cluster, place_module.Upstream]:
     """Start a cluster with an instance of ``s``.
 
     It runs on the first host if ``service_here`` is ``s``. Otherwise it runs
     on the other host, to which the first daemon forwards requests.
     """
-    cluster = Place()
-    cluster.customers, cluster.revocation = customers, revocation
+    cluster = Cluster()
+    cluster.customers, cluster.revocation_seconds = customers, revocation
     cluster.policy(1, CLOSED, OPEN)
     there = ONE if service_here == "s" else OTHER
     upstream = await cluster.upstream(there, "s")
--- a/tests/forwarding/test_lifecycle.py
+++ b/tests/forwarding/test_lifecycle.py
@@ -115,9 +115,9 @@
 def test_upstream_of_a_stopping_daemon_still_gets_work() -> None:
     """Daemons are restarted one after the other while their upstreams run.
 
-    If an upstream got no work from the signal until its daemon is back, a
-    service of four would lose a quarter of its capacity for 4 s each time.
-    New work is turned away, unsent, only shortly before the daemon ends.
+    If an upstream gets no work from the signal until its daemon is back, a
+    service of four loses a quarter of its capacity for 4 s each time. New
+    work must be turned away, unsent, only shortly before the daemon ends.
     """
 
     async def test() -> None:
