--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -1,4 +1,4 @@
-"""Whether a policy can be served by, whoever handed it over."""
+"""Validation of a policy, whichever source it comes from."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
     from sassafrasstair.decisions.policies import _policies
 
 SECONDS_MAX = 86_400.0
-"""No client waits for a day; a greater number is garbage."""
+"""No client waits for a day, so a greater value is invalid."""
 _CUSTOMER = re.compile(r"[!-~]{1,200}")
 
 
 def find_fault(policy: _policies.Policy) -> str:
-    """Return what is wrong with a policy, or an empty string."""
+    """Return which part of a policy is invalid, or an empty string."""
     if policy.version < 0:
         return "version"
     limits = policy.limits
@@ -26,18 +26,18 @@
     if not (_is_time(limits.head_seconds) and _is_time(limits.idle_seconds)):
         return "limits"
     for route in policy.routes:
-        wrong = _wrong_with_route(route)
-        if wrong:
-            return f"{route.name[:80]!r}: {wrong}"
-    return _wrong_with_customers(policy.customers or ())
+        fault = _find_route_fault(route)
+        if fault:
+            return f"{route.name[:80]!r}: {fault}"
+    return _find_customer_fault(policy.customers or ())
 
 
-def _wrong_with_customers(customers: abc.Sequence[_policies.Customer]) -> str:
+def _find_customer_fault(customers: abc.Sequence[_policies.Customer]) -> str:
     keys: set[bytes] = set()
     names: set[str] = set()
     for customer in customers:
         name = f"customer {customer.name[:80]!r}"
-        # Names travel in a header field.
+        # Customer names are sent in a header field.
         if not _CUSTOMER.fullmatch(customer.name) or customer.name in names:
             return f"{name}: name"
         if not (_is_amount(customer.rate) and _is_amount(customer.burst)):
@@ -55,7 +55,7 @@
     return 0.0 <= value < math.inf
 
 
-def _wrong_with_route(route: _policies.Route) -> str:
+def _find_route_fault(route: _policies.Route) -> str:
     if not route.host:
         return "host"
     if not (route.prefix.startswith("/") and route.prefix.endswith("/")):
@@ -64,7 +64,7 @@
         return "times"
     if route.attempts_max < 1:
         return "attempts"
-    # Names travel in a field between daemons, parted by blanks.
+    # Daemons send route names in a field separated by spaces.
     if not route.name.isprintable() or " " in route.name or not route.name:
         return "name"
     weights = [share.weight for share in route.shares]
--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -241,7 +241,7 @@
         _end_attempt(daemon, call, requests.Ending.LOST, reason)
         return
     _count_cross_domain_bytes(daemon, call, attempt, _response_size(result))
-    _peers.heard(daemon, attempt.host, state.content)
+    _peers.note_peer_content(daemon, attempt.host, state.content)
     _handle_result(
         daemon, call, state, result if state.ending is None else None
     )
@@ -306,7 +306,7 @@
     now = daemon.clock.monotonic()
     if reason is outcomes.Reason.INSTANCE_REPLACED:
         news = views.note_replaced(daemon.view, attempt.instance)
-        _learning.learned(daemon, news, f"peer {attempt.host}")
+        _learning.apply_news(daemon, news, f"peer {attempt.host}")
     lost = ending is requests.Ending.LOST
     answer = calls.Answer(
         outcomes.Outcome.UNKNOWN if lost else outcomes.Outcome.NOT_RUN,
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -339,7 +339,7 @@
         news = views.note_replaced(
             daemon.view, execution.request.metadata.instance
         )
-        _learning.learned(daemon, news, "upstream")
+        _learning.apply_news(daemon, news, "upstream")
         return requests.Ending.REFUSED, outcomes.Reason.INSTANCE_REPLACED
     if keys.not_run in result.found:
         return requests.Ending.REFUSED, outcomes.Reason.UPSTREAM_REFUSED
--- a/src/sassafrasstair/forwarding/_daemon.py
+++ b/src/sassafrasstair/forwarding/_daemon.py
@@ -127,9 +127,9 @@
 def start(running: RunningDaemon) -> None:
     """Start to follow the store, and start the periodic tasks."""
     daemon = running.daemon
-    _state.start_task(daemon, _sync.follow(daemon))
-    _state.start_task(daemon, _peers.ask_while_lost(daemon))
-    _state.start_task(daemon, _peers.compare(daemon))
+    _state.start_task(daemon, _sync.update_view_forever(daemon))
+    _state.start_task(daemon, _peers.pull_while_store_lost(daemon))
+    _state.start_task(daemon, _peers.compare_with_peers(daemon))
     _state.start_task(daemon, _crash_broadcast.broadcast_forever(daemon))
     _state.start_task(daemon, _tick_forever(running))
 
@@ -203,7 +203,7 @@
     _checks.tick(daemon, now)
     _quotas.tick(daemon, now)
     news = views.expire(daemon.view, now)
-    _learning.learned(daemon, news, "time")
+    _learning.apply_news(daemon, news, "time")
     daemon.journal.tick(now)
     if count % SWEEP_TICKS:
         return
--- a/src/sassafrasstair/forwarding/_dialect.py
+++ b/src/sassafrasstair/forwarding/_dialect.py
@@ -141,7 +141,7 @@
     """Changes of the store up to ``revision``.
 
     ``content`` is the revision of the last change. Both numbers include the
-    store's era, see ``views.revision``. ``whole`` is set if the changes are
+    store's era, see ``views.pack_revision``. ``whole`` is set if the changes are
     the entire contents of the store. ``refused`` lists unusable items.
     """
 
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -146,12 +146,12 @@
         daemon.feed.own_host, quotas.list_needs(tokens.stocks, now)
     )
     if host == daemon.feed.own_host:
-        _apply_grants(daemon, _shares.serve_ask(daemon, request), host, now)
+        _apply_grants(daemon, _shares.grant_tokens(daemon, request), host, now)
         return
     tokens.asking = True
     body = _quota_wire.encode(request)
     head = httpio.request_head(
-        b"POST", _quota_wire.ASK_PATH, [(b"Host", host.encode())], len(body)
+        b"POST", _quota_wire.TOKENS_PATH, [(b"Host", host.encode())], len(body)
     )
     done = functools.partial(_handle_answer, daemon, host, now)
     job = httpio.Job(head + body, done)
