--- a/src/sassafrasstair/forwarding/_dialect.py
+++ b/src/sassafrasstair/forwarding/_dialect.py
@@ -141,8 +141,8 @@
     """Changes of the store up to ``revision``.
 
     ``content`` is the revision of the last change. Both numbers include the
-    store's era, see ``views.pack_revision``. ``whole`` is set if the changes are
-    the entire contents of the store. ``refused`` lists unusable items.
+    store's era, see ``views.pack_revision``. ``whole`` is set if the changes
+    are the entire contents of the store. ``refused`` lists unusable items.
     """
 
     changes: tuple[views.Change, ...]
