--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -62,7 +62,7 @@
     calls.start_attempt(daemon.routes, target.vm, now)
     remaining = progress.deadline - now
     metadata = _wire.RequestMetadata(
-        daemon.view.content,
+        daemon.view.content_revision,
         target.vm,
         progress.route.name,
         progress.rank,
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -407,7 +407,7 @@
         service_seconds=load.service_seconds(guard),
     )
     return _wire.CalleeState(
-        daemon.view.content,
+        daemon.view.content_revision,
         daemon.upstream_leaving,
         load_report,
         load.busy_at_or_above(guard, level),
--- a/src/sassafrasstair/forwarding/_customers.py
+++ b/src/sassafrasstair/forwarding/_customers.py
@@ -35,7 +35,7 @@
     None if the policy has no customers or the request has no key.
     """
     table = daemon.view.table
-    if table is None or table.customers is None:
+    if table is None or table.customers_by_key_digest is None:
         return None
     key = request.found.get(daemon.header_keys.key)
     return None if key is None else policies.digest_key(key.strip())
@@ -52,7 +52,7 @@
     If the request is rejected, send the answer and return None.
     """
     table = daemon.view.table
-    if table is None or table.customers is None:
+    if table is None or table.customers_by_key_digest is None:
         return ANONYMOUS
     found = policies.identify_customer(table, route, key)
     if found is policies.Unidentified.ANONYMOUS:
@@ -77,13 +77,15 @@
     older or newer than that of the entrance.
     """
     table = daemon.view.table
-    if table is None or table.customers is None:
+    if table is None or table.customers_by_key_digest is None:
         return ANONYMOUS if key is None else None
     if key is None:
         route = table.routes_by_name.get(route_name)
         return ANONYMOUS if route is not None and route.anonymous else None
     try:
-        return table.customers.get(bytes.fromhex(key.decode("ascii")))
+        return table.customers_by_key_digest.get(
+            bytes.fromhex(key.decode("ascii"))
+        )
     except ValueError:
         return None
 
@@ -109,7 +111,7 @@
 
 
 def _may_be_outdated(daemon: _state.Daemon, now: float) -> bool:
-    if views.is_stale(daemon.view, now):
+    if views.is_store_unreachable(daemon.view, now):
         return True
     if not _confirmations.has_revocation_bound(daemon):
         return False
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -118,7 +118,7 @@
     reason: outcomes.Reason = outcomes.Reason.NONE,
 ) -> tuple[bytes, bytes]:
     state = _wire.CalleeState(
-        daemon.view.content,
+        daemon.view.content_revision,
         daemon.upstream_leaving or daemon.upstream_down,
         calls.LoadReport(),
         0.0,
