--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -269,7 +269,7 @@
         execution
         for execution in daemon.executions.values()
         if execution.job is not None
-        and (execution.connection_broken or execution.job.sent)
+        and (execution.connection_broken or execution.job.may_have_been_sent)
     ]
     if executions:
         _crashes.record_crash(daemon, executions, daemon.clock.monotonic())
@@ -341,12 +341,12 @@
         )
         _learning.apply_news(daemon, news, "upstream")
         return requests.Ending.REFUSED, outcomes.Reason.INSTANCE_REPLACED
-    if keys.not_run in result.found:
+    if keys.not_run in result.headers:
         return requests.Ending.REFUSED, outcomes.Reason.UPSTREAM_REFUSED
     success = 200 <= result.status < 300
-    answered_id = result.found.get(keys.request_id)
+    answered_id = result.headers.get(keys.request_id)
     id_matches = answered_id == execution.request.request_id
-    if success and not (id_matches and keys.signature in result.found):
+    if success and not (id_matches and keys.signature in result.headers):
         # A success without the instance's signature, or with another
         # request's id, is the answer to a different request or damaged.
         return requests.Ending.LOST, outcomes.Reason.ANSWER_CUT_SHORT
--- a/src/sassafrasstair/forwarding/_crashes.py
+++ b/src/sassafrasstair/forwarding/_crashes.py
@@ -134,7 +134,7 @@
     """Record that an upstream has answered a client's request itself."""
     request = call.exchange.request
     if len(request.body) <= COMPLETED_BODY_MAX:
-        host = request.found.get(HOST_HEADER, b"")
+        host = request.headers.get(HOST_HEADER, b"")
         known = request.method, host, request.target, request.body
         _remember(daemon.completed_requests, known)
     if daemon.crash_ledger.crashes:
@@ -258,7 +258,7 @@
         request = call.exchange.request
         call.fingerprint = crashes.fingerprint(
             request.method,
-            request.found.get(HOST_HEADER, b""),
+            request.headers.get(HOST_HEADER, b""),
             request.target,
             request.body,
         )
--- a/src/sassafrasstair/forwarding/_entrance.py
+++ b/src/sassafrasstair/forwarding/_entrance.py
@@ -77,7 +77,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange
 ) -> policies.Route | None:
     """Return the request's route, or reject the request and return None."""
-    found = exchange.request.found
+    found = exchange.request.headers
     table = daemon.view.table
     if table is None:
         _endings.refuse_early(daemon, exchange, outcomes.Reason.NO_BUNDLE)
@@ -109,13 +109,13 @@
     request = exchange.request
     service = policies.choose_service(route, daemon.rng)
     client_wait = _client_wait(
-        request.found.get(daemon.header_keys.deadline_ms)
+        request.headers.get(daemon.header_keys.deadline_ms)
     )
-    deadline = request.began + min(route.timeout, client_wait)
-    rank = _rank(daemon, route, customer, request.began + client_wait)
+    deadline = request.received_at + min(route.timeout, client_wait)
+    rank = _rank(daemon, route, customer, request.received_at + client_wait)
     call = _records.Call(
         exchange,
-        request.found[daemon.header_keys.request_id],
+        request.headers[daemon.header_keys.request_id],
         requests.new_progress(route, service, rank, deadline),
         _forwarded_fields(daemon, request),
         customer=customer.name,
@@ -159,7 +159,7 @@
         table is not None and table.customers_by_key_digest is not None
     )
     dropped = _dropped_fields(daemon.header_keys, has_customers)
-    fields = httpio.end_to_end(request.fields, request.found, dropped)
+    fields = httpio.end_to_end_fields(request.fields, request.headers, dropped)
     fields.append(
         (daemon.header_names.caller, daemon.settings.service.encode())
     )
--- a/src/sassafrasstair/forwarding/_inbound.py
+++ b/src/sassafrasstair/forwarding/_inbound.py
@@ -29,14 +29,14 @@
 def handle(daemon: _state.Daemon, exchange: httpio.Exchange) -> None:
     """Serve one request of another daemon."""
     request = exchange.request
-    metadata_value = request.found.get(_wire.METADATA_HEADER_LOWER)
+    metadata_value = request.headers.get(_wire.METADATA_HEADER_LOWER)
     if metadata_value is not None:
         _serve_forwarded(daemon, exchange, metadata_value)
         return
     path, _, query = request.target.partition(b"?")
     if path == _wire.PING_PATH:
-        peer = exchange.peer
-        _crash_updates.receive(daemon, peer, request.found)
+        peer = exchange.peer_host
+        _crash_updates.receive(daemon, peer, request.headers)
         fields = [
             _state_field(daemon),
             _polls.status_header(daemon),
@@ -62,31 +62,33 @@
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
         return
-    _peers.note_peer_content(daemon, exchange.peer, metadata.content)
+    _peers.note_peer_content(daemon, exchange.peer_host, metadata.content)
     customer = _customers.identify_forwarded(
         daemon,
         metadata.route,
-        request.found.get(_wire.KEY_DIGEST_HEADER_LOWER),
+        request.headers.get(_wire.KEY_DIGEST_HEADER_LOWER),
     )
     if customer is None:
         reason = outcomes.Reason.POLICY_BEHIND
         state = _state_field(daemon, requests.Ending.TURNED_AWAY, reason)
         exchange.respond(503, [state], b"")
         return
-    request_id = request.found.get(daemon.header_keys.request_id, b"")
+    request_id = request.headers.get(daemon.header_keys.request_id, b"")
     dropped = _wire.INTERNAL_HEADERS
     inbound = _records.InboundRequest(
         metadata,
-        request.found.get(daemon.header_keys.caller, b"").decode("latin-1"),
+        request.headers.get(daemon.header_keys.caller, b"").decode("latin-1"),
         request_id,
         request.method,
-        request.found.get(b"host", b""),
+        request.headers.get(b"host", b""),
         request.target,
-        httpio.end_to_end(
-            request.fields, request.found, _dropped_fields(daemon.header_keys)
+        httpio.end_to_end_fields(
+            request.fields,
+            request.headers,
+            _dropped_fields(daemon.header_keys),
         ),
         request.body,
-        _wire.decode_trial(request.found.get(_wire.TRIAL_HEADER_LOWER)),
+        _wire.decode_trial(request.headers.get(_wire.TRIAL_HEADER_LOWER)),
         customer.name,
     )
 
@@ -96,7 +98,9 @@
         if response is None:
             exchange.respond(503, [state], b"", daemon.upstream_leaving)
             return
-        fields = httpio.end_to_end(response.fields, response.found, dropped)
+        fields = httpio.end_to_end_fields(
+            response.fields, response.headers, dropped
+        )
         fields.append(state)
         exchange.respond(
             response.status, fields, response.body, daemon.upstream_leaving
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -184,7 +184,7 @@
 
 
 def _time_out(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
-    if not job.wanted:
+    if not job.awaited:
         return
     job.abort()
     _state.pool(daemon, host).drop_idle()
--- a/tests/decisions/calls/test_retries.py
+++ b/tests/decisions/calls/test_retries.py
@@ -73,14 +73,15 @@
 def test_retries_granted_to_an_attempt(
     left: int, leaf: bool, given: int
 ) -> None:
-    assert _retries.passed_down(left, leaf) == given
+    assert _retries.retries_to_grant(left, leaf) == given
 
 
 def test_chain_makes_no_more_than_its_allowance() -> None:
-    """A lost attempt may have retried further down before it was lost.
+    """A lost attempt may have used its retries before it was lost.
 
-    The entrance gives one of its two retries down and loses the attempt.
-    Counted as unspent, the chain could make three retries in place of two.
+    The entrance grants one of its two retries to the attempt, which is lost.
+    If that retry did not count as spent, the chain could make three retries
+    instead of two.
     """
     rules = samples.bundle()
     entrance, key, effect = _begin(rules, samples.call(retries=2))
--- a/tests/forwarding/test_lifecycle.py
+++ b/tests/forwarding/test_lifecycle.py
@@ -62,16 +62,16 @@
     async def test() -> None:
         cluster = await test_path._world(slow)
         memory = cluster.daemons[A].daemon.memory
-        before = memory.most
+        before = memory.limit
         call = asyncio.ensure_future(cluster.call(A, "/s/", "POST"))
         await asyncio.sleep(0.05)
         cluster.bad_settings, cluster.settings_mark = True, 1
         while not any(b"settings_refused" in line for line in cluster.lines):
             await asyncio.sleep(0.02)
-        assert memory.most == before
+        assert memory.limit == before
         cluster.memory_bytes, cluster.settings_mark = 50_000_000, 2
         cluster.bad_settings = False
-        while memory.most == before:
+        while memory.limit == before:
             await asyncio.sleep(0.02)
         assert not call.done()
         assert (await call).status == 200
