--- a/tests/forwarding/place.py
+++ b/tests/forwarding/place.py
@@ -1,7 +1,7 @@
-"""A small place for daemons in one loop: store, upstreams and clients.
+"""A test cluster in one event loop: daemons, a store, upstreams and clients.
 
-Each host is an address of the loopback network; upstreams do what a test's
-script says.
+Each host is an address of the loopback network. The behaviour of an upstream
+is set by a test's script.
 """
 
 from __future__ import annotations
@@ -69,7 +69,7 @@
 
 
 class Source:
-    """A store that a test changes, and that can be away for some hosts."""
+    """A store that a test modifies; hosts in ``away`` can't reach it."""
 
     def __init__(self) -> None:
         self.items: dict[str, views.Change] = {}
@@ -96,8 +96,8 @@
         self.changed = asyncio.Event()
 
 
-class _View:
-    """The store as one host sees it."""
+class _StoreClient:
+    """The client of the store on one host."""
 
     def __init__(self, source: Source, host: str) -> None:
         self._source = source
@@ -138,7 +138,7 @@
         return forwarding.Reading(found, revision, revision, False)
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: no connection is open."""
 
     def _check(self) -> None:
         if self._host in self._source.away:
@@ -148,20 +148,20 @@
 
 
 class Dialect:
-    """Names and settings of one host of the place."""
+    """Header names and settings of one host of the cluster."""
 
     names = NAMES
     ready_path = b"/ready"
 
-    def __init__(self, place: Cluster, host: str, service: str) -> None:
-        self._place = place
+    def __init__(self, cluster: Cluster, host: str, service: str) -> None:
+        self._cluster = cluster
         self._host = host
         self._service = service
 
     def settings(self) -> forwarding.Settings:
-        if self._place.bad_settings:
+        if self._cluster.bad_settings:
             raise forwarding.SettingsError("ip: is missing")
-        ports = self._place.ports
+        ports = self._cluster.ports
 
         def at(port: int) -> forwarding.Address:
             return forwarding.Address(self._host, port)
@@ -177,31 +177,35 @@
             operators=at(ports[2]),
             metrics=at(ports[2]),
             seeding=None,
-            seeds=self._place.seeds,
+            seeds=self._cluster.seeds,
             upstream=at(ports[3]),
             store=at(1),
-            memory_bytes=self._place.memory_bytes,
+            memory_bytes=self._cluster.memory_bytes,
             bounds=forwarding.Bounds(
                 2.0,
                 2.0,
                 GRACE,
                 requests.BudgetRules(0.2, 400.0, 10.0),
-                self._place.revocation,
+                self._cluster.revocation_seconds,
             ),
         )
 
     def settings_mark(self) -> object:
-        return self._place.settings_mark
+        return self._cluster.settings_mark
 
     def source(
         self, settings: forwarding.Settings, clock: clocks.Clock
     ) -> forwarding.Source:
-        return _View(self._place.source, self._host)
+        return _StoreClient(self._cluster.source, self._host)
 
 
 @dataclasses.dataclass
 class ReceivedRequest:
-    """What an upstream got: the request's head, fields and body."""
+    """A request that an upstream received.
+
+    ``line`` is the request line, and ``cut`` is set when the client closes
+    the connection before the answer.
+    """
 
     line: bytes
     fields: dict[bytes, bytes]
@@ -215,14 +219,14 @@
 
 
 async def answer(got: ReceivedRequest, writer: asyncio.StreamWriter) -> None:
-    """Answer as a sound instance does."""
+    """Answer as a healthy instance does."""
     writer.write(signed(got, b"whole"))
 
 
 def signed(
     got: ReceivedRequest, body: bytes, status: bytes = b"200 OK"
 ) -> bytes:
-    """Return an instance's whole answer."""
+    """Return an instance's complete, signed answer."""
     return (
         b"HTTP/1.1 %s\r\nX-Request: %s\r\nX-Signature: s\r\n"
         b"Content-Length: %d\r\n\r\n%s"
@@ -231,7 +235,7 @@
 
 
 class Upstream:
-    """An instance that answers as its script says."""
+    """An instance whose answers are written by its ``script``."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -244,7 +248,7 @@
         self._server = await asyncio.start_server(self.serve, host, port)
 
     def crash(self) -> None:
-        """Take no more connections, and break all."""
+        """Stop listening, and abort all connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -291,7 +295,7 @@
 
 @dataclasses.dataclass
 class Answer:
-    """What a client got; status 0 when the connection just ended."""
+    """An answer to a client; status 0 if the connection ended without one."""
 
     status: int
     fields: dict[bytes, bytes]
@@ -300,7 +304,15 @@
 
 
 class Cluster:
-    """Hosts with a daemon and an upstream each, and one store."""
+    """Hosts with one daemon and one upstream each, and a shared store.
+
+    ``ports`` are those for clients, daemons, operators and the upstream, the
+    same on each host. ``lines`` collects the log. ``entry_since`` maps
+    instances to the revision of their first entry. ``seeds``,
+    ``memory_bytes`` and ``revocation_seconds`` are settings of the daemons; a
+    changed ``settings_mark`` makes the daemons reload them, which fails with
+    ``bad_settings``. ``customers`` are those of the next policy.
+    """
 
     def __init__(self) -> None:
         self.source = Source()
@@ -309,23 +321,23 @@
         self.daemons: dict[str, _daemon.RunningDaemon] = {}
         self.upstreams: dict[str, Upstream] = {}
         self.lines: list[bytes] = []
-        self.since: dict[str, int] = {}
+        self.entry_since: dict[str, int] = {}
         self.settings_mark = 0
         self.bad_settings = False
         self.memory_bytes = 100_000_000
         self.customers: tuple[policies.Customer, ...] | None = None
-        self.revocation: float | None = None
+        self.revocation_seconds: float | None = None
         self._serial = 0
 
     async def upstream(
         self, host: str, service: str, script: Script = answer, slots: int = 8
     ) -> Upstream:
         """Start an instance and write its entry."""
-        made = Upstream(script)
-        await made.open(host, self.ports[3])
-        self.upstreams[host] = made
+        upstream = Upstream(script)
+        await upstream.open(host, self.ports[3])
+        self.upstreams[host] = upstream
         self.put_entry(host, service, slots=slots)
-        return made
+        return upstream
 
     def put_entry(
         self,
@@ -346,8 +358,8 @@
         slots: int = 8,
         born: int = 0,
     ) -> None:
-        """Write the entry of one run of the instance on a host."""
-        since = self.since.setdefault(key, self.source.revision + 1)
+        """Write an entry under ``key`` for the instance on a host."""
+        since = self.entry_since.setdefault(key, self.source.revision + 1)
         port = self.ports[3]
         self.source.put(
             key,
@@ -385,31 +397,31 @@
         ).encode()
         writer.write(head + headers + b"\r\n")
         try:
-            begun = asyncio.get_running_loop().time()
-            return await _read_answer(reader, begun)
+            started_at = asyncio.get_running_loop().time()
+            return await _read_answer(reader, started_at)
         finally:
             writer.close()
 
     async def daemon(self, host: str, service: str) -> _daemon.RunningDaemon:
-        """Start a daemon and wait until it knows what the store holds."""
+        """Start a daemon; ``wait_until_known`` waits for its view."""
         dialect = Dialect(self, host, service)
         journal = _events.Journal(self._take_line)
         journal.attach()
-        made = _state.new_daemon(
+        daemon = _state.new_daemon(
             dialect,
             dialect.settings(),
             clocks.SystemClock(),
             random.Random(1),
             journal,
         )
-        running = _daemon.RunningDaemon(made)
+        running = _daemon.RunningDaemon(daemon)
         await _daemon.open_listeners(running)
         _daemon.start(running)
         self.daemons[host] = running
         return running
 
     async def wait_until_known(self, *hosts: str) -> None:
-        """Wait until the daemons know all that the store holds."""
+        """Wait until the daemons know the store's latest revision."""
         for host in hosts:
             view = self.daemons[host].daemon.view
             while view.revision < self.source.revision:
@@ -432,10 +444,10 @@
             f"X-Request: r{self._serial}\r\nX-Deadline-Ms: {deadline_ms}\r\n"
             f"Content-Length: {len(body)}\r\n"
         ).encode()
-        begun = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         writer.write(head + headers + b"\r\n" + body)
         try:
-            return await _read_answer(reader, begun)
+            return await _read_answer(reader, started_at)
         finally:
             writer.close()
 
@@ -444,29 +456,31 @@
         return len(data)
 
 
-async def _read_answer(reader: asyncio.StreamReader, begun: float) -> Answer:
+async def _read_answer(
+    reader: asyncio.StreamReader, started_at: float
+) -> Answer:
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, ConnectionError):
-        return Answer(0, {}, b"", _since(begun))
+        return Answer(0, {}, b"", _elapsed(started_at))
     line, _, rest = head.partition(b"\r\n")
     fields = {}
     for field in rest.strip().split(b"\r\n"):
         name, _, value = field.partition(b":")
         fields[name.strip().lower()] = value.strip()
     body = await reader.readexactly(int(fields[b"content-length"]))
-    return Answer(int(line.split(b" ")[1]), fields, body, _since(begun))
+    return Answer(int(line.split(b" ")[1]), fields, body, _elapsed(started_at))
 
 
-def _since(begun: float) -> float:
-    return asyncio.get_running_loop().time() - begun
+def _elapsed(started_at: float) -> float:
+    return asyncio.get_running_loop().time() - started_at
 
 
 def _free_ports(count: int) -> list[int]:
     """Return ports that are free on all hosts of the tests.
 
-    Below the range from which the kernel takes ports for connections: one
-    of those could be taken between this look and the listening.
+    The ports are below the kernel's ephemeral range: a connection could take
+    an ephemeral port between this check and the listening.
     """
     found: list[int] = []
     while len(found) < count:
