--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -1,4 +1,4 @@
-"""Keeping the view: from the store, or from the daemon that is followed."""
+"""Keeps the view current, from the store or the daemon that is followed."""
 
 from __future__ import annotations
 
@@ -22,57 +22,59 @@
 from sassafrasstair import httpio
 
 FAULT_SECONDS = 0.5
-"""After a fault of our own, until the next step."""
+"""Pause after an internal error, before the next step."""
 _Result = httpio.Response | httpio.Failure
 
 
 async def update_view_forever(daemon: _state.Daemon) -> None:
-    """Keep the view until cancelled."""
+    """Keep the view current until cancelled."""
     while True:
         daemon.feed_woken.clear()
-        before = daemon.feed.parent
+        previous_parent = daemon.feed.parent
         step = feeds.next_step(daemon.feed, daemon.clock.monotonic())
-        if daemon.feed.parent != before:
-            _note_parent(daemon, before)
+        if daemon.feed.parent != previous_parent:
+            _log_parent(daemon, previous_parent)
         try:
-            await _take(daemon, step)
+            await _run_step(daemon, step)
         except Exception as error:
-            # One fault must not end the feed of all who follow this daemon.
+            # An error must not end the feed of this daemon's followers.
             daemon.journal.note("feed_failed", error=repr(error))
             await asyncio.sleep(FAULT_SECONDS)
 
 
-async def _take(daemon: _state.Daemon, step: feeds.Step) -> None:
+async def _run_step(daemon: _state.Daemon, step: feeds.Step) -> None:
     match step:
         case feeds.Sleep(seconds):
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(daemon.feed_woken.wait(), seconds)
-        case feeds.Poll(host, hold, within):
-            await _ask(daemon, host, hold, within)
+        case feeds.Poll(host, hold_seconds, timeout):
+            await _poll_parent(daemon, host, hold_seconds, timeout)
         case feeds.Read(stale):
             verb = "read_stale" if stale else "read"
-            await _read(daemon, verb, daemon.source.read(stale), stale, None)
+            await _read_store(
+                daemon, verb, daemon.source.read(stale), stale, None
+            )
         case feeds.Watch(seconds):
             after = daemon.view.revision
             watch = daemon.source.watch(after, seconds)
-            await _read(daemon, "watch", watch, False, after)
+            await _read_store(daemon, "watch", watch, False, after)
 
 
-async def _read(
+async def _read_store(
     daemon: _state.Daemon,
     verb: str,
     call: typing.Coroutine[typing.Any, typing.Any, _dialect.Reading],
     stale: bool,
     after: int | None,
 ) -> None:
-    """Call the store and take its answer.
+    """Call the store and apply its answer.
 
-    ``after`` is where a watch begins. Ended when something stirs the daemon,
-    so that a watch that hears nothing while peers know more is not waited
-    for.
+    ``after`` is the revision from which a watch begins. The call is cancelled
+    when ``feed_woken`` is set, so that the daemon does not wait for a stalled
+    watch while peers have newer changes.
     """
     _counters.count_store_call(daemon.counters, verb)
-    begun = daemon.clock.monotonic()
+    started_at = daemon.clock.monotonic()
     reading = asyncio.ensure_future(call)
     woken = asyncio.ensure_future(daemon.feed_woken.wait())
     try:
@@ -84,25 +86,25 @@
         if not reading.done():
             reading.cancel()
     if reading.done():
-        _took(daemon, verb, begun, reading, stale, after)
+        _handle_reading(daemon, verb, started_at, reading, stale, after)
 
 
-def _took(
+def _handle_reading(
     daemon: _state.Daemon,
     verb: str,
-    begun: float,
+    started_at: float,
     reading: asyncio.Future[_dialect.Reading],
     stale: bool,
     after: int | None,
 ) -> None:
     now = daemon.clock.monotonic()
     try:
-        found = reading.result()
+        result = reading.result()
     except _dialect.SourceError as error:
-        gone = error.reason is _dialect.SourceReason.HISTORY_GONE
-        _learning.log_failed_call(daemon, verb, error, begun)
-        feeds.read_failed(daemon.feed, now, gone, daemon.rng)
-        if gone:
+        history_gone = error.reason is _dialect.SourceReason.HISTORY_GONE
+        _learning.log_failed_call(daemon, verb, error, started_at)
+        feeds.read_failed(daemon.feed, now, history_gone, daemon.rng)
+        if history_gone:
             daemon.journal.note("store_history_gone")
         else:
             _learning.record_store_failure(
@@ -110,40 +112,42 @@
             )
         return
     if stale:
-        _learning.take_stale_reading(daemon, found)
+        _learning.take_stale_reading(daemon, result)
     else:
-        _learning.take_reading(daemon, found)
-        _policy_checks.confirm_reading(daemon, found, begun, after)
-    feeds.read_done(daemon.feed, now, stale, bool(found.changes))
+        _learning.take_reading(daemon, result)
+        _policy_checks.confirm_reading(daemon, result, started_at, after)
+    feeds.read_done(daemon.feed, now, stale, bool(result.changes))
 
 
-async def _ask(
-    daemon: _state.Daemon, host: str, hold: float, within: float
+async def _poll_parent(
+    daemon: _state.Daemon, host: str, hold_seconds: float, timeout: float
 ) -> None:
-    """Ask the daemon that is followed for what is new."""
-    told = _crash_updates.header(daemon, host)
-    sender = (_feed_wire.SENDER_HEADER, daemon.process_mark)
+    """Poll the daemon that is followed for changes."""
+    crash_header = _crash_updates.header(daemon, host)
+    sender_header = (_feed_wire.SENDER_HEADER, daemon.process_mark)
     after = daemon.view.revision
-    head = _feed_wire.poll_head(host, after, hold, told, sender)
+    head = _feed_wire.poll_head(
+        host, after, hold_seconds, crash_header, sender_header
+    )
     asked_at = daemon.clock.monotonic()
-    result = await _exchange(daemon, host, head, within)
+    result = await _send_poll(daemon, host, head, timeout)
     now = daemon.clock.monotonic()
     if isinstance(result, httpio.Failure):
-        _fell_silent(daemon, host, result.value)
+        _handle_parent_failure(daemon, host, result.value)
         return
     if result.status == _feed_wire.LOOP_STATUS:
         _adopt_own_address(daemon, host)
         return
-    field = result.headers.get(_feed_wire.HEADER_LOWER)
-    if result.status != 200 or field is None:
-        # A daemon of the version before, which can't be waited at.
-        _fell_silent(daemon, host, f"status {result.status}")
+    status_header = result.headers.get(_feed_wire.HEADER_LOWER)
+    if result.status != 200 or status_header is None:
+        # A daemon of the previous release, which holds no polls open.
+        _handle_parent_failure(daemon, host, f"status {result.status}")
         return
     try:
-        status, delta = _feed_wire.decode_answer(field, result.body)
+        status, delta = _feed_wire.decode_answer(status_header, result.body)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
-        _fell_silent(daemon, host, "malformed")
+        _handle_parent_failure(daemon, host, "malformed")
         return
     _crash_updates.receive(daemon, host, result.headers)
     feeds.peer_answered(
@@ -167,40 +171,42 @@
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
 
 
-async def _exchange(
-    daemon: _state.Daemon, host: str, head: bytes, within: float
+async def _send_poll(
+    daemon: _state.Daemon, host: str, head: bytes, timeout: float
 ) -> _Result:
-    """Send a poll on a kept connection, once more on a new one."""
+    """Send a poll on a pooled connection; retry it once on a new one."""
     pool = _state.pool(daemon, host)
     loop = asyncio.get_running_loop()
-    until = loop.time() + within
+    deadline = loop.time() + timeout
     result: _Result = httpio.Failure.LOST
     for send in (pool.send, pool.send_on_new):
         answer: asyncio.Future[_Result] = loop.create_future()
-        job = httpio.Job(head, functools.partial(_set, answer))
+        job = httpio.Job(head, functools.partial(_set_result, answer))
         send(job)
         try:
-            async with asyncio.timeout_at(until):
+            async with asyncio.timeout_at(deadline):
                 result = await answer
         except TimeoutError:
-            # Other kept connections to it may have fallen silent as well.
+            # Other pooled connections to the daemon may hang as well.
             pool.drop_idle()
             return httpio.Failure.LOST
         finally:
             if job.awaited:
                 job.abort()
-        # A connection that was reset says nothing of the daemon behind it.
+        # A reset connection does not show that the daemon has failed.
         if result is not httpio.Failure.LOST:
             return result
     return result
 
 
-def _set(answer: asyncio.Future[_Result], result: _Result) -> None:
+def _set_result(answer: asyncio.Future[_Result], result: _Result) -> None:
     if not answer.done():
         answer.set_result(result)
 
 
-def _fell_silent(daemon: _state.Daemon, host: str, reason: str) -> None:
+def _handle_parent_failure(
+    daemon: _state.Daemon, host: str, reason: str
+) -> None:
     now = daemon.clock.monotonic()
     feeds.peer_failed(daemon.feed, host, now, daemon.rng)
     _counters.count_state_change(daemon.counters, "parent_lost")
@@ -208,19 +214,19 @@
 
 
 def _adopt_own_address(daemon: _state.Daemon, host: str) -> None:
-    """Go on as the daemon at ``host``: the store names this one so."""
+    """Use ``host`` as the address of this daemon, as the store does."""
     daemon.journal.note("follows_itself", peer=host, own=daemon.feed.own_host)
     feeds.adopt_address(daemon.feed, host)
 
 
-def _note_parent(daemon: _state.Daemon, before: str | None) -> None:
-    """Log whom the daemon follows from now on."""
+def _log_parent(daemon: _state.Daemon, previous_parent: str | None) -> None:
+    """Log which daemon, or the store, is followed from now on."""
     feed = daemon.feed
     _counters.count_state_change(daemon.counters, "parent_changed")
     daemon.journal.note(
         "follows",
         parent=_status.parent_name(feed.parent),
-        before=_status.parent_name(before),
+        before=_status.parent_name(previous_parent),
         rank=len(feed.earlier_hosts),
         known=len(feed.hosts),
         revision=views.number_in_era(daemon.view.revision),
