--- a/src/sassafrasstair/bundles/_envelopes.py
+++ b/src/sassafrasstair/bundles/_envelopes.py
@@ -89,8 +89,7 @@
 
     ``approvals`` are kept along with the new one, except those under the
     same name. Raises ``BundleError`` for a payload that daemons would
-    refuse and
-    ``KeyFault`` for a private key that is none.
+    refuse, and ``InvalidKeyError`` for an invalid private key.
     """
     # Imported late to save memory: see _signatures.
     from sassafrasstair.bundles import _signatures
--- a/src/sassafrasstair/bundles/_schema.py
+++ b/src/sassafrasstair/bundles/_schema.py
@@ -97,8 +97,11 @@
 class Bundle(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """One version of the operators' decisions.
 
-    ``rollout`` names the failure domains that the version applies to;
-    empty means all of them.
+    ``supersedes`` is the version that this one replaces.
+    ``failure_domains`` maps each failure domain to its region. ``rollout``
+    names the failure domains that the version applies to; empty means all
+    of them. ``subset_size`` is how many instances of a service one daemon
+    calls at most.
     """
 
     format: typing.Literal[1]
--- a/src/sassafrasstair/callers/_app.py
+++ b/src/sassafrasstair/callers/_app.py
@@ -229,7 +229,7 @@
         _refusal_outcome(headers),
         outcomes.Reason.DEADLINE_PASSED,
         0.0,
-        "the first part of the body did not arrive in time",
+        "the body's beginning did not come in time",
     )
 
 
--- a/src/sassafrasstair/callers/_request.py
+++ b/src/sassafrasstair/callers/_request.py
@@ -185,7 +185,7 @@
     text = values.get(name, "")
     if len(text) > MAX_TOKEN_CHARS or not text.isprintable():
         raise Malformed(
-            f"{name} is not printable or over {MAX_TOKEN_CHARS} characters"
+            f"{name} is not a text of up to {MAX_TOKEN_CHARS} signs"
         )
     return text
 
@@ -194,5 +194,5 @@
     text = values.get(name, "0")
     is_number = text.isascii() and text.isdigit()
     if not is_number or len(text) > MAX_DIGITS or int(text) > maximum:
-        raise Malformed(f"{name} is not an integer from 0 to {maximum}")
+        raise Malformed(f"{name} is not a whole number from 0 to {maximum}")
     return int(text)
