--- a/src/sassafrasstair/decisions/feeds/_checks.py
+++ b/src/sassafrasstair/decisions/feeds/_checks.py
@@ -3,8 +3,27 @@
 A watch without an answer looks the same whether nothing changes or the store
 is unreachable, and a watch that was pending when the store failed is never
 answered, even after the store has recovered. So a reader without an answer
-for a while sends a check: a call at a tenth of the cost that returns only the
-store's revision.
+for a while sends a check: a call that returns only the store's revision, for
+which the store charges a tenth of what it charges for a watch.
+
+These terms describe the store as one daemon sees it:
+
+- quiet: the store has answered nothing for a while, to this daemon or, as far
+  as this daemon knows, to others. After ``quiet_limit`` a check is sent.
+- unanswered: a check was sent and its answer has not arrived yet.
+- lost: a check has been unanswered for ``answer_timeout`` (``lost_since``
+  here), or a call failed. ``View.store_lost_since`` has the start of the
+  loss, also if a parent reported it.
+- failed: a call ended with an error; it is retried after a delay.
+- stalled: the store has been quiet for 1.5 times the quiet limit, so the
+  current watch will probably report nothing (``feeds.is_stalled``). The
+  daemon then asks peers for newer changes without waiting for its watch.
+- outage: the time during which the store cannot be reached. For a view it
+  begins with the loss and ends with an answer that the store gave later.
+
+A recheck is a short watch, sent at once in place of the current one because
+a peer or a check showed that the store has changes that the watch did not
+report.
 """
 
 from __future__ import annotations
@@ -19,26 +38,30 @@
     from sassafrasstair.decisions.feeds import _types
 
 OTHER_DOMAINS_QUIET_FACTOR = 3.0
-"""How many times as long the readers of other failure domains wait before
-they check: the first domain's reader tells them when the store last
+"""Factor on ``quiet_limit`` for the readers of failure domains other than the
+one whose reader checks for all: that reader tells them when the store last
 answered."""
 STALLED_QUIET_FACTOR = 1.5
 """After how many times ``quiet_limit`` without an answer of the store, also
-through peers, a watch counts as stalled and peers may have newer changes."""
+through peers, the watch counts as stalled and peers may have newer changes
+than this daemon."""
 SECOND_CHECK_SHARE = 0.5
 """The second check is sent after this fraction of the first check's timeout,
 because a single answer may be lost in the network."""
 BACKUP_INTERVAL_FACTOR = 3.0
 """Factor on the check interval of a backup reader, which reads in place of a
-daemon that precedes it: calls without an answer are charged in full, and the
-first reader of each failure domain detects the store's recovery."""
+daemon that precedes it: the store charges calls without an answer in full,
+and the first reader of each failure domain detects the store's recovery."""
 INTERVAL_JITTER_MIN = 0.9
-"""Least jitter factor, so that the readers' checks don't coincide."""
+"""Least factor by which the check interval is multiplied at random, so that
+the readers' checks don't coincide; the greatest is 1."""
 RECHECK_BACKOFF_SECONDS = 2.0
+"""For how long greater revisions that checks report are ignored after a
+recheck brought no changes: the store's revision also counts changes to
+unrelated keys."""
 RECHECK_BACKOFF_SECONDS_MAX = 60.0
-"""For how long greater revisions are ignored after one brought no changes:
-the store's revision also counts changes to unrelated keys. The time doubles
-up to the maximum while rechecks bring no changes."""
+"""Greatest value of this time, which doubles with each further recheck that
+brings no changes."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,10 +72,10 @@
     after ``next_check_delay`` at the earliest. ``unanswered_since`` is when
     the first unanswered check was sent, None if the last one was answered.
 
-    ``recheck_pending`` is True while the reader asks the store again because
-    a check reported a greater revision. If that brings no changes, greater
-    revisions are ignored until ``recheck_allowed_from``, for
-    ``recheck_backoff`` seconds.
+    ``recheck_pending`` is True from when a check reported a greater revision
+    than the view's, until the recheck that follows is answered. If the
+    recheck brings no changes, greater revisions are ignored until
+    ``recheck_allowed_from``, for ``recheck_backoff`` seconds.
     """
 
     last_sent_at: float = -math.inf
@@ -71,8 +94,9 @@
 ) -> float:
     """Return when the next check is to be sent.
 
-    ``last_answer_at`` is when the store last answered, directly or through
-    peers, or, if the policy must be confirmed, when it last was.
+    ``checks_for_all`` is as in ``Feed``. ``last_answer_at`` is when the store
+    last answered, directly or through peers, or, if the policy must be
+    confirmed, when the policy was last confirmed.
     """
     after_last = checks.last_sent_at + checks.next_check_delay
     if checks.unanswered_since is not None:
@@ -94,7 +118,10 @@
     now: float,
     rng: random.Random,
 ) -> None:
-    """Record a check that is sent now."""
+    """Record a check that is sent now.
+
+    ``is_backup`` is whether a backup reader sends it.
+    """
     checks.last_sent_at = now
     if checks.unanswered_since is None:
         checks.unanswered_since = now
@@ -115,10 +142,11 @@
 
 
 def record_answer(checks: Checks, sent_at: float) -> bool:
-    """Record the answer to a check; return whether an earlier one has none.
+    """Record a check's answer; return whether an earlier check has none.
 
-    In that case the store was unreachable in between, and a watch from
-    before the outage may never be answered.
+    If so, the store was unreachable between the two checks, and a watch from
+    before the outage may never be answered. ``sent_at`` is when the answered
+    check was sent.
     """
     first_unanswered = checks.unanswered_since
     newer_sent = checks.last_sent_at > sent_at
@@ -129,7 +157,10 @@
 def lost_since(
     checks: Checks, timing: _types.Timing, now: float
 ) -> float | None:
-    """Return since when the store has been lost, None if it is not lost."""
+    """Return since when the store has been lost, None if it is not lost.
+
+    The loss begins when the first unanswered check was sent.
+    """
     first_unanswered = checks.unanswered_since
     if (
         first_unanswered is None
@@ -140,15 +171,15 @@
 
 
 def can_recheck(checks: Checks, now: float) -> bool:
-    """Return whether a revision above the view's may trigger a recheck."""
+    """Return whether the backoff after rechecks without changes is over."""
     return now >= checks.recheck_allowed_from
 
 
 def record_store_answer(checks: Checks, now: float, has_changes: bool) -> None:
     """Record an answer of the store to a read or watch.
 
-    ``news`` is whether it brought changes. The store's revision also rises
-    with changes that no watch reports.
+    ``has_changes`` is whether the answer brought changes. The store's
+    revision also rises with changes that no watch reports.
     """
     checks.unanswered_since = None
     if not checks.recheck_pending:
--- a/src/sassafrasstair/decisions/feeds/_feeds.py
+++ b/src/sassafrasstair/decisions/feeds/_feeds.py
@@ -1,9 +1,15 @@
 """The source of one daemon's updates: the store, or another daemon.
 
-In each failure domain the first daemon of the order reads the store, and the
-others follow it in a tree with up to six followers per daemon. A daemon that
-does not answer is avoided for a while. So is one that has lost the store, as
-long as another daemon has not.
+Every VM (host) runs one daemon; its peers are all other daemons. The daemons
+of a failure domain are ordered by a hash of their addresses (``_orders``). The
+first is the reader: it reads and watches the store. Each other daemon is a
+follower: it polls its parent, a daemon that precedes it and has up to six
+followers. A backup reader is a daemon that reads the store although others
+precede it, because these do not answer or have lost the store.
+
+A daemon that does not answer is avoided for a while. So is one that has lost
+the store, as long as another has not. ``_checks`` defines a lost store, a
+stalled watch and a recheck.
 """
 
 from __future__ import annotations
@@ -25,22 +31,23 @@
 READERS_MAX = 3
 """Daemons of a failure domain that call the store while none gets an answer.
 
-If all 195 called it once a second, the store would be flooded when it
-recovers, and each refused call is charged. If the store refuses half of the
-machines, all three are refused once in eight times; the daemons of other
-failure domains then provide the changes."""
+If all 195 daemons of a fleet called it once a second, the store would be
+flooded when it recovers, and it charges for calls that it refuses too. If the
+store refuses half of the hosts, all three are refused once in eight times;
+the daemons of other failure domains then provide the changes."""
 WATCH_SECONDS = 20.0
-"""How long one watch waits. Checks, which cost a tenth of a watch, detect an
-outage of the store in the meantime."""
+"""How long one watch waits. Checks, for which the store charges a tenth as
+much as for a watch, detect an outage of the store in the meantime."""
 BACKUP_WATCH_SECONDS = 5.0
-"""How long a watch of a backup reader waits. A backup reads in place of a
-daemon that precedes it, which may be able to read again."""
+"""How long a watch of a backup reader waits. Afterwards it chooses its parent
+again, as a daemon that precedes it may be able to read again."""
 RECHECK_WATCH_SECONDS = 0.1
-"""How long a watch waits after a peer reported newer changes than the store:
-an answer, or none, soon shows whether the store still serves this daemon."""
+"""How long a recheck waits. Whether the store answers it soon shows whether
+the store still serves this daemon."""
 RETRY_SECONDS = 0.25
+"""Mean delay after a first failed call to the store."""
 RETRY_SECONDS_MAX = 1.0
-"""First and greatest delay between two calls to a store that fails."""
+"""Greatest mean delay; it doubles with each further failed call."""
 AVOID_SECONDS = 3.0
 """For how long a daemon that did not answer, is stopping, or has lost the
 store is avoided. Then it is polled again, with a poll that is not held
@@ -48,25 +55,28 @@
 VANISHED_HOST_SECONDS = 5.0
 """For how long a host is still considered after its entry has vanished.
 Entries that expired while the store was unreachable are missing for two
-seconds after its recovery. Without this delay, 78 of 96 daemons knew no daemon
-to follow and read the store (``tests/fleets``)."""
+seconds after its recovery. Without this delay, 78 of a fleet's 96 daemons knew
+no daemon to follow and read the store (``tests/fleets``)."""
 PEER_AGE_SECONDS_MAX = 10.0
-"""The greatest age of a parent's view. A reader knows by its checks, or by
-those of another failure domain, when the store last answered, and after at
-most 5 s that it does not answer. So an older view means that the parent
-follows a daemon that only appears to read the store or, if a host has
-different addresses at different daemons, that it follows itself."""
+"""The greatest age of the view of a parent that is followed. The age is how
+long ago the store answered the reader from which the view originates. A
+reader knows by its checks, or by those of another failure domain, when the
+store last answered, and reports the store as lost after at most 5 s without
+an answer. So an older view that is not reported as lost has one of two
+causes: the parent follows a daemon that only appears to read the store, or,
+if a host has different addresses at different daemons, it follows itself."""
 FAILURES_TO_READ = 2
 """After how many consecutive daemons without an answer the store is read: if
 half of the preceding VMs are gone, finding one that answers would otherwise
-take longer than the bound."""
+take longer than the propagation bound."""
 START_SECONDS = 2.0
+"""For how long a starting daemon reads the store without requiring the latest
+state, for which the store charges a tenth. It stops when it finds in the
+store its own entry or a daemon to follow, which sends it newer changes. When
+all daemons start at once, the entries of the instances appear a little later;
+without the wait, 195 daemons that know no other would all watch the store."""
 START_READ_INTERVAL_SECONDS = 0.5
-"""For how long, and how often, a starting daemon reads the store without
-requiring the latest state, at a tenth of the cost. It stops when it finds in
-the store its own entry or a daemon to follow, which sends it newer changes.
-When all daemons start at once, the entries of the instances appear a little
-later; otherwise 195 daemons that know no other would all watch the store."""
+"""Time between two such reads."""
 WAIT_SECONDS_MIN = 0.001
 """Shorter waits are skipped: a timer that fires early by a rounding error
 would be set again and again."""
@@ -86,9 +96,9 @@
     ``listed_hosts`` have an entry in the view; ``vanished_since`` has the
     time at which the entries of the others vanished. ``avoided_until`` holds
     daemons that did not answer, are stopping or stayed behind, and
-    ``without_store_until`` those that have lost the store, each with the
-    time until which it is passed over. ``own_listed`` is whether this
-    daemon's instance has been in the view.
+    ``without_store_until`` those that have lost the store or whose view is
+    too old, each with the time until which it is passed over. ``own_listed``
+    is whether this daemon's instance has been in the view.
 
     ``parent`` has been followed since ``parent_since``, and
     ``parent_answered`` is whether it has answered since then.
@@ -100,11 +110,12 @@
     follow.
 
     ``needs_full_read`` is whether the next read must return the whole store.
-    ``recheck_due`` is True after a peer reported newer changes than the
-    store. ``checks`` show whether the store answers, and ``checks_for_all``
-    is whether the reader of this failure domain checks it on behalf of the
-    others. ``has_stale_view`` is whether the view comes from an answer that
-    may be seconds old, from which no watch can continue.
+    ``recheck_due`` is whether the next watch is a recheck, because a peer or
+    a check showed newer changes than the watch. ``checks`` show whether the
+    store answers, and ``checks_for_all`` is whether the reader of this
+    failure domain also checks it on behalf of the other failure domains.
+    ``has_stale_view`` is whether the view comes from an answer that may be
+    seconds old, from which no watch can continue.
     """
 
     own_host: str
@@ -198,7 +209,13 @@
 
 
 def choose_parent(feed: Feed, now: float) -> str:
-    """Return the daemon to follow, or ``STORE`` to read the store."""
+    """Return the daemon to follow, or ``STORE`` to read the store.
+
+    If all available daemons that precede this one have lost the store, this
+    daemon calls the store, provided that they are fewer than ``READERS_MAX``:
+    so only the first ``READERS_MAX`` daemons of the failure domain do. A
+    later one follows one of them in spite of the loss.
+    """
     if now < feed.use_store_until:
         return STORE
     available = [
@@ -221,7 +238,11 @@
 def read_done(
     feed: Feed, now: float, answer_may_be_stale: bool, has_changes: bool = True
 ) -> None:
-    """Record an answer of the store, with changes if ``news`` is True."""
+    """Record an answer of the store to a read or watch.
+
+    ``answer_may_be_stale`` is whether the call was a read with
+    ``allow_stale``, and ``has_changes`` whether the answer has changes.
+    """
     uses_start_interval = answer_may_be_stale or feed.has_stale_view
     interval = (
         START_READ_INTERVAL_SECONDS
@@ -266,8 +287,10 @@
 ) -> None:
     """Record the status in a daemon's answer to a poll.
 
-    ``own_content`` is the content revision of this daemon's view before the
-    changes of the answer are applied.
+    ``own_content_revision`` is the content revision of this daemon's view
+    before the changes of the answer are applied. The parent's view has all
+    changes up to ``status.revision``; if that is less, it lacks a change that
+    this view has. Its content revision may be less though it lacks nothing.
     """
     feed.parent_answered = True
     if status.revision >= 0:
@@ -299,7 +322,7 @@
 
 
 def expedite_recheck(feed: Feed, now: float) -> None:
-    """Call the store at once, as a peer reported newer changes."""
+    """Recheck at once, as a peer reported newer changes."""
     feed.next_read_at = min(feed.next_read_at, now)
     feed.recheck_due = True
 
@@ -307,8 +330,7 @@
 def check_due(feed: Feed, last_answer_at: float, now: float) -> bool:
     """Return whether a check of the store is due.
 
-    ``last_answer_at`` is when the store last answered, directly or through
-    peers; see ``_checks.next_check_at``.
+    ``last_answer_at`` is as in ``_checks.next_check_at``.
     """
     if feed.parent != STORE or _is_starting(feed, now):
         return False
@@ -331,9 +353,10 @@
 
 
 def check_answered(feed: Feed, sent_at: float, now: float) -> bool:
-    """Record the answer to a check; return whether there was an outage.
+    """Record a check's answer; return whether an earlier check has none.
 
-    A watch from before an outage never returns, so a new one is started.
+    If so, there was an outage. A watch from before an outage never returns,
+    so a new one is started. ``sent_at`` is when the answered check was sent.
     """
     had_outage = _checks.record_answer(feed.checks, sent_at)
     if had_outage and reads_store(feed):
@@ -342,24 +365,28 @@
 
 
 def lost_since(feed: Feed, now: float) -> float | None:
-    """Return since when the store has been lost, None if it is not lost."""
+    """Return since when the store has been lost to this daemon's checks.
+
+    None if it is not lost, or if this daemon does not read the store.
+    """
     if feed.parent != STORE:
         return None
     return _checks.lost_since(feed.checks, feed.timing, now)
 
 
 def can_recheck(feed: Feed, now: float) -> bool:
-    """Return whether a greater revision of the store may trigger a recheck.
+    """Return whether a revision above the view's may trigger a recheck.
 
-    Not during a full read: that of a large and slow store takes longer than
-    a check, and would never end if each check restarted it.
+    A recheck is a short watch in place of the current one. It is not allowed
+    during a full read: that of a large and slow store takes longer than a
+    check, and would never end if each check restarted it.
     """
     is_watching = reads_store(feed) and not feed.needs_full_read
     return is_watching and _checks.can_recheck(feed.checks, now)
 
 
 def mark_change_missed(feed: Feed, now: float) -> None:
-    """Call the store at once, as its revision shows that a change was missed.
+    """Recheck at once, as a check showed that the watch missed a change.
 
     During a short outage a watch event may get lost even if no check does.
     """
@@ -380,7 +407,11 @@
 
 
 def is_stalled(feed: Feed, last_answer_at: float, now: float) -> bool:
-    """Return whether the store has not answered any known daemon for long."""
+    """Return whether the watch of the store counts as stalled.
+
+    That is so if the store has answered no daemon for long, as far as this
+    daemon knows. ``last_answer_at`` is when it last answered one.
+    """
     return (
         now - last_answer_at
         > _checks.STALLED_QUIET_FACTOR * feed.timing.quiet_limit
@@ -388,10 +419,11 @@
 
 
 def peer_ahead_limit(feed: Feed, last_answer_at: float, now: float) -> float:
-    """Return for how long a peer may have newer changes before it is asked.
+    """Return how long a peer may be ahead before this daemon polls it.
 
-    A reader's own watch delivers changes at once, apart from the interval
-    between two watches, and not at all if the store does not answer it.
+    A peer is ahead if it has changes that this daemon's view lacks. A
+    reader's own watch delivers them at once, apart from the interval between
+    two watches, and not at all if the store does not answer it.
     """
     if not reads_store(feed):
         return feed.timing.lag_limit
@@ -402,7 +434,7 @@
 
 
 def reader_hosts(hosts: abc.Iterable[str]) -> tuple[str, ...]:
-    """Return which of the hosts may have to read the store."""
+    """Return which of a failure domain's hosts may have to read the store."""
     return _orders.first_hosts(hosts, READERS_MAX)
 
 
@@ -412,7 +444,11 @@
 
 
 def upcoming_parent_lost_store(feed: Feed, now: float) -> bool:
-    """Return whether the daemon to follow has lost the store."""
+    """Return whether the parent that would be chosen now has lost the store.
+
+    That parent may differ from ``feed.parent``, which is set by the next
+    step. ``choose_parent`` says when it is chosen in spite of the loss.
+    """
     parent = choose_parent(feed, now)
     return parent != STORE and not _has_expired(
         feed.without_store_until, parent, now
--- a/src/sassafrasstair/decisions/feeds/_orders.py
+++ b/src/sassafrasstair/decisions/feeds/_orders.py
@@ -3,7 +3,8 @@
 Each daemon computes the order on its own from the hosts that it knows. Every
 daemon orders two hosts the same way, whatever other hosts it knows, and a
 daemon follows only a daemon that precedes it. So no two daemons follow each
-other, and different sets of known hosts cost only additional calls.
+other, and different sets of known hosts cost only additional calls. A host is
+the address of a VM and of the daemon that runs on it.
 """
 
 from __future__ import annotations
@@ -42,21 +43,25 @@
 
 
 def first_hosts(hosts: abc.Iterable[str], count: int) -> tuple[str, ...]:
-    """Return the first hosts in the order, at most ``count``."""
+    """Return the first ``count`` hosts, or all, in the daemons' order."""
     return tuple(sorted(hosts, key=sort_key)[:count])
 
 
 def is_first(
     own_hosts: abc.Iterable[str], other_hosts: abc.Iterable[str]
 ) -> bool:
-    """Return whether the first host of ``own`` precedes all others."""
+    """Return whether the first of ``own_hosts`` precedes all other hosts.
+
+    ``own_hosts`` are the hosts of this daemon's failure domain.
+    """
     first_own_key = min(map(sort_key, own_hosts), default=b"")
     return all(first_own_key <= sort_key(host) for host in other_hosts)
 
 
 def select_parent(earlier: abc.Sequence[str]) -> str:
-    """Return which of the hosts ``before`` a daemon the daemon follows.
+    """Return the parent of a daemon: the host that the daemon follows.
 
-    The ordered hosts form a heap in which each has ``FANOUT`` children.
+    ``earlier`` are the hosts that precede the daemon, in order. The ordered
+    hosts form a heap in which each has ``FANOUT`` children.
     """
     return earlier[(len(earlier) - 1) // FANOUT]
--- a/tests/decisions/feeds/test_feeds.py
+++ b/tests/decisions/feeds/test_feeds.py
@@ -33,15 +33,15 @@
 
 
 @pytest.mark.parametrize(
-    ("bound", "pace"), [(0.0, 0.25), (0.5, 0.25), (2.0, 0.5), (60.0, 1.5)]
+    ("bound", "interval"), [(0.0, 0.25), (0.5, 0.25), (2.0, 0.5), (60.0, 1.5)]
 )
-def test_bound_is_clamped(bound: float, pace: float) -> None:
+def test_bound_is_clamped(bound: float, interval: float) -> None:
     """The settings may have no bound, or one that no daemon can meet.
 
     Followers that poll without a pause would overload their parent.
     """
     timing = feeds.timing_for_bound(bound)
-    assert timing.watch_interval == pace
+    assert timing.watch_interval == interval
     assert timing.poll_hold > 0.0
     assert timing.poll_margin >= 0.2
 
