--- a/src/sassafrasstair/decisions/policies/_checks.py
+++ b/src/sassafrasstair/decisions/policies/_checks.py
@@ -17,7 +17,7 @@
 
 
 def find_fault(policy: _policies.Policy) -> str:
-    """Return which part of a policy is invalid, or an empty string."""
+    """Return the first invalid part of a policy, '' if all are valid."""
     if policy.version < 0:
         return "version"
     limits = policy.limits
--- a/src/sassafrasstair/decisions/policies/_customers.py
+++ b/src/sassafrasstair/decisions/policies/_customers.py
@@ -11,6 +11,7 @@
     from sassafrasstair.decisions.policies import _tables
 
 DIGEST_BYTES = 16
+"""Length of the digest of an API key."""
 
 
 class Unidentified(enum.Enum):
@@ -19,18 +20,20 @@
     ANONYMOUS = "anonymous"
     """The request needs no key."""
     NO_KEY = "no_key"
+    """The request needs a key and has none."""
     UNKNOWN_KEY = "unknown_key"
+    """The policy lists no customer with the request's key."""
 
 
 def digest_key(key: bytes) -> bytes:
-    """Return the digest that identifies a key; keys are not stored."""
+    """Return the digest that identifies an API key; keys are not stored."""
     return hashlib.blake2b(key, digest_size=DIGEST_BYTES).digest()
 
 
 def customers_by_key_digest(
     policy: _policies.Policy,
 ) -> dict[bytes, _policies.Customer] | None:
-    """Return the customers by the digests of their keys, None without any."""
+    """Return the customers by key digest, None if no request needs a key."""
     if policy.customers is None:
         return None
     return {
@@ -43,7 +46,7 @@
 ) -> _policies.Customer | Unidentified:
     """Return the customer of a request, or why it has none.
 
-    ``key`` is the digest of the request's key, None if it has no key.
+    ``key_digest`` is the digest of the request's API key, None without one.
     """
     customers = table.customers_by_key_digest
     if customers is None:
--- a/src/sassafrasstair/decisions/policies/_tables.py
+++ b/src/sassafrasstair/decisions/policies/_tables.py
@@ -1,4 +1,7 @@
-"""Route lookup at a cost that does not grow with the number of routes."""
+"""Lookup tables of a policy, built once when the policy becomes active.
+
+The time to look up a route does not grow with the number of routes.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +21,9 @@
     """Lookup tables of one policy.
 
     ``routes_by_host`` maps a host to its routes by prefix. ``services`` are
-    all services that the policy names. ``customers`` maps the digest of a key
-    to its customer; it is None if no request needs a key.
+    all services that the policy names. ``customers_by_key_digest`` maps the
+    digest of an API key to its customer; it is None if no request needs a
+    key.
     """
 
     policy: _policies.Policy
@@ -68,7 +72,7 @@
 
 
 def choose_service(route: _policies.Route, rng: random.Random) -> str:
-    """Return one of the route's services, drawn by the shares' weights."""
+    """Return one of the route's services, drawn at random by weight."""
     shares = route.shares
     if len(shares) == 1:
         return shares[0].service
