--- a/src/sassafrasstair/decisions/calls/_floors.py
+++ b/src/sassafrasstair/decisions/calls/_floors.py
@@ -1,11 +1,15 @@
-"""The shed floors that an entrance has heard from its callees."""
+"""The shed floors that callees have reported to an entrance.
+
+A shed floor is the rank below which an instance refuses requests.
+"""
 
 from __future__ import annotations
 
 import dataclasses
 
-# A floor holds this long after it was heard, and then falls: the first
-# request that passes again brings the next word, or finds the load gone.
+# A floor stays at its value for HOLD_SECONDS after it was reported and then
+# falls by FALL_PER_SECOND. The first request that passes again either brings
+# a new floor or shows that the load is gone.
 HOLD_SECONDS = 0.25
 FALL_PER_SECOND = 10.0
 FORGET_SECONDS = 1.0
@@ -13,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Floor:
-    """Shed floor last heard from an instance for a class, and when."""
+    """The last shed floor that an instance reported, and when it did."""
 
     value: float
     heard_at: float
@@ -21,7 +25,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Floors:
-    """Floors by (service, class, tenant), then by VM."""
+    """Shed floors by (service, class, tenant), then by VM."""
 
     by_class: dict[tuple[str, str, str], dict[str, Floor]] = dataclasses.field(
         default_factory=dict
@@ -35,46 +39,45 @@
     value: float,
     now: float,
 ) -> None:
-    """Note the floor that came with an answer of ``vm``."""
+    """Record the floor that came with an answer from ``vm``."""
     floors.by_class.setdefault(key, {})[vm] = Floor(value, now)
 
 
-def of_instance(floor: Floor, now: float) -> float:
-    """Return what the floor still counts for."""
-    stale = max(0.0, now - floor.heard_at - HOLD_SECONDS)
-    return max(0.0, floor.value - FALL_PER_SECOND * stale)
+def decayed(floor: Floor, now: float) -> float:
+    """Return the floor after its decay since it was reported."""
+    elapsed = max(0.0, now - floor.heard_at - HOLD_SECONDS)
+    return max(0.0, floor.value - FALL_PER_SECOND * elapsed)
 
 
 def of_service(floors: Floors, key: tuple[str, str, str], now: float) -> float:
-    """Return the least floor among the instances heard lately.
+    """Return the lowest floor among the instances that reported recently.
 
-    The least, because routing can send the request to that instance.
+    The lowest counts because routing can send the request to that instance.
     """
-    heard = floors.by_class.get(key)
-    if not heard:
+    by_vm = floors.by_class.get(key)
+    if not by_vm:
         return 0.0
-    for vm in [vm for vm, floor in heard.items() if _is_old(floor, now)]:
-        # An instance that left would else count as one without a floor.
-        del heard[vm]
-    if not heard:
+    for vm in [vm for vm, floor in by_vm.items() if _is_outdated(floor, now)]:
+        # The floor of an instance that has left would decay to 0 and then
+        # be the lowest, as if that instance still accepted everything.
+        del by_vm[vm]
+    if not by_vm:
         del floors.by_class[key]
-    return min(
-        (of_instance(floor, now) for floor in heard.values()), default=0.0
-    )
+    return min((decayed(floor, now) for floor in by_vm.values()), default=0.0)
 
 
-def refusing(
+def refusing_vms(
     floors: Floors,
     key: tuple[str, str, str],
     rank: float,
     now: float,
 ) -> frozenset[str]:
-    """Return the VMs that would refuse the rank by the floors heard."""
-    heard = floors.by_class.get(key, {})
+    """Return the VMs whose reported floor is above the rank."""
+    by_vm = floors.by_class.get(key, {})
     return frozenset(
-        vm for vm, floor in heard.items() if rank < of_instance(floor, now)
+        vm for vm, floor in by_vm.items() if rank < decayed(floor, now)
     )
 
 
-def _is_old(floor: Floor, now: float) -> bool:
+def _is_outdated(floor: Floor, now: float) -> bool:
     return now - floor.heard_at >= FORGET_SECONDS
