--- a/tests/decisions/feeds/test_feeds.py
+++ b/tests/decisions/feeds/test_feeds.py
@@ -36,7 +36,7 @@
     ("bound", "interval"), [(0.0, 0.25), (0.5, 0.25), (2.0, 0.5), (60.0, 1.5)]
 )
 def test_bound_is_clamped(bound: float, interval: float) -> None:
-    """The settings may have no bound, or one that no daemon can meet.
+    """The settings may have no propagation bound, or one that is too short.
 
     Followers that poll without a pause would overload their parent.
     """
--- a/tests/decisions/views/test_eras.py
+++ b/tests/decisions/views/test_eras.py
@@ -116,7 +116,7 @@
 def test_instance_that_the_copy_lacks_is_used_until_it_writes_again() -> None:
     """An instance had joined after the copy was made.
 
-    It got no work for seconds.
+    It got no requests for seconds after the restore.
     """
     view = _view_of(READY, OTHER)
     _restore(view, OTHER)
--- a/tests/decisions/views/test_views.py
+++ b/tests/decisions/views/test_views.py
@@ -138,8 +138,8 @@
 def test_entries_that_expired_during_an_outage_are_kept() -> None:
     """An outage of the store lasts longer than the lifetime of entries.
 
-    After the recovery all entries are missing for up to two seconds. A daemon
-    that dropped the instances at once would refuse every request.
+    All entries are then missing for up to two seconds after the outage. A
+    daemon that dropped the instances at once would refuse every request.
     """
     view = _view_of(_instance("a"), _instance("b"))
     assert views.store_failed(view, 101.0)
@@ -309,8 +309,10 @@
     view = _view_of(dataclasses.replace(_instance("a"), born=2000))
     old = dataclasses.replace(_instance("a"), born=1000, slots=1)
     views.adopt_snapshot(view, views.Snapshot(11, 11, None, (old,)), 101.0)
-    untold = _instance("a")
-    views.adopt_snapshot(view, views.Snapshot(12, 12, None, (untold,)), 102.0)
+    no_start = _instance("a")
+    views.adopt_snapshot(
+        view, views.Snapshot(12, 12, None, (no_start,)), 102.0
+    )
     known = views.instance_by_id(view, "a")
     assert known is not None
     assert (known.born, known.slots) == (2000, 8)
