--- a/src/sassafrasstair/forwarding/_learning.py
+++ b/src/sassafrasstair/forwarding/_learning.py
@@ -1,4 +1,4 @@
-"""Taking news of policy and instances into use, and telling it in the log."""
+"""Applies changes of policy and instances to the view, and logs them."""
 
 from __future__ import annotations
 
@@ -17,34 +17,34 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-REFUSED_KEPT = 1_000
-"""Keys of unusable items whose revision is remembered, so that each is
-logged once."""
-KEY_SHOWN = 200
-"""Characters of a key or reason in a log line; the store takes no longer
-keys."""
+REFUSED_ITEMS_MAX = 1_000
+"""How many keys of unusable items are remembered with their revision, so that
+each item is logged once."""
+LOGGED_CHARACTERS_MAX = 200
+"""Characters of a key or reason in a log line; keys in the store are no
+longer than this."""
 
 
 def take_reading(daemon: _state.Daemon, reading: _dialect.Reading) -> None:
-    """Take an answer of the store."""
+    """Apply an answer of the store to the view."""
     now = daemon.clock.monotonic()
     record_store_answer(daemon, now)
     log_refused_items(daemon, reading.refused)
     if views.UNORDERED < reading.revision < daemon.view.revision:
-        _note_outdated(daemon, reading)
-    take = views.replace_all if reading.whole else views.apply_changes
-    told = take(
+        _log_outdated_reading(daemon, reading)
+    apply = views.replace_all if reading.whole else views.apply_changes
+    news = apply(
         daemon.view, reading.changes, reading.revision, reading.content, now
     )
-    apply_news(daemon, told, "store")
+    apply_news(daemon, news, "store")
 
 
 def take_stale_reading(
     daemon: _state.Daemon, reading: _dialect.Reading
 ) -> None:
-    """Take an answer that may be seconds old, so from before the era.
+    """Apply an answer that may be seconds old, and so from an earlier era.
 
-    It says nothing of which changes are known.
+    It is applied without its revisions, which do not show what is known.
     """
     unordered = dataclasses.replace(
         reading, revision=views.UNORDERED, content=views.UNORDERED
@@ -58,25 +58,25 @@
     delta: views.Delta,
     host: str,
 ) -> bool:
-    """Take what a daemon told; return whether anything became different."""
+    """Apply the changes of a peer; return whether any had an effect."""
     now = daemon.clock.monotonic()
     views.note_store_recovering(daemon.view, status.recovering_seconds, now)
-    told = views.take_delta(daemon.view, delta, now)
-    apply_news(daemon, told, f"peer {host}")
-    return bool(told)
+    news = views.take_delta(daemon.view, delta, now)
+    apply_news(daemon, news, f"peer {host}")
+    return bool(news)
 
 
 def record_store_answer(
     daemon: _state.Daemon, now: float, age: float = 0.0
 ) -> None:
-    """Note a word of the store, that a daemon may have had ``age`` ago."""
-    away = views.lost_store_seconds(daemon.view, now) or 0.0
+    """Record an answer of the store, given to any daemon ``age`` ago."""
+    lost_seconds = views.lost_store_seconds(daemon.view, now) or 0.0
     if views.store_answered(daemon.view, now, age):
         _counters.count_state_change(daemon.counters, "store_back")
         daemon.journal.note(
             "store_back",
             revision=views.number_in_era(daemon.view.revision),
-            away=away,
+            away=lost_seconds,
             source=_status.parent_name(daemon.feed.parent),
         )
         _polls.answer_all(daemon)
@@ -85,7 +85,7 @@
 def record_store_failure(
     daemon: _state.Daemon, since: float, reason: str, detail: str
 ) -> None:
-    """Note that there has been no word of the store since then."""
+    """Record that the store has not answered since ``since``."""
     if views.store_failed(daemon.view, since):
         _counters.count_state_change(daemon.counters, "store_lost")
         daemon.journal.note(
@@ -101,21 +101,23 @@
     daemon: _state.Daemon,
     verb: str,
     error: _dialect.SourceError,
-    begun: float,
+    started_at: float,
 ) -> None:
-    """Log a call to the store that has no answer, once it is over."""
+    """Log a call to the store that has failed."""
     now = daemon.clock.monotonic()
     daemon.journal.request(
         "store_call_failed",
         error.reason.value,
         verb=verb,
-        waited=now - begun,
+        waited=now - started_at,
         age=_status.view_age(daemon, now),
     )
 
 
-def _note_outdated(daemon: _state.Daemon, reading: _dialect.Reading) -> None:
-    """Log an answer that is dropped, as older than what is known."""
+def _log_outdated_reading(
+    daemon: _state.Daemon, reading: _dialect.Reading
+) -> None:
+    """Log an answer that is dropped, as it is older than the view."""
     _counters.count_state_change(daemon.counters, "reading_outdated")
     daemon.journal.request(
         "reading_outdated",
@@ -128,56 +130,63 @@
 
 
 def log_refused_items(
-    daemon: _state.Daemon, refused: abc.Iterable[_dialect.RefusedItem]
+    daemon: _state.Daemon, items: abc.Iterable[_dialect.RefusedItem]
 ) -> None:
-    """Log and count each item that could not be used, once a revision."""
-    for refusal in refused:
-        if refusal.key and not _is_new(daemon, refusal):
+    """Log and count each unusable item, once per revision."""
+    for item in items:
+        if item.key and not _is_new_refusal(daemon, item):
             continue
-        reason = refusal.reason.partition(":")[0]
+        reason = item.reason.partition(":")[0]
         _counters.count_refused_item(daemon.counters, reason)
         daemon.journal.request(
             "item_refused",
             reason,
-            key=refusal.key[:KEY_SHOWN],
-            revision=refusal.revision,
-            detail=refusal.reason[:KEY_SHOWN],
+            key=item.key[:LOGGED_CHARACTERS_MAX],
+            revision=item.revision,
+            detail=item.reason[:LOGGED_CHARACTERS_MAX],
         )
 
 
 def apply_news(
     daemon: _state.Daemon,
-    told: abc.Sequence[tuple[views.News, str]],
+    changes: abc.Sequence[tuple[views.News, str]],
     source: str,
 ) -> None:
-    """Log what became different, take it into use and tell it on."""
-    for news, key in told:
+    """Log changes of the view and update the state that depends on it.
+
+    The held polls of peers that lack the changes are answered.
+    """
+    for news, key in changes:
         _counters.count_state_change(daemon.counters, news.value)
         if news is views.News.RESTARTED:
             calls.record_restart(daemon.routes, key, daemon.clock.monotonic())
-        _log(daemon, news, key, source)
-    if not told:
+        _log_news(daemon, news, key, source)
+    if not changes:
         return
     view, settings = daemon.view, daemon.settings
-    known = daemon.hosts
+    previous_hosts = daemon.hosts
     daemon.hosts = views.other_hosts(view, daemon.feed.own_host)
-    if daemon.hosts != known:
+    if daemon.hosts != previous_hosts:
         _state.update_slack_parts(daemon)
     daemon.services = views.count_services(view)
     daemon.least_importance = views.least_importance(view)
-    hosts = views.hosts_by_domain(view)
-    near = hosts.pop(settings.failure_domain, frozenset())
-    feeds.learn_hosts(daemon.feed, near, daemon.clock.monotonic())
+    hosts_by_domain = views.hosts_by_domain(view)
+    own_domain_hosts = hosts_by_domain.pop(
+        settings.failure_domain, frozenset()
+    )
+    feeds.learn_hosts(daemon.feed, own_domain_hosts, daemon.clock.monotonic())
     daemon.foreign_readers = [
-        reader for far in hosts.values() for reader in feeds.reader_hosts(far)
+        reader
+        for hosts in hosts_by_domain.values()
+        for reader in feeds.reader_hosts(hosts)
     ]
     daemon.feed.checks_for_all = feeds.is_first(
-        {*near, daemon.feed.own_host}, daemon.foreign_readers
+        {*own_domain_hosts, daemon.feed.own_host}, daemon.foreign_readers
     )
     _polls.answer_outdated(daemon)
 
 
-def _log(
+def _log_news(
     daemon: _state.Daemon, news: views.News, key: str, source: str
 ) -> None:
     view = daemon.view
@@ -191,7 +200,7 @@
         )
         return
     if news is views.News.RESTORED:
-        # The revisions that refused items had are given out again.
+        # A restored store reuses the revisions of refused items.
         daemon.refused_items.clear()
         daemon.journal.note(
             news.value,
@@ -205,33 +214,35 @@
         instance=key,
         revision=views.number_in_era(view.revision),
         source=source,
-        **_shown(views.instance_by_id(view, key)),
+        **_instance_fields(views.instance_by_id(view, key)),
     )
 
 
-def _is_new(daemon: _state.Daemon, refusal: _dialect.RefusedItem) -> bool:
-    """Return whether the item had not been refused at this revision."""
-    if daemon.refused_items.get(refusal.key) == refusal.revision:
+def _is_new_refusal(daemon: _state.Daemon, item: _dialect.RefusedItem) -> bool:
+    """Return whether the item was not yet refused at this revision."""
+    if daemon.refused_items.get(item.key) == item.revision:
         return False
-    daemon.refused_items.pop(refusal.key, None)
-    daemon.refused_items[refusal.key] = refusal.revision
-    if len(daemon.refused_items) > REFUSED_KEPT:
+    daemon.refused_items.pop(item.key, None)
+    daemon.refused_items[item.key] = item.revision
+    if len(daemon.refused_items) > REFUSED_ITEMS_MAX:
         del daemon.refused_items[next(iter(daemon.refused_items))]
     return True
 
 
-def _shown(known: views.Instance | None) -> dict[str, str | int | float]:
-    """Return what a log line tells of an instance.
+def _instance_fields(
+    instance: views.Instance | None,
+) -> dict[str, str | int | float]:
+    """Return the fields of an instance in a log line.
 
-    Two entries with one address, or one instance with few slots, explain
+    Two entries with the same address, or an instance with few slots, explain
     failures that the id alone does not.
     """
-    if known is None:
+    if instance is None:
         return {}
     return {
-        "service": known.service,
-        "address": f"{known.host}:{known.port}",
-        "slots": known.slots,
-        "cold": known.cold_seconds,
-        "born": known.born,
+        "service": instance.service,
+        "address": f"{instance.host}:{instance.port}",
+        "slots": instance.slots,
+        "cold": instance.cold_seconds,
+        "born": instance.born,
     }
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -1,4 +1,4 @@
-"""Confirming at the store that the active policy is the newest."""
+"""Confirms with the store that the active policy is the newest."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     asked_at: float,
     after: int | None,
 ) -> None:
-    """Note what an answer of the store's latest state confirms.
+    """Record what an answer with the store's latest state confirms.
 
-    ``after`` is where a watch began, None for a reading of the whole.
+    ``after`` is the revision from which a watch began, None for a full read.
     """
     view = daemon.view
     if after is not None:
@@ -33,30 +33,35 @@
         return
     if reading.revision >= view.revision:
         views.note_full_read(view, reading.revision)
-    _confirm(daemon, reading, asked_at)
+    _confirm_versions(daemon, reading, asked_at)
 
 
 def confirm_revision(
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> None:
-    """Take the store's revision at its latest state, asked at an instant.
+    """Confirm the policy if the store is at a revision that the view covers.
 
-    A watch may be about to tell the change behind a greater one.
+    ``revision`` is that of the store's latest state, asked for at
+    ``asked_at``. If it is greater than the view's, the watch may be about to
+    deliver the change. The policy is read only if it still has not after a
+    while.
     """
-    if not _confirmations.has_revocation_bound(daemon) or _vouch(
-        daemon, revision, asked_at
-    ):
+    if not _confirmations.has_revocation_bound(
+        daemon
+    ) or _confirm_if_up_to_date(daemon, revision, asked_at):
         return
     now = daemon.clock.monotonic()
     wait = feeds.peer_ahead_limit(
         daemon.feed, daemon.view.store_answered_at, now
     )
     asyncio.get_running_loop().call_later(
-        wait, _confirm_late, daemon, revision, asked_at
+        wait, _confirm_or_read_policy, daemon, revision, asked_at
     )
 
 
-def _vouch(daemon: _state.Daemon, revision: int, asked_at: float) -> bool:
+def _confirm_if_up_to_date(
+    daemon: _state.Daemon, revision: int, asked_at: float
+) -> bool:
     view = daemon.view
     if not views.up_to_date_with(view, revision):
         return False
@@ -64,18 +69,21 @@
     return True
 
 
-def _confirm_late(
+def _confirm_or_read_policy(
     daemon: _state.Daemon, revision: int, asked_at: float
 ) -> None:
-    if _vouch(daemon, revision, asked_at) or daemon.confirming_policy:
+    if (
+        _confirm_if_up_to_date(daemon, revision, asked_at)
+        or daemon.confirming_policy
+    ):
         return
     if views.knows_policy(daemon.view) and feeds.reads_store(daemon.feed):
         daemon.confirming_policy = True
-        _state.start_task(daemon, _ask_policy(daemon))
+        _state.start_task(daemon, _read_policy(daemon))
 
 
-async def _ask_policy(daemon: _state.Daemon) -> None:
-    """Read the policy alone: the watch has not told what has changed."""
+async def _read_policy(daemon: _state.Daemon) -> None:
+    """Read only the policy, as the watch has not delivered the change."""
     asked_at = daemon.clock.monotonic()
     _counters.count_store_call(daemon.counters, VERB)
     try:
@@ -86,7 +94,7 @@
     finally:
         daemon.confirming_policy = False
     _learning.log_refused_items(daemon, reading.refused)
-    if _confirm(daemon, reading, asked_at):
+    if _confirm_versions(daemon, reading, asked_at):
         views.note_full_read(daemon.view, reading.revision)
         return
     daemon.journal.note(
@@ -96,13 +104,13 @@
         daemon.feed_woken.set()
 
 
-def _confirm(
+def _confirm_versions(
     daemon: _state.Daemon, reading: _dialect.Reading, asked_at: float
 ) -> bool:
-    """Confirm the policy of a reading; one that can't be used is none.
+    """Confirm the policy in a reading; an unusable policy is ignored.
 
-    One of a later era than the view's confirms nothing before the whole of
-    that era is read.
+    A reading of a later era than the view's confirms nothing until a full
+    read of that era.
     """
     if views.is_restored(daemon.view, reading.revision):
         return False
--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -1,8 +1,8 @@
-"""Polls of other daemons for what is new, kept until there is news.
+"""Answers polls of other daemons, held open until there are changes.
 
-Nothing is held for a daemon but its poll: what it is told is what
-changed after its own content when it is answered, so changes of one entry
-coalesce and a daemon that reads slowly costs no memory.
+Only the poll itself is kept. The answer has what changed since the revision
+that the poll names, computed when it is sent. So several changes of an entry
+coalesce, and a daemon that reads slowly costs no memory.
 """
 
 from __future__ import annotations
@@ -21,19 +21,21 @@
     from sassafrasstair.forwarding import _state
     from sassafrasstair import httpio
 
-KEPT_MAX = 300
-"""Polls kept at once; a daemon is followed by six, and by all of its
-failure domain, 222, if these know no other. More are refused,
-and whoever is refused turns to another daemon."""
-ENCODED_KEPT = 16
-"""Answers kept encoded: followers mostly ask from the same content."""
+HELD_POLLS_MAX = 300
+"""Greatest number of held polls. A daemon has six followers, or all 222
+daemons of its failure domain if these know no other. Further polls are
+refused, and their senders turn to another daemon."""
+ENCODED_ANSWERS_MAX = 16
+"""Cached answers; followers mostly poll from the same revision."""
 
 
 @dataclasses.dataclass(eq=False, slots=True)
 class HeldPoll:
-    """One poll for what changed after ``after``, kept ``until``.
+    """A poll that is held open until there are changes.
 
-    ``came`` is when it was read.
+    ``after`` is the revision from which the sender needs changes. The poll
+    was read at ``received_at`` and is answered at ``held_until`` at the
+    latest.
     """
 
     exchange: httpio.Exchange
@@ -45,10 +47,10 @@
 def serve(
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
-    """Answer a poll, or keep it until there is news."""
-    field = exchange.request.headers.get(_feed_wire.HEADER_LOWER)
+    """Answer a poll, or hold it open until there are changes."""
+    header = exchange.request.headers.get(_feed_wire.HEADER_LOWER)
     try:
-        after, hold = _feed_wire.decode_poll(query, field)
+        after, hold_seconds = _feed_wire.decode_poll(query, header)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         exchange.respond(400, [], b"")
@@ -59,21 +61,21 @@
     ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
         return
-    if hold is None:
+    if hold_seconds is None:
         _serve_snapshot(daemon, exchange, after)
         return
     peer = exchange.peer_host
     _crash_updates.receive(daemon, peer, exchange.request.headers)
-    news = (
+    must_answer = (
         daemon.view.content_revision > after
         or _crash_updates.needs_full_update(daemon, peer)
     )
     now = daemon.clock.monotonic()
-    poll = HeldPoll(exchange, after, now + hold, now)
-    if news or not hold or daemon.leaving:
+    poll = HeldPoll(exchange, after, now + hold_seconds, now)
+    if must_answer or not hold_seconds or daemon.leaving:
         _answer(daemon, poll)
         return
-    if len(daemon.held_polls) >= KEPT_MAX:
+    if len(daemon.held_polls) >= HELD_POLLS_MAX:
         exchange.respond(503, [], b"")
         return
     daemon.held_polls.append(poll)
@@ -81,7 +83,7 @@
 
 
 def status_header(daemon: _state.Daemon) -> tuple[bytes, bytes]:
-    """Return the field that tells how far and how fresh the own view is."""
+    """Return the header with the revision and age of this daemon's view."""
     view, now = daemon.view, daemon.clock.monotonic()
     status = feeds.PeerStatus(
         view.revision,
@@ -96,20 +98,20 @@
 
 
 def answer_outdated(daemon: _state.Daemon) -> None:
-    """Answer all for whom there is news."""
+    """Answer the polls of all daemons that lack changes."""
     daemon.encoded_answers.clear()
-    _answer_if(daemon, lambda one: daemon.view.content_revision > one.after)
+    _answer_if(daemon, lambda held: daemon.view.content_revision > held.after)
 
 
 def answer_all(daemon: _state.Daemon) -> None:
-    """Answer all: what this daemon says of itself has changed."""
-    _answer_if(daemon, lambda one: True)
+    """Answer all polls, as the status of this daemon has changed."""
+    _answer_if(daemon, lambda held: True)
 
 
 def answer_with_crashes(
-    daemon: _state.Daemon, told: tuple[bytes, bytes]
+    daemon: _state.Daemon, header: tuple[bytes, bytes]
 ) -> None:
-    """Answer with what is new of crashes all who may not know it."""
+    """Answer all polls of daemons that may lack the new crash records."""
     due = [
         poll
         for poll in daemon.held_polls
@@ -117,22 +119,24 @@
     ]
     daemon.held_polls = [poll for poll in daemon.held_polls if poll not in due]
     for poll in due:
-        _answer(daemon, poll, told)
+        _answer(daemon, poll, header)
 
 
 def tick(daemon: _state.Daemon, now: float) -> None:
-    """Answer those that have waited for as long as they asked for."""
+    """Answer the polls whose hold time has passed."""
     if daemon.held_polls:
-        _answer_if(daemon, lambda one: one.held_until <= now)
+        _answer_if(daemon, lambda held: held.held_until <= now)
 
 
 def _answer_if(
-    daemon: _state.Daemon, wanted: typing.Callable[[HeldPoll], bool]
+    daemon: _state.Daemon, is_due: typing.Callable[[HeldPoll], bool]
 ) -> None:
-    due = [one for one in daemon.held_polls if wanted(one)]
+    due = [held for held in daemon.held_polls if is_due(held)]
     if not due:
         return
-    daemon.held_polls = [one for one in daemon.held_polls if not wanted(one)]
+    daemon.held_polls = [
+        held for held in daemon.held_polls if not is_due(held)
+    ]
     for poll in due:
         _answer(daemon, poll)
 
@@ -140,24 +144,26 @@
 def _answer(
     daemon: _state.Daemon,
     poll: HeldPoll,
-    told: tuple[bytes, bytes] | None = None,
+    crash_header: tuple[bytes, bytes] | None = None,
 ) -> None:
-    body = _encoded(daemon, poll.after)
-    told = told or _crash_updates.header(daemon, poll.exchange.peer_host)
+    body = _encode_changes(daemon, poll.after)
+    crash_header = crash_header or _crash_updates.header(
+        daemon, poll.exchange.peer_host
+    )
     poll.exchange.gone = None
-    held = daemon.clock.monotonic() - poll.received_at
-    confirmed = _confirmations.headers(daemon, held)
-    fields = [status_header(daemon), told, *confirmed]
-    poll.exchange.respond(200, fields, body)
+    held_seconds = daemon.clock.monotonic() - poll.received_at
+    confirmed = _confirmations.headers(daemon, held_seconds)
+    headers = [status_header(daemon), crash_header, *confirmed]
+    poll.exchange.respond(200, headers, body)
 
 
-def _encoded(daemon: _state.Daemon, after: int) -> bytes:
+def _encode_changes(daemon: _state.Daemon, after: int) -> bytes:
     if after >= daemon.view.content_revision:
         return b""
     body = daemon.encoded_answers.get(after)
     if body is None:
         body = _feed_wire.encode_delta(views.delta_since(daemon.view, after))
-        if len(daemon.encoded_answers) >= ENCODED_KEPT:
+        if len(daemon.encoded_answers) >= ENCODED_ANSWERS_MAX:
             daemon.encoded_answers.clear()
         daemon.encoded_answers[after] = body
     return body
@@ -166,7 +172,7 @@
 def _serve_snapshot(
     daemon: _state.Daemon, exchange: httpio.Exchange, after: int
 ) -> None:
-    """Answer a daemon of the version before: all that is known."""
+    """Answer a daemon of the previous release with the whole view."""
     if after >= daemon.view.content_revision:
         exchange.respond(204, [], b"")
         return
--- a/src/sassafrasstair/histograms.py
+++ b/src/sassafrasstair/histograms.py
@@ -1,8 +1,9 @@
 """Histograms as plain counts, rendered by ``aioprometheus``.
 
-Its collectors take 7 to 10 us for each observation, for they encode the
-labels each time. So counts are kept here and become collectors only when
-somebody reads them; the library is imported then, for its 5 MB.
+The library's collectors take 7 to 10 us for each observation, as they encode
+the labels each time. So counts are kept here and are copied to collectors
+only when metrics are read. The library is imported only then, as it takes
+5 MB.
 """
 
 from __future__ import annotations
@@ -35,29 +36,29 @@
     30.0,
     60.0,
 )
-"""Upper bounds in seconds: a hop takes 1 ms, large bodies take minutes."""
+"""Upper bounds in seconds: from 1 ms for a hop to minutes for large bodies."""
 
 
 PREFIX = "sassafrasstair_"
 _HEADER_LINES = 2
-_SERIES_A_PART = 2
+_SERIES_PER_PART = 2
 
 Labels = tuple[tuple[str, str], ...]
 
 
 @dataclasses.dataclass(slots=True)
 class Series:
-    """One histogram: counts for each bucket, the last is +Inf."""
+    """One histogram: a count per bucket, of which the last is +Inf."""
 
     counts: list[int] = dataclasses.field(
         default_factory=lambda: [0] * (len(BUCKETS) + 1)
     )
-    total: float = 0.0
+    sum_seconds: float = 0.0
 
     def observe(self, seconds: float) -> None:
         """Count one value."""
         self.counts[bisect.bisect_left(BUCKETS, seconds)] += 1
-        self.total += seconds
+        self.sum_seconds += seconds
 
 
 def render(registry: collectors_module.Registry) -> bytes:
@@ -70,22 +71,22 @@
 
 def render_counter(
     name: str,
-    text: str,
+    help_text: str,
     labels: tuple[str, ...],
     counts: abc.Mapping[typing.Any, int],
 ) -> bytes:
-    """Return a counter whose series are keyed by their labels' values."""
+    """Return a counter whose series are keyed by their label values."""
     from aioprometheus import collectors
 
     registry = collectors.Registry()
-    counter = collectors.Counter(PREFIX + name, text, None, registry)
+    counter = collectors.Counter(PREFIX + name, help_text, None, registry)
     for values, count in counts.items():
         counter.set(dict(zip(labels, values, strict=True)), count)
     return render(registry)
 
 
 def render_gauges(gauges: abc.Mapping[str, float]) -> bytes:
-    """Return gauges without labels, by their names."""
+    """Return gauges without labels from their values by name."""
     from aioprometheus import collectors
 
     registry = collectors.Registry()
@@ -96,33 +97,35 @@
 
 
 def render_parts(
-    name: str, text: str, series: abc.Mapping[Labels, Series]
+    name: str, help_text: str, series: abc.Mapping[Labels, Series]
 ) -> abc.Iterator[bytes]:
     """Yield a histogram in parts, the HELP and TYPE lines in the first."""
     from aioprometheus import collectors
 
     entries = iter(series.items())
-    skipped = 0
-    while some := list(itertools.islice(entries, _SERIES_A_PART)):
+    lines_to_skip = 0
+    while batch := list(itertools.islice(entries, _SERIES_PER_PART)):
         registry = collectors.Registry()
         collector = collectors.Histogram(
-            PREFIX + name, text, None, registry, BUCKETS
+            PREFIX + name, help_text, None, registry, BUCKETS
         )
-        for labels, one in some:
-            collector.set_value(dict(labels), _filled(one))
+        for labels, one_series in batch:
+            collector.set_value(
+                dict(labels), _to_library_histogram(one_series)
+            )
         lines = render(registry).splitlines(keepends=True)
-        yield b"".join(lines[skipped:])
-        skipped = _HEADER_LINES
+        yield b"".join(lines[lines_to_skip:])
+        lines_to_skip = _HEADER_LINES
 
 
 def render_histogram(
-    name: str, text: str, series: abc.Mapping[Labels, Series]
+    name: str, help_text: str, series: abc.Mapping[Labels, Series]
 ) -> bytes:
-    """Return a histogram whole."""
-    return b"".join(render_parts(name, text, series))
+    """Return a whole histogram."""
+    return b"".join(render_parts(name, help_text, series))
 
 
-def _filled(series: Series) -> histogram_module.Histogram:
+def _to_library_histogram(series: Series) -> histogram_module.Histogram:
     from aioprometheus import histogram
 
     filled = histogram.Histogram(*BUCKETS)
@@ -130,5 +133,5 @@
     for bound, total in zip(filled.buckets, totals, strict=True):
         filled.buckets[bound] = total
     filled.observations = sum(series.counts)
-    filled.sum = series.total
+    filled.sum = series.sum_seconds
     return filled
