--- a/src/sassafrasstair/daemons/_links.py
+++ b/src/sassafrasstair/daemons/_links.py
@@ -16,7 +16,7 @@
 SEND_TIMEOUT_MS = 400
 RECONNECT_MIN_MS = 50
 RECONNECT_MAX_MS = 1_000
-KEEP_IDLE_SECONDS = 60.0
+MAX_IDLE_SECONDS = 60.0
 
 Exchange = typing.Callable[
     [str, _messages.Message, float],
@@ -77,7 +77,7 @@
     One exchange may wait for a slow upstream longer than that: its link is
     not idle, and closing it would make the answer unknown.
     """
-    oldest = time.monotonic() - KEEP_IDLE_SECONDS
+    oldest = time.monotonic() - MAX_IDLE_SECONDS
     for address, link in list(links.by_address.items()):
         if not link.in_flight and link.last_used_at < oldest:
             link.socket.close()
--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -27,7 +27,7 @@
 ) -> daemons.RunAnswer:
     """Return the upstream's answer, or its beginning when ``more``."""
     return daemons.RunAnswer(
-        attempt_id=attempt.run.attempt_id,
+        attempt_id=attempt.message.attempt_id,
         incarnation=slot.incarnation,
         outcome=_Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
@@ -36,7 +36,7 @@
         limit=slot.guard.limit,
         service_seconds=load.service_seconds(slot.guard),
         floor=_slots.shed_floor(
-            slot, attempt.run.request_class, attempt.run.tenant
+            slot, attempt.message.request_class, attempt.message.tenant
         ),
         status=response.status,
         headers=response.headers,
@@ -53,7 +53,7 @@
     reason: outcomes.Reason,
     *,
     spent: int = 0,
-    after: float = 0.0,
+    retry_after: float = 0.0,
 ) -> daemons.RunAnswer:
     """Return a refusal; ``after`` is in seconds, 0 for the class's rule."""
     return daemons.RunAnswer(
@@ -61,7 +61,7 @@
         incarnation=slot.incarnation,
         outcome=outcome.value,
         reason=reason.value,
-        retry_after_ms=int(after * 1000),
+        retry_after_ms=int(retry_after * 1000),
         retries_spent=spent,
         busy=load.busy(slot.guard),
         limit=slot.guard.limit,
@@ -74,7 +74,7 @@
     slot: _slots.Slot,
     attempt: _attempts.Attempt,
     result: once.Result,
-    after: float = 0.0,
+    retry_after: float = 0.0,
 ) -> daemons.RunAnswer:
     """Return the refusal for how an attempt ended."""
     outcome = _Outcome.UNKNOWN
@@ -85,11 +85,11 @@
         reason = result.reason
     return refusal(
         slot,
-        attempt.run,
+        attempt.message,
         outcome,
         reason,
         spent=attempt.retries_spent,
-        after=after,
+        retry_after=retry_after,
     )
 
 
--- a/src/sassafrasstair/runtime/_attempts.py
+++ b/src/sassafrasstair/runtime/_attempts.py
@@ -17,7 +17,7 @@
 DIGEST_BYTES = 16
 PART_QUEUE_SIZE = 2
 
-_NO_MORE = daemons.BodyPart("", -1, b"")
+_END_OF_PARTS = daemons.BodyPart("", -1, b"")
 
 
 def new_digest(data: bytes = b"") -> hashlib.blake2b:
@@ -36,7 +36,7 @@
     last part of a long body has come.
     """
 
-    run: daemons.Run
+    message: daemons.Run
     deadline: float
     admission: asyncio.Future[load.Start | load.TurnAway]
     request_parts: asyncio.Queue[daemons.BodyPart]
@@ -59,13 +59,13 @@
     @property
     def body_is_complete(self) -> bool:
         """Whether all of the request's body is here or at the upstream."""
-        return self.body_received or not self.run.more
+        return self.body_received or not self.message.more
 
     def unblock_body_reader(self) -> None:
         """Let whoever waits for a part of the body see that none comes."""
         while not self.request_parts.empty():
             self.request_parts.get_nowait()
-        self.request_parts.put_nowait(_NO_MORE)
+        self.request_parts.put_nowait(_END_OF_PARTS)
 
 
 def new_attempt(run: daemons.Run, deadline: float) -> Attempt:
--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -26,9 +26,9 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-ARRIVAL_SECONDS = 1.0
+ATTEMPT_WAIT_SECONDS = 1.0
 
-_GONE = daemons.AnswerPart(b"", gone=True)
+_LOST_PART = daemons.AnswerPart(b"", gone=True)
 
 
 class BodyBroken(Exception):
@@ -43,9 +43,9 @@
     Raises ``BodyBroken`` instead of ending early: the upstream must see a
     cut connection and not a short body that looks whole.
     """
-    digest = _attempts.new_digest(attempt.run.body)
-    length = len(attempt.run.body)
-    yield attempt.run.body
+    digest = _attempts.new_digest(attempt.message.body)
+    length = len(attempt.message.body)
+    yield attempt.message.body
     last = False
     while not last:
         part = await attempt.request_parts.get()
@@ -58,7 +58,7 @@
             raise BodyBroken("digest differs")
         if part.data:
             yield part.data
-    if attempt.run.body_length not in (-1, length):
+    if attempt.message.body_length not in (-1, length):
         raise BodyBroken("length differs")
 
 
@@ -68,11 +68,11 @@
     """Take one part of a request's body; the reply waits for room."""
     attempt = slot.attempts.get(part.attempt_id)
     if attempt is None and part.sequence == 0:
-        attempt = await _arrival(slot, part.attempt_id)
+        attempt = await _wait_for_attempt(slot, part.attempt_id)
     if attempt is None:
         return daemons.PartReply(False)
     if part.sequence == 0:
-        return await _admitted(attempt)
+        return await _reply_when_admitted(attempt)
     if part.sequence != attempt.next_request_part:
         return daemons.PartReply(False)
     attempt.next_request_part += 1
@@ -81,7 +81,7 @@
         attempt.request_parts.put_nowait(part)
         return daemons.PartReply(True)
     putting = asyncio.ensure_future(attempt.request_parts.put(part))
-    return daemons.PartReply(await _unless_ended(attempt, putting))
+    return daemons.PartReply(await _wait_unless_ended(attempt, putting))
 
 
 async def read_answer_part(
@@ -90,16 +90,18 @@
     """Return the next part of an answer that is still coming."""
     attempt = slot.attempts.get(message.attempt_id)
     if attempt is None or attempt.answer_chunks is None:
-        return _GONE
+        return _LOST_PART
     attempt.answer_parts_sent += 1
     if message.sequence != attempt.answer_parts_sent:
         _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
-        return _GONE
+        return _LOST_PART
     try:
-        data = await _read(slot, attempt, attempt.answer_chunks)
+        data = await _read_before_deadline(
+            slot, attempt, attempt.answer_chunks
+        )
     except (upstreams.UpstreamError, TimeoutError):
         _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
-        return _GONE
+        return _LOST_PART
     record_answer_part(attempt, data)
     if data:
         return daemons.AnswerPart(data)
@@ -112,7 +114,7 @@
     attempt.answer_length += len(data)
 
 
-async def _read(
+async def _read_before_deadline(
     slot: _slots.Slot,
     attempt: _attempts.Attempt,
     rest: abc.AsyncIterator[bytes],
@@ -122,7 +124,7 @@
     In a task of its own, so that a cancellation of the attempt ends it and
     the upstream sees that at once, and not at the deadline.
     """
-    reading = asyncio.ensure_future(_next(rest))
+    reading = asyncio.ensure_future(_next_chunk(rest))
     attempt.pending_read = reading
     left = max(0.0, _slots.remaining(slot, attempt))
     try:
@@ -134,7 +136,7 @@
     return reading.result()
 
 
-async def _next(rest: abc.AsyncIterator[bytes]) -> bytes:
+async def _next_chunk(rest: abc.AsyncIterator[bytes]) -> bytes:
     return await anext(rest, b"")
 
 
@@ -153,7 +155,7 @@
             yield bytes(held)
 
 
-async def _arrival(
+async def _wait_for_attempt(
     slot: _slots.Slot, attempt_id: str
 ) -> _attempts.Attempt | None:
     """Wait until the attempt is known; None if it is not in time."""
@@ -163,7 +165,7 @@
     # its deadline.
     arrived = slot.arrival_events.setdefault(attempt_id, asyncio.Event())
     try:
-        async with asyncio.timeout(ARRIVAL_SECONDS):
+        async with asyncio.timeout(ATTEMPT_WAIT_SECONDS):
             await arrived.wait()
     except TimeoutError:
         return None
@@ -172,15 +174,19 @@
     return slot.attempts.get(attempt_id)
 
 
-async def _admitted(attempt: _attempts.Attempt) -> daemons.PartReply:
-    if not await _unless_ended(attempt, asyncio.shield(attempt.admission)):
+async def _reply_when_admitted(
+    attempt: _attempts.Attempt,
+) -> daemons.PartReply:
+    if not await _wait_unless_ended(
+        attempt, asyncio.shield(attempt.admission)
+    ):
         return daemons.PartReply(False)
     return daemons.PartReply(
         isinstance(attempt.admission.result(), load.Start)
     )
 
 
-async def _unless_ended(
+async def _wait_unless_ended(
     attempt: _attempts.Attempt, work: asyncio.Future[typing.Any]
 ) -> bool:
     """Wait for ``work``; give it up, and say so, if the attempt ends."""
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -51,7 +51,7 @@
     ask = daemons.TicketRequest(
         service, fields.request_class, fields.caller, fields.tenant
     )
-    return await _take(entry, bundle, ask)
+    return await _request_ticket(entry, bundle, ask)
 
 
 async def attach_child_ticket(
@@ -65,7 +65,7 @@
     that the upstream's repeat of the call carries the same.
     """
     assert ready.parent is not None
-    parent_ticket = ready.parent.run.ticket
+    parent_ticket = ready.parent.message.ticket
     service = ready.call.service
     key = request.fields.child_key
     owner = entry.slot.owner
@@ -78,7 +78,7 @@
             ready.call.caller,
             ready.call.tenant,
         )
-        taken = await _take(entry, ready.bundle, ask)
+        taken = await _request_ticket(entry, ready.bundle, ask)
         if isinstance(taken, callers.Refusal):
             return taken
         known = once.adopt_child(
@@ -90,7 +90,7 @@
     return _entries.with_child_ticket(ready, known, first_use)
 
 
-async def _take(
+async def _request_ticket(
     entry: _entries.Entry, bundle: bundles.Bundle, ask: daemons.TicketRequest
 ) -> callers.TicketReply | callers.Refusal:
     """Ask instances for a ticket; asking again elsewhere runs nothing."""
@@ -106,7 +106,7 @@
             return refusal
         tried.append(target.vm)
         try:
-            given = await entry.ask(target.vm, ask, TICKET_TIMEOUT)
+            given = await entry.exchange(target.vm, ask, TICKET_TIMEOUT)
         except daemons.PeerError:
             refusal = _refusal(outcomes.Reason.PEER_UNREACHABLE, 1.0)
             fleet.observe_call(entry.node, target.vm, False, "", now)
@@ -116,13 +116,13 @@
         if given.ticket:
             expires_in = given.expires_in_ms / 1000
             return callers.TicketReply(given.ticket, expires_in)
-        refusal = _given_refusal(entry, bundle, ask, given)
+        refusal = _refusal_of_callee(entry, bundle, ask, given)
         if refusal.reason is not outcomes.Reason.LEAVING:
             return refusal
     return refusal
 
 
-def _given_refusal(
+def _refusal_of_callee(
     entry: _entries.Entry,
     bundle: bundles.Bundle,
     ask: daemons.TicketRequest,
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -26,10 +26,10 @@
     from sassafrasstair import metrics
 
 TICK_SECONDS = 0.25
-WATCH_FAULT_SECONDS = 5.0
+WATCH_RESTART_SECONDS = 5.0
 
 _LOG = logging.getLogger(__name__)
-_FINDINGS = frozenset({"bundle_refused", "bundle_conflict"})
+_WARNING_EVENTS = frozenset({"bundle_refused", "bundle_conflict"})
 """Events that operators must look into."""
 
 
@@ -52,7 +52,7 @@
     counts: metrics.Metrics
     approvals: dict[bytes, tuple[str, ...]]
     platform_heard_at: float | None = None
-    adopted_at: float = 0.0
+    bundle_adopted_at: float = 0.0
     refused_bundles: dict[str, tuple[str, float]] = dataclasses.field(
         default_factory=dict
     )
@@ -103,14 +103,14 @@
     """Carry out what the fleet decisions ask."""
     for effect in effects:
         if isinstance(effect, fleet.Exchange):
-            _start(control, _exchange(control, effect))
+            _start_task(control, _exchange(control, effect))
         elif isinstance(effect, fleet.Watch):
             _set_watch(control, effect.enabled)
         elif isinstance(effect, fleet.ReadPlatform):
             if not control.watches:
-                _start(control, _read(control, effect.delay))
+                _start_task(control, _read_platform(control, effect.delay))
         elif isinstance(effect, fleet.InForce):
-            control.adopted_at = control.clock.monotonic()
+            control.bundle_adopted_at = control.clock.monotonic()
             control.on_adopted(effect.bundle)
         else:
             _report(control, effect)
@@ -118,10 +118,10 @@
 
 def _report(control: Control, effect: fleet.ReportEvent) -> None:
     level = logging.INFO
-    if effect.event in _FINDINGS:
+    if effect.event in _WARNING_EVENTS:
         level = logging.WARNING
     if effect.event == "bundle_refused":
-        _note_refused(control, effect.fields)
+        _record_refused_bundle(control, effect.fields)
     elif effect.event == "bundle_conflict":
         control.conflict_winners[effect.fields["version"]] = effect.fields[
             "kept"
@@ -129,8 +129,8 @@
     logs.event(_LOG, level, effect.event, **effect.fields)
 
 
-def _note_refused(control: Control, fields: dict[str, str]) -> None:
-    control.counts.count_refused_bundle(_defect(fields["reason"]))
+def _record_refused_bundle(control: Control, fields: dict[str, str]) -> None:
+    control.counts.count_refused_bundle(_defect_of(fields["reason"]))
     now = control.clock.monotonic()
     shown = control.node.refusal_reasons
     control.refused_bundles = {
@@ -141,7 +141,7 @@
     control.refused_bundles[fields["digest"]] = (fields["source"], now)
 
 
-def _defect(reason: str) -> bundles.Defect:
+def _defect_of(reason: str) -> bundles.Defect:
     """Return the sentinel that a refusal's text begins with."""
     name = reason.partition(":")[0].replace(" ", "_")
     known = {defect.value for defect in bundles.Defect}
@@ -150,7 +150,7 @@
     return bundles.Defect.BAD_VALUE
 
 
-def _start(
+def _start_task(
     control: Control, work: abc.Coroutine[typing.Any, typing.Any, None]
 ) -> None:
     task = asyncio.get_running_loop().create_task(work)
@@ -164,7 +164,7 @@
         reply = await daemons.exchange(
             control.links, effect.address, message, effect.timeout
         )
-        decoded = _decoded(reply)
+        decoded = _decode_reply(reply)
     except (daemons.PeerError, fleet.BadMessage):
         effects = fleet.unreachable(
             control.node,
@@ -183,7 +183,7 @@
     apply_effects(control, effects)
 
 
-def _decoded(reply: daemons.Message) -> fleet.Message:
+def _decode_reply(reply: daemons.Message) -> fleet.Message:
     if not isinstance(reply, daemons.Control):
         raise fleet.BadMessage("not a control message")
     return fleet.decode(reply.body)
@@ -198,10 +198,10 @@
         loop = asyncio.get_running_loop()
         control.watches += [
             loop.create_task(
-                _watch(control, configservice.BUNDLES_PREFIX, _took_bundles)
+                _watch(control, configservice.BUNDLES_PREFIX, _handle_bundles)
             ),
             loop.create_task(
-                _watch(control, configservice.VMS_KEY, _took_vms)
+                _watch(control, configservice.VMS_KEY, _handle_vm_list)
             ),
         ]
 
@@ -209,7 +209,7 @@
 async def _watch(
     control: Control,
     prefix: str,
-    took: abc.Callable[[Control, configservice.Snapshot], None],
+    handle_snapshot: abc.Callable[[Control, configservice.Snapshot], None],
 ) -> None:
     index = 0
     while True:
@@ -221,25 +221,25 @@
                 control.counts.count_platform_read,
             )
             if snapshot.index != index:
-                took(control, snapshot)
+                handle_snapshot(control, snapshot)
         except configservice.PlatformError as error:
             # What changed while the watch was lost is unknown: index 0
             # makes the next one a read of the whole, after a spread delay.
             index = 0
-            await asyncio.sleep(_failed(control, error))
+            await asyncio.sleep(_retry_delay(control, error))
             continue
         except Exception:
             # A fault of ours must not end the watch for good: new bundles
             # would never again come into force in this failure domain.
             _LOG.exception("event=watch_fault prefix=%s", prefix)
             index = 0
-            await asyncio.sleep(WATCH_FAULT_SECONDS)
+            await asyncio.sleep(WATCH_RESTART_SECONDS)
             continue
         control.platform_heard_at = control.clock.monotonic()
         index = snapshot.index
 
 
-async def _read(control: Control, delay: float) -> None:
+async def _read_platform(control: Control, delay: float) -> None:
     await asyncio.sleep(delay)
     try:
         control.counts.count_platform_read()
@@ -247,15 +247,17 @@
         control.counts.count_platform_read()
         vms = await control.client.read(configservice.VMS_KEY)
     except configservice.PlatformError as error:
-        effects = _failure(control, error)
+        effects = _process_failure(control, error)
         apply_effects(control, effects)
         return
     control.platform_heard_at = control.clock.monotonic()
-    _took_vms(control, vms)
-    _took_bundles(control, held)
+    _handle_vm_list(control, vms)
+    _handle_bundles(control, held)
 
 
-def _took_bundles(control: Control, snapshot: configservice.Snapshot) -> None:
+def _handle_bundles(
+    control: Control, snapshot: configservice.Snapshot
+) -> None:
     envelopes = list(snapshot.values.values())
     now = control.clock.monotonic()
     apply_effects(
@@ -266,7 +268,9 @@
     )
 
 
-def _took_vms(control: Control, snapshot: configservice.Snapshot) -> None:
+def _handle_vm_list(
+    control: Control, snapshot: configservice.Snapshot
+) -> None:
     raw = snapshot.values.get(configservice.VMS_KEY)
     if raw is None:
         return
@@ -295,7 +299,7 @@
     )
 
 
-def _failure(
+def _process_failure(
     control: Control, error: configservice.PlatformError
 ) -> list[fleet.Effect]:
     logs.event(_LOG, logging.WARNING, "platform_failed", detail=str(error))
@@ -303,10 +307,12 @@
     return fleet.process_platform_failure(control.node, now, control.rng)
 
 
-def _failed(control: Control, error: configservice.PlatformError) -> float:
+def _retry_delay(
+    control: Control, error: configservice.PlatformError
+) -> float:
     """Report a lost watch; return the seconds until the next one."""
     delay = TICK_SECONDS
-    for effect in _failure(control, error):
+    for effect in _process_failure(control, error):
         if isinstance(effect, fleet.ReadPlatform):
             delay = max(delay, effect.delay)
         else:
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -41,7 +41,7 @@
     from sassafrasstair import settings
 
 ACCEPT_WHILE_LEAVING_SECONDS = 2.0
-LEAVE_SECONDS = 2.5
+LEAVE_NOTICE_SECONDS = 2.5
 IDLE_LINK_CHECK_SECONDS = 10.0
 PING_SECONDS = 1.0
 
@@ -93,7 +93,7 @@
         entrance=entrance,
         node=node,
         slot=slot,
-        ask=functools.partial(_ask, links, node, slot),
+        exchange=functools.partial(_exchange, links, node, slot),
         bundle=bundle,
         counts=counts,
     )
@@ -125,12 +125,12 @@
 
     Raises ``OSError`` when one of the addresses can't be bound.
     """
-    chosen = daemon.settings
+    settings_ = daemon.settings
     handler = functools.partial(_handle, daemon)
-    server = daemons.listen(chosen.peers.listen, handler)
+    server = daemons.listen(settings_.peers.listen, handler)
     apps = (
-        (chosen.callers.listen, _callers_app(daemon)),
-        (chosen.operators.listen, _operators_app(daemon)),
+        (settings_.callers.listen, _callers_app(daemon)),
+        (settings_.operators.listen, _operators_app(daemon)),
     )
     try:
         http = await _http.start(apps)
@@ -143,8 +143,8 @@
         _LOG,
         logging.INFO,
         "started",
-        vm=chosen.vm,
-        service=chosen.service,
+        vm=settings_.vm,
+        service=settings_.service,
         incarnation=daemon.incarnation,
     )
     periodic = _start_periodic(daemon)
@@ -155,12 +155,12 @@
         task.cancel()
     await asyncio.gather(*periodic, return_exceptions=True)
     await _close(daemon, server)
-    logs.event(_LOG, logging.INFO, "stopped", vm=chosen.vm)
+    logs.event(_LOG, logging.INFO, "stopped", vm=settings_.vm)
 
 
 def _start_periodic(daemon: Daemon) -> list[asyncio.Task[None]]:
     steps: tuple[tuple[abc.Callable[[], None], float], ...] = (
-        (functools.partial(_beat, daemon), calls.HEARTBEAT_SECONDS),
+        (functools.partial(_heartbeat, daemon), calls.HEARTBEAT_SECONDS),
         (functools.partial(_tick, daemon), _control.TICK_SECONDS),
         (
             functools.partial(daemons.close_idle, daemon.links),
@@ -192,7 +192,7 @@
     _drain(daemon)
     # Peers and callers learn of it meanwhile and are refused, not cut: a
     # closed socket at once would show them as lost answers.
-    await asyncio.sleep(LEAVE_SECONDS)
+    await asyncio.sleep(LEAVE_NOTICE_SECONDS)
     while daemon.slot.attempts or daemon.entry.in_flight:
         await asyncio.sleep(calls.HEARTBEAT_SECONDS)
 
@@ -210,7 +210,7 @@
         await asyncio.sleep(period)
 
 
-def _beat(daemon: Daemon) -> None:
+def _heartbeat(daemon: Daemon) -> None:
     now = daemon.clock.monotonic()
     if calls.note_beat(daemon.slot.pauses, now):
         gap = daemon.slot.pauses.last_pause
@@ -221,11 +221,11 @@
 
 def _tick(daemon: Daemon) -> None:
     _control.tick(daemon.control)
-    _follow_vm_list(daemon)
+    _drain_if_listed_leaving(daemon)
     _status.update_gauges(daemon.metrics, daemon.entry)
 
 
-def _follow_vm_list(daemon: Daemon) -> None:
+def _drain_if_listed_leaving(daemon: Daemon) -> None:
     # The platform said that this VM leaves: its upstream gets nothing new,
     # whoever has not heard of it yet and sends here all the same.
     if fleet.is_leaving(daemon.control.node):
@@ -261,17 +261,17 @@
 async def _ping(daemon: Daemon, vm: str) -> None:
     serving = False
     try:
-        reply = await daemon.entry.ask(vm, daemons.Ping(), PING_SECONDS)
+        reply = await daemon.entry.exchange(vm, daemons.Ping(), PING_SECONDS)
         serving = isinstance(reply, daemons.Pong) and reply.serving
     except daemons.PeerError:
         now = daemon.clock.monotonic()
         fleet.observe_call(daemon.control.node, vm, False, "", now)
-        _drop_lost(daemon, vm)
+        _disconnect_if_unreachable(daemon, vm)
     now = daemon.clock.monotonic()
     calls.probe_ended(daemon.entry.entrance.routes, vm, serving, now)
 
 
-def _drop_lost(daemon: Daemon, vm: str) -> None:
+def _disconnect_if_unreachable(daemon: Daemon, vm: str) -> None:
     # Failure: a VM vanishes without closing its connections, and each call
     # under way there waits for its whole deadline. Closing the link ends
     # them now, as lost, so that they can be tried elsewhere. One's own ping
@@ -309,7 +309,7 @@
     return daemons.NoContent()
 
 
-async def _ask(
+async def _exchange(
     links: daemons.Links,
     node: fleet.Node,
     slot: _slots.Slot,
@@ -318,14 +318,14 @@
     timeout: float,
 ) -> daemons.Message:
     if vm == node.local_record.vm:
-        return await _ask_self(slot, message, timeout)
+        return await _exchange_locally(slot, message, timeout)
     address = fleet.address_of(node, vm)
     if address is None:
         raise daemons.PeerUnreachable(f"no address of {vm}")
     return await daemons.exchange(links, address, message, timeout)
 
 
-async def _ask_self(
+async def _exchange_locally(
     slot: _slots.Slot, message: daemons.Message, timeout: float
 ) -> daemons.Message:
     """Serve a message of this daemon's own entrance without the link."""
@@ -344,7 +344,7 @@
     counts.apply_bundle(bundle)
     service = bundle.services.get(slot.service)
     if service is not None:
-        _size(slot, service)
+        _resize_guard(slot, service)
     logs.event(
         _LOG,
         logging.INFO,
@@ -354,7 +354,7 @@
     )
 
 
-def _size(slot: _slots.Slot, service: bundles.Service) -> None:
+def _resize_guard(slot: _slots.Slot, service: bundles.Service) -> None:
     if slot.guard_sized:
         load.resize(slot.guard, service.slots)
         return
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -25,7 +25,7 @@
 
 _Outcome = outcomes.Outcome
 _Reason = outcomes.Reason
-_PASSING = outcomes.OVERLOAD_REASONS | {
+_TRANSIENT_REASONS = outcomes.OVERLOAD_REASONS | {
     _Reason.ANSWER_CUT_SHORT,
     _Reason.CANCELLED,
     _Reason.DEADLINE_PASSED,
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Progress:
+class _CallProgress:
     """A call under way: its key, its latest attempt and answer."""
 
     key: str
@@ -62,12 +62,14 @@
         ready = await _prepare(entry, request)
         if isinstance(ready, callers.Refusal):
             refusal = _entries.correct_refusal(request.fields, ready)
-            return _refused(entry, request.fields.request_class, refusal)
-        reply = await _drive(entry, ready, request)
+            return _record_and_return(
+                entry, request.fields.request_class, refusal
+            )
+        reply = await _run_attempts(entry, ready, request)
     finally:
         entry.in_flight -= 1
     if isinstance(reply, callers.Refusal):
-        return _refused(entry, ready.call.request_class, reply)
+        return _record_and_return(entry, ready.call.request_class, reply)
     taken = entry.clock.monotonic() - began
     entry.counts.count_answer(
         ready.call.request_class, ready.call.tenant, taken
@@ -84,7 +86,7 @@
     return ready
 
 
-def _refused(
+def _record_and_return(
     entry: _entries.Entry, request_class: str, refusal: callers.Refusal
 ) -> callers.Refusal:
     _entries.record_refusal(entry, request_class, refusal)
@@ -106,7 +108,7 @@
     return _owner_target(entry, ready.owner)
 
 
-async def _drive(
+async def _run_attempts(
     entry: _entries.Entry,
     ready: _entries.PreparedCall,
     request: callers.Request,
@@ -119,7 +121,7 @@
         entry.clock.monotonic(),
         entry.rng,
     )
-    progress = _Progress(key)
+    progress = _CallProgress(key)
     try:
         while isinstance(effect, calls.Send):
             effect = await _attempt(entry, ready, request, effect, progress)
@@ -135,7 +137,7 @@
     ready: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
-    progress: _Progress,
+    progress: _CallProgress,
 ) -> calls.Effect:
     if progress.attempt_id:
         entry.counts.count_retry(ready.call.service)
@@ -147,7 +149,7 @@
     answer, raw = await _transfers.send(entry, transfer, message, request)
     progress.answer = raw
     now = entry.clock.monotonic()
-    _observe(entry, send.target.vm, answer, now)
+    _report_reachability(entry, send.target.vm, answer, now)
     usable = targets(entry, ready)
     if transfer.body_consumed:
         # The rest of the body was passed on once and is not kept, so no
@@ -201,11 +203,11 @@
     entry: _entries.Entry,
     ready: _entries.PreparedCall,
     effect: calls.Effect,
-    progress: _Progress,
+    progress: _CallProgress,
 ) -> callers.Reply | callers.Refusal:
     assert not isinstance(effect, calls.Send)
     if ready.parent is not None:
-        _tell_parent(ready.parent, effect)
+        _update_parent(ready.parent, effect)
     if isinstance(effect, calls.Deliver):
         assert progress.answer is not None
         return _transfers.to_reply(
@@ -214,11 +216,11 @@
     reason = effect.reason
     if ready.owner is not None and reason is _Reason.NO_INSTANCE:
         reason = _Reason.OWNER_GONE
-    after = _come_back(entry, ready, reason, effect.retry_after)
+    after = _retry_after(entry, ready, reason, effect.retry_after)
     return callers.Refusal(effect.outcome, reason, after)
 
 
-def _come_back(
+def _retry_after(
     entry: _entries.Entry,
     ready: _entries.PreparedCall,
     reason: outcomes.Reason,
@@ -228,7 +230,7 @@
 
     0, "coming back is of no use", stays for what no repeat can change.
     """
-    if reason not in _PASSING:
+    if reason not in _TRANSIENT_REASONS:
         return 0.0
     if after > 0:
         return after
@@ -238,7 +240,7 @@
     return entry.rng.uniform(low, high)
 
 
-def _tell_parent(
+def _update_parent(
     parent: _attempts.Attempt, effect: calls.Refuse | calls.Deliver
 ) -> None:
     parent.retries_spent += effect.retries_spent
@@ -249,14 +251,14 @@
         )
 
 
-def _abandon(entry: _entries.Entry, progress: _Progress) -> None:
+def _abandon(entry: _entries.Entry, progress: _CallProgress) -> None:
     now = entry.clock.monotonic()
     attempt_id = calls.abandon_call(entry.entrance, progress.key, now)
     if attempt_id:
         _transfers.cancel(entry, progress.vm, attempt_id)
 
 
-def _observe(
+def _report_reachability(
     entry: _entries.Entry, vm: str, answer: calls.Answer, now: float
 ) -> None:
     if answer.incarnation:
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -44,7 +44,7 @@
     entrance: calls.Entrance
     node: fleet.Node
     slot: _slots.Slot
-    ask: abc.Callable[
+    exchange: abc.Callable[
         [str, daemons.Message, float], abc.Awaitable[daemons.Message]
     ]
     bundle: abc.Callable[[], bundles.Bundle | None]
@@ -184,7 +184,7 @@
             0.0,
             "the parent request has ended",
         )
-    run = parent.run
+    run = parent.message
     length = max(request.length, len(request.body))
     refusal = check_class(bundle, request.service, run.request_class, length)
     if refusal is not None:
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -23,7 +23,7 @@
     from sassafrasstair import bundles
 
 MAX_LARGE_BODIES = 48
-NO_TENANT_SHARE = 1.0
+DEFAULT_TENANT_SHARE = 1.0
 
 _LOG = logging.getLogger(__name__)
 _Outcome = outcomes.Outcome
@@ -40,7 +40,7 @@
         # refused as not run, its answer could come first and be believed.
         slot.duplicate_requests += 1
         return await asyncio.shield(known.task)
-    reason = _unfit(slot, message)
+    reason = _reason_to_refuse(slot, message)
     if message.ticket:
         return await _run_ticket(slot, message, reason, now)
     if reason is not _Reason.NONE:
@@ -48,7 +48,9 @@
     return await _run(slot, message, now)
 
 
-def _unfit(slot: _slots.Slot, message: daemons.Run) -> outcomes.Reason:
+def _reason_to_refuse(
+    slot: _slots.Slot, message: daemons.Run
+) -> outcomes.Reason:
     bundle = slot.bundle()
     if bundle is None:
         return _Reason.NO_BUNDLE
@@ -73,14 +75,14 @@
     unfit: outcomes.Reason,
     now: float,
 ) -> daemons.RunAnswer:
-    arrival = _arrive(slot, message, unfit, now)
+    arrival = _process_arrival(slot, message, unfit, now)
     if isinstance(arrival, once.Run):
         slot.ticket_end_events[message.ticket] = asyncio.Event()
         return await _run(slot, message, now)
     if isinstance(arrival, once.Join):
         await _wait_for_end(slot, message)
         now = slot.clock.monotonic()
-        arrival = _arrive(slot, message, unfit, now)
+        arrival = _process_arrival(slot, message, unfit, now)
     if isinstance(arrival, once.Replay):
         return _answers.stored_answer(slot, message, arrival.result)
     if isinstance(arrival, once.Refused):
@@ -89,7 +91,7 @@
     return _answers.refusal(slot, message, _Outcome.UNKNOWN, reason)
 
 
-def _arrive(
+def _process_arrival(
     slot: _slots.Slot,
     message: daemons.Run,
     unfit: outcomes.Reason,
@@ -128,11 +130,11 @@
     slot.large_bodies += message.more
     # A task of its own: the guard aborts it, and a caller that goes away
     # while others have joined the same ticket does not end it.
-    attempt.task = asyncio.ensure_future(_work(slot, attempt))
+    attempt.task = asyncio.ensure_future(_execute(slot, attempt))
     return await asyncio.shield(attempt.task)
 
 
-async def _work(
+async def _execute(
     slot: _slots.Slot, attempt: _attempts.Attempt
 ) -> daemons.RunAnswer:
     result: once.Result
@@ -146,12 +148,12 @@
             return _answers.failure_answer(slot, attempt, result, after)
         return await _dispatch(slot, attempt)
     except upstreams.UpstreamError as error:
-        return _failed(slot, attempt, error)
+        return _finish_failed(slot, attempt, error)
     except asyncio.CancelledError:
         result = once.Unknown(_Reason.CANCELLED)
     except Exception:
         # A fault of ours must not leave a ticket running for ever.
-        _LOG.exception("event=attempt_fault id=%s", attempt.run.attempt_id)
+        _LOG.exception("event=attempt_fault id=%s", attempt.message.attempt_id)
         result = once.Unknown(_Reason.UPSTREAM_LOST)
     result = _slots.end_ticket(slot, attempt, result)
     _slots.end_attempt(slot, attempt, load.End.CANCELLED)
@@ -175,7 +177,7 @@
     # await before the request is handed to the upstream's connection.
     now = slot.clock.monotonic()
     remaining = attempt.deadline - now
-    ticket = attempt.run.ticket
+    ticket = attempt.message.ticket
     if remaining <= 0:
         raise upstreams.UpstreamError(
             _Outcome.NOT_RUN, _Reason.DEADLINE_PASSED
@@ -221,7 +223,7 @@
 def _request(
     attempt: _attempts.Attempt, remaining: float
 ) -> upstreams.Request:
-    message = attempt.run
+    message = attempt.message
     body: bytes | abc.AsyncIterator[bytes] = message.body
     if message.more:
         body = _bodies.request_body(attempt)
@@ -243,7 +245,7 @@
     return tuple(headers)
 
 
-def _failed(
+def _finish_failed(
     slot: _slots.Slot,
     attempt: _attempts.Attempt,
     error: upstreams.UpstreamError,
@@ -267,7 +269,7 @@
 
 
 def _to_work(slot: _slots.Slot, attempt: _attempts.Attempt) -> load.Work:
-    message = attempt.run
+    message = attempt.message
     bundle = typing.cast("bundles.Bundle", slot.bundle())
     rules = bundle.classes[message.request_class]
     tenant = bundle.tenants.get(message.tenant)
@@ -278,5 +280,7 @@
         rank=load.rank(rules.importance, message.caller, bundle.version),
         deadline=attempt.deadline,
         max_wait_seconds=rules.refusal.queue_ms / 1000,
-        tenant_share=tenant.share if tenant is not None else NO_TENANT_SHARE,
+        tenant_share=tenant.share
+        if tenant is not None
+        else DEFAULT_TENANT_SHARE,
     )
--- a/src/sassafrasstair/runtime/_http.py
+++ b/src/sassafrasstair/runtime/_http.py
@@ -15,7 +15,7 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-BACKLOG = 2_048
+LISTEN_BACKLOG = 2_048
 KEEPALIVE_SECONDS = 75
 POLL_SECONDS = 0.01
 FLUSH_SECONDS = 30.0
@@ -60,12 +60,12 @@
     """Stop listening, finish the requests in flight, and return."""
     for server in http.servers:
         server.should_exit = True
-    flushing = asyncio.ensure_future(_force_when_answered(http))
+    flushing = asyncio.ensure_future(_force_exit_when_answered(http))
     await asyncio.gather(*http.tasks)
     flushing.cancel()
 
 
-async def _force_when_answered(http: Http) -> None:
+async def _force_exit_when_answered(http: Http) -> None:
     # Failure: a caller that reads nothing more keeps its connection open,
     # with an answer that was written, and the stop never ends. Once every
     # request has been answered, such a connection gets a bounded time.
@@ -91,7 +91,7 @@
     listening = socket.socket(family, socket.SOCK_STREAM)
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listening.bind((host, port))
-    listening.listen(BACKLOG)
+    listening.listen(LISTEN_BACKLOG)
     listening.setblocking(False)
     return listening
 
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -24,7 +24,7 @@
 
 MAX_TICKET_RECORDS = 50_000
 MAX_APPROVALS = 64
-UNSET_SLOTS = 1
+INITIAL_SLOTS = 1
 
 
 def in_force(node: fleet.Node, clock: clocks.Clock) -> bundles.Bundle | None:
@@ -92,19 +92,19 @@
         service=settings_.service,
         incarnation=incarnation,
         clock=clock,
-        guard=load.new_guard(UNSET_SLOTS, now),
+        guard=load.new_guard(INITIAL_SLOTS, now),
         owner=owner,
         upstream=upstreams.connect(settings_.upstream.url),
         bundle=bundle,
         max_callee_floor=functools.partial(
-            _floor_below, settings_.service, entrance, bundle, clock
+            _max_callee_floor, settings_.service, entrance, bundle, clock
         ),
         pauses=calls.Pauses(now),
         counts=counts,
     )
 
 
-def _floor_below(
+def _max_callee_floor(
     service: str,
     entrance: calls.Entrance,
     bundle: typing.Callable[[], bundles.Bundle | None],
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -23,7 +23,7 @@
 
 MAX_CANCELLED = 256
 
-_closing: set[asyncio.Future[None]] = set()
+_closing_tasks: set[asyncio.Future[None]] = set()
 
 
 @dataclasses.dataclass(slots=True)
@@ -77,7 +77,7 @@
 
 def add_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
     """Make the attempt known, also to a body that came before it."""
-    attempt_id = attempt.run.attempt_id
+    attempt_id = attempt.message.attempt_id
     slot.attempts[attempt_id] = attempt
     waiting = slot.arrival_events.get(attempt_id)
     if waiting is not None:
@@ -88,11 +88,11 @@
     """Drop an attempt that nobody waits for any more."""
     attempt = slot.attempts.get(attempt_id)
     if attempt is None:
-        _note_cancelled(slot, attempt_id)
+        _record_early_cancel(slot, attempt_id)
     elif attempt.answer_chunks is not None:
         fail_answer(slot, attempt, outcomes.Reason.CANCELLED)
-    elif not _must_go_on(slot, attempt):
-        _drop(slot, attempt)
+    elif not _must_finish(slot, attempt):
+        _drop_attempt(slot, attempt)
 
 
 def check_deadlines(slot: Slot) -> None:
@@ -109,7 +109,7 @@
     slot: Slot, attempt: _attempts.Attempt, reason: outcomes.Reason
 ) -> None:
     """Give up on an answer whose body has not been passed on whole."""
-    if attempt.run.attempt_id in slot.attempts:
+    if attempt.message.attempt_id in slot.attempts:
         end_ticket(slot, attempt, once.Unknown(reason))
         end_attempt(slot, attempt, load.End.FAILED)
 
@@ -118,20 +118,20 @@
     """Forget the attempt and tell the guard how it ended."""
     if forget_attempt(slot, attempt):
         now = slot.clock.monotonic()
-        attempt_id = attempt.run.attempt_id
+        attempt_id = attempt.message.attempt_id
         started = slot.guard.running.get(attempt_id, now)
-        slot.counts.count_attempt(attempt.run.request_class, now - started)
+        slot.counts.count_attempt(attempt.message.request_class, now - started)
         apply_effects(slot, load.finish(slot.guard, attempt_id, how, now))
 
 
 def forget_attempt(slot: Slot, attempt: _attempts.Attempt) -> bool:
     """Forget the attempt; False if that was done before."""
-    known = slot.attempts.pop(attempt.run.attempt_id, None)
+    known = slot.attempts.pop(attempt.message.attempt_id, None)
     if known is None:
         return False
-    slot.large_bodies -= attempt.run.more
+    slot.large_bodies -= attempt.message.more
     attempt.ended.set()
-    if attempt.run.more:
+    if attempt.message.more:
         attempt.unblock_body_reader()
     if attempt.pending_read is not None:
         attempt.pending_read.cancel()
@@ -144,7 +144,7 @@
     slot: Slot, attempt: _attempts.Attempt, result: once.Result
 ) -> once.Result:
     """Record a ticket's end; return what its callers must be told."""
-    ticket = attempt.run.ticket
+    ticket = attempt.message.ticket
     if not ticket:
         return result
     told = once.finish_execution(
@@ -167,7 +167,7 @@
     return attempt.deadline - slot.clock.monotonic()
 
 
-def _note_cancelled(slot: Slot, attempt_id: str) -> None:
+def _record_early_cancel(slot: Slot, attempt_id: str) -> None:
     # Failure: each message has an exchange of its own, so a cancellation may
     # be handled before its request, which then runs with nobody waiting.
     slot.cancelled_early[attempt_id] = None
@@ -175,22 +175,22 @@
         del slot.cancelled_early[next(iter(slot.cancelled_early))]
 
 
-def _must_go_on(slot: Slot, attempt: _attempts.Attempt) -> bool:
+def _must_finish(slot: Slot, attempt: _attempts.Attempt) -> bool:
     """Return whether once-only work goes on without its caller.
 
     Cancelled at the upstream it would be unknown for ever; let end, it
     gives the caller's repeat, which carries the same ticket, a true answer.
     A body that has not come whole can't end, so it is cancelled.
     """
-    ticket = attempt.run.ticket
+    ticket = attempt.message.ticket
     if not ticket or not attempt.body_is_complete:
         return False
-    started = attempt.run.attempt_id in slot.guard.running
+    started = attempt.message.attempt_id in slot.guard.running
     return started or slot.ticket_joiners.get(ticket, 0) > 0
 
 
-def _drop(slot: Slot, attempt: _attempts.Attempt) -> None:
-    attempt_id = attempt.run.attempt_id
+def _drop_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
+    attempt_id = attempt.message.attempt_id
     now = slot.clock.monotonic()
     apply_effects(slot, load.cancel(slot.guard, attempt_id, now))
     if attempt_id not in slot.guard.running and not attempt.admission.done():
@@ -208,8 +208,8 @@
 
 def _close(rest: abc.AsyncGenerator[bytes, None]) -> None:
     task = asyncio.ensure_future(_aclose(rest))
-    _closing.add(task)
-    task.add_done_callback(_closing.discard)
+    _closing_tasks.add(task)
+    task.add_done_callback(_closing_tasks.discard)
 
 
 async def _aclose(rest: abc.AsyncGenerator[bytes, None]) -> None:
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -34,7 +34,7 @@
         incarnation=entry.slot.incarnation,
         state=_state(entry),
         in_force=_in_force(control, entry, shown["in_force"]),
-        newest_seen=_newest(shown["held"]),
+        newest_seen=_newest_bundle(shown["held"]),
         refused_bundles=tuple(
             _refused(control, digest, reason)
             for digest, reason in shown["refused"].items()
@@ -94,7 +94,7 @@
         bundle=operators.BundleId(shown["version"], shown["digest"]),
         mesh=bundle.mesh,
         approved_by=control.approvals.get(held.envelope_digest, ()),
-        age_seconds=_age(control, control.adopted_at),
+        age_seconds=_age(control, control.bundle_adopted_at),
     )
 
 
@@ -122,7 +122,7 @@
     return round(control.clock.monotonic() - since, 1)
 
 
-def _newest(held: list[dict[str, typing.Any]]) -> operators.BundleId:
+def _newest_bundle(held: list[dict[str, typing.Any]]) -> operators.BundleId:
     if not held:
         return operators.BundleId()
     return operators.BundleId(held[-1]["version"], held[-1]["digest"])
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -22,7 +22,7 @@
 
 _Outcome = outcomes.Outcome
 _Reason = outcomes.Reason
-_background: set[asyncio.Future[typing.Any]] = set()
+_background_tasks: set[asyncio.Future[typing.Any]] = set()
 
 
 class BodyTooLarge(Exception):
@@ -60,15 +60,15 @@
         reply = await _exchange(entry, transfer, message, request)
     except BodyTooLarge:
         cancel(entry, transfer.vm, transfer.attempt_id)
-        return _lost(_Reason.BODY_TOO_LARGE), None
+        return _unknown_answer(_Reason.BODY_TOO_LARGE), None
     except daemons.PeerTimeout:
         cancel(entry, transfer.vm, transfer.attempt_id)
-        return _lost(_Reason.DEADLINE_PASSED), None
+        return _unknown_answer(_Reason.DEADLINE_PASSED), None
     except daemons.PeerUnreachable:
-        return _unreachable(), None
+        return _not_run_answer(), None
     except daemons.PeerLost:
-        return _lost(_Reason.PEER_LOST), None
-    return _read(transfer, reply)
+        return _unknown_answer(_Reason.PEER_LOST), None
+    return _check_reply(transfer, reply)
 
 
 async def _exchange(
@@ -80,9 +80,11 @@
     """Return the reply; raise at once what ends the body's passing on."""
     timeout = message.remaining_ms / 1000
     if not request.more:
-        return await entry.ask(transfer.vm, message, timeout)
-    asking = asyncio.ensure_future(entry.ask(transfer.vm, message, timeout))
-    pump = asyncio.ensure_future(_pump(entry, transfer, request, timeout))
+        return await entry.exchange(transfer.vm, message, timeout)
+    asking = asyncio.ensure_future(
+        entry.exchange(transfer.vm, message, timeout)
+    )
+    pump = asyncio.ensure_future(_send_body(entry, transfer, request, timeout))
     both: set[asyncio.Future[typing.Any]] = {asking, pump}
     try:
         await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
@@ -94,21 +96,21 @@
         pump.cancel()
 
 
-def _read(
+def _check_reply(
     transfer: Transfer, reply: daemons.Message
 ) -> tuple[calls.Answer, daemons.RunAnswer | None]:
     # Failure: an answer to another attempt is taken for this one's, and a
     # caller gets another caller's answer. Attempts are named by the
     # entrance's incarnation and a serial, so the names never meet again.
     if not isinstance(reply, daemons.RunAnswer):
-        return _lost(_Reason.PEER_LOST), None
+        return _unknown_answer(_Reason.PEER_LOST), None
     if reply.attempt_id != transfer.attempt_id:
-        return _lost(_Reason.PEER_LOST), None
+        return _unknown_answer(_Reason.PEER_LOST), None
     outcome = _Outcome(reply.outcome)
     reason = _Reason(reply.reason)
-    whole = reply.more or _matches(reply)
+    whole = reply.more or _matches_digest(reply)
     if outcome is _Outcome.DONE and reply.status and not whole:
-        return _lost(_Reason.ANSWER_CUT_SHORT), None
+        return _unknown_answer(_Reason.ANSWER_CUT_SHORT), None
     answer = calls.Answer(
         outcome=outcome,
         reason=reason,
@@ -122,11 +124,11 @@
     return answer, reply
 
 
-def _matches(reply: daemons.RunAnswer) -> bool:
+def _matches_digest(reply: daemons.RunAnswer) -> bool:
     return _attempts.new_digest(reply.body).digest() == reply.digest
 
 
-async def _pump(
+async def _send_body(
     entry: _entries.Entry,
     transfer: Transfer,
     request: callers.Request,
@@ -134,7 +136,7 @@
 ) -> None:
     """Pass on the body's later parts, once the attempt has started."""
     begin = daemons.BodyPart(transfer.attempt_id, 0, b"")
-    if not await _wanted(entry, transfer, begin, timeout):
+    if not await _send_part(entry, transfer, begin, timeout):
         return
     transfer.body_consumed = True
     digest = _attempts.new_digest(request.body)
@@ -147,12 +149,12 @@
             raise BodyTooLarge
         digest.update(data)
         part = daemons.BodyPart(transfer.attempt_id, sequence, data)
-        if not await _wanted(entry, transfer, part, timeout):
+        if not await _send_part(entry, transfer, part, timeout):
             return
     last = daemons.BodyPart(
         transfer.attempt_id, sequence + 1, b"", True, digest.digest()
     )
-    await _wanted(entry, transfer, last, timeout)
+    await _send_part(entry, transfer, last, timeout)
 
 
 async def _chunked(
@@ -168,14 +170,14 @@
         yield bytes(held)
 
 
-async def _wanted(
+async def _send_part(
     entry: _entries.Entry,
     transfer: Transfer,
     part: daemons.BodyPart,
     timeout: float,
 ) -> bool:
     try:
-        reply = await entry.ask(transfer.vm, part, timeout)
+        reply = await entry.exchange(transfer.vm, part, timeout)
     except daemons.PeerError:
         return False
     return isinstance(reply, daemons.PartReply) and reply.wanted
@@ -203,12 +205,12 @@
     headers += (("sassafras-outcome", _Outcome.DONE.value),)
     if not answer.more:
         return callers.Reply(answer.status, headers, answer.body)
-    parts = _rest(entry, vm, answer, deadline)
+    parts = _answer_parts(entry, vm, answer, deadline)
     left = max(0.0, deadline - entry.clock.monotonic())
     return callers.Reply(answer.status, headers, answer.body, parts, left)
 
 
-async def _rest(
+async def _answer_parts(
     entry: _entries.Entry,
     vm: str,
     answer: daemons.RunAnswer,
@@ -222,7 +224,7 @@
             sequence += 1
             ask = daemons.AnswerFetch(answer.attempt_id, sequence)
             left = max(0.0, deadline - entry.clock.monotonic())
-            part = await entry.ask(vm, ask, left)
+            part = await entry.exchange(vm, ask, left)
             if not isinstance(part, daemons.AnswerPart) or part.gone:
                 raise AnswerBroken("a part is gone")
             digest.update(part.data)
@@ -239,19 +241,19 @@
 def cancel(entry: _entries.Entry, vm: str, attempt_id: str) -> None:
     """Tell the callee, without waiting, that nobody waits any more."""
     task = asyncio.ensure_future(_cancel(entry, vm, attempt_id))
-    _background.add(task)
-    task.add_done_callback(_background.discard)
+    _background_tasks.add(task)
+    task.add_done_callback(_background_tasks.discard)
 
 
 async def _cancel(entry: _entries.Entry, vm: str, attempt_id: str) -> None:
     message = daemons.Cancel(attempt_id)
     with contextlib.suppress(daemons.PeerError):
-        await entry.ask(vm, message, CANCEL_TIMEOUT)
+        await entry.exchange(vm, message, CANCEL_TIMEOUT)
 
 
-def _unreachable() -> calls.Answer:
+def _not_run_answer() -> calls.Answer:
     return calls.Answer(_Outcome.NOT_RUN, _Reason.PEER_UNREACHABLE)
 
 
-def _lost(reason: outcomes.Reason) -> calls.Answer:
+def _unknown_answer(reason: outcomes.Reason) -> calls.Answer:
     return calls.Answer(_Outcome.UNKNOWN, reason)
--- a/tests/daemons/test_links.py
+++ b/tests/daemons/test_links.py
@@ -87,7 +87,7 @@
     A link counted as idle by its last send, so the review closed it while
     its one exchange waited for a slow upstream.
     """
-    monkeypatch.setattr(_links, "KEEP_IDLE_SECONDS", 0.0)
+    monkeypatch.setattr(_links, "MAX_IDLE_SECONDS", 0.0)
 
     async def story() -> None:
         address = new_address()
--- a/tests/runtime/conftest.py
+++ b/tests/runtime/conftest.py
@@ -8,4 +8,4 @@
 @pytest.fixture(autouse=True)
 def _short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
     """Let a planned stop, of which most stories have two, be short."""
-    monkeypatch.setattr(_daemon, "LEAVE_SECONDS", 0.05)
+    monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.05)
--- a/tests/runtime/meshes.py
+++ b/tests/runtime/meshes.py
@@ -214,8 +214,8 @@
 async def _feed(control: _control.Control) -> None:
     """Tell the platform's state at once: daemons spread their reads."""
     for prefix, took in (
-        (configservice.VMS_KEY, _control._took_vms),
-        (configservice.BUNDLES_PREFIX, _control._took_bundles),
+        (configservice.VMS_KEY, _control._handle_vm_list),
+        (configservice.BUNDLES_PREFIX, _control._handle_bundles),
     ):
         took(control, await control.client.read(prefix))
 
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -251,7 +251,7 @@
 
     async def story() -> None:
         async with meshes.started(Upstream()) as mesh:
-            monkeypatch.setattr(mesh.front.entry, "ask", fault)
+            monkeypatch.setattr(mesh.front.entry, "exchange", fault)
             answer = await _refused(mesh.call("back"))
             reason = outcomes.Reason.INTERNAL_FAULT.value
             assert answer == (500, "unknown", reason)
--- a/tests/runtime/test_child_repeat.py
+++ b/tests/runtime/test_child_repeat.py
@@ -26,7 +26,7 @@
     assert isinstance(child, once.Issued)
     once.adopt_child(owner, parent.ticket, "ledger", "", child.ticket)
     attempt = types.SimpleNamespace(
-        run=types.SimpleNamespace(ticket=parent.ticket)
+        message=types.SimpleNamespace(ticket=parent.ticket)
     )
     call = calls.Call("1", "ledger", "write-down", "t", "c", 9.0)
     ready = _entries.PreparedCall(
--- a/tests/runtime/test_nested_refusals.py
+++ b/tests/runtime/test_nested_refusals.py
@@ -35,7 +35,7 @@
         error = upstreams.UpstreamError(
             outcomes.Outcome.NOT_RUN, outcomes.Reason.UPSTREAM_REFUSED
         )
-        answer = _execution._failed(slot, attempt, error)
+        answer = _execution._finish_failed(slot, attempt, error)
         assert answer.outcome == "not run"
         return before, slot.guard.limit
 
--- a/tests/runtime/test_planned_stop.py
+++ b/tests/runtime/test_planned_stop.py
@@ -52,7 +52,7 @@
     stops. A server that closes them at once cuts who has just sent; so each
     is told to close its connection with an answer, and go elsewhere.
     """
-    monkeypatch.setattr(_daemon, "LEAVE_SECONDS", 0.5)
+    monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.5)
     ends: collections.Counter[str] = collections.Counter()
 
     async def story() -> None:
@@ -89,7 +89,7 @@
                 runtime.stop(mesh.front)
                 runtime.stop(mesh.back)
                 await meshes.until(lambda: mesh.back.entry.leaving)
-                await asyncio.sleep(2 * _daemon.LEAVE_SECONDS)
+                await asyncio.sleep(2 * _daemon.LEAVE_NOTICE_SECONDS)
                 go.set()
                 assert len(await answer.read()) == DOWNLOAD
 
@@ -104,7 +104,7 @@
     It takes longer than the daemon there goes on after it said that it
     leaves; the link to its entrance is then closed under it.
     """
-    monkeypatch.setattr(_daemon, "LEAVE_SECONDS", 0.05)
+    monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.05)
     began, go = asyncio.Event(), asyncio.Event()
 
     async def slow(request: web.BaseRequest) -> web.StreamResponse:
@@ -123,7 +123,9 @@
             await began.wait()
             runtime.stop(mesh.back)
             await meshes.until(lambda: mesh.back.entry.leaving)
-            await asyncio.wait({asked}, timeout=10 * _daemon.LEAVE_SECONDS)
+            await asyncio.wait(
+                {asked}, timeout=10 * _daemon.LEAVE_NOTICE_SECONDS
+            )
             go.set()
             assert await asked == 200
 
--- a/tests/runtime/test_status.py
+++ b/tests/runtime/test_status.py
@@ -27,8 +27,8 @@
             )
             values = {"bundles/a": b"{}", "bundles/b": envelope}
             offered = configservice.Snapshot(2, values)
-            _control._took_bundles(control, offered)
-            _control._took_bundles(control, offered)
+            _control._handle_bundles(control, offered)
+            _control._handle_bundles(control, offered)
             async with mesh.call("none") as answer:
                 assert answer.status == 404
             bad = {"sassafras-timeout-ms": "x"}
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -91,9 +91,9 @@
 
     control = types.SimpleNamespace(
         client=platform,
-        counts=types.SimpleNamespace(platform_read=lambda: None),
+        counts=types.SimpleNamespace(count_platform_read=lambda: None),
         clock=types.SimpleNamespace(monotonic=loop.time),
-        heard=None,
+        platform_heard_at=None,
     )
     watched = _control._watch(
         typing.cast("_control.Control", control), "bundles/", took
@@ -130,7 +130,7 @@
     answered, and was waited for as long as one that just has no news: 40 s
     and 7.5 s for its answer, at all that watch since the same change.
     """
-    monkeypatch.setattr(_control, "_failed", lambda *_: 1.0)
+    monkeypatch.setattr(_control, "_retry_delay", lambda *_: 1.0)
 
     async def test() -> None:
         taken = await _heard_after(_Platform(), seconds)
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -49,7 +49,7 @@
     earlier attempt came where this one's was waited for.
     """
     transfer = _transfers.Transfer("1.1", "vm-2", 1_000)
-    told, raw = _transfers._read(transfer, answer(attempt_id, body))
+    told, raw = _transfers._check_reply(transfer, answer(attempt_id, body))
     assert told.reason is reason
     assert (raw is None) is (reason is not Reason.NONE)
 
@@ -72,19 +72,21 @@
     """A large survey photo arrives damaged and is taken for whole."""
     left = list(parts)
 
-    async def ask(vm: str, message: daemons.Message, _: float) -> typing.Any:
+    async def exchange(
+        vm: str, message: daemons.Message, _: float
+    ) -> typing.Any:
         if isinstance(message, daemons.AnswerFetch):
             return left.pop(0)
         return daemons.NoContent()
 
     clock = clocks.SystemClock()
     entry = typing.cast("typing.Any", types.SimpleNamespace())
-    entry.ask, entry.clock = ask, clock
+    entry.exchange, entry.clock = exchange, clock
 
     async def story() -> bytes:
         deadline = clock.monotonic() + 10.0
         begun = answer("1.1", b"whole", more=True)
-        rest = _transfers._rest(entry, "vm-2", begun, deadline)
+        rest = _transfers._answer_parts(entry, "vm-2", begun, deadline)
         return b"".join([part async for part in rest])
 
     if is_whole:
