--- a/src/sassafrasstair/daemons/__init__.py
+++ b/src/sassafrasstair/daemons/__init__.py
@@ -1,4 +1,4 @@
-"""The link between daemons: typed messages over pynng."""
+"""Typed messages between daemons, exchanged over pynng."""
 
 from __future__ import annotations
 
--- a/src/sassafrasstair/daemons/_errors.py
+++ b/src/sassafrasstair/daemons/_errors.py
@@ -1,19 +1,19 @@
-"""Errors of the link between daemons, turned from those of pynng."""
+"""Errors of exchanges between daemons, converted from pynng errors."""
 
 from __future__ import annotations
 
 
 class PeerError(Exception):
-    """An exchange with another daemon did not end with its reply."""
+    """An exchange with another daemon ended without a reply."""
 
 
 class PeerUnreachable(PeerError):
-    """Nothing was sent: there was no connection to the peer."""
+    """Nothing was sent because there was no connection to the peer."""
 
 
 class PeerLost(PeerError):
-    """The request may have arrived; its reply will not."""
+    """The request may have arrived, but its reply is lost."""
 
 
 class PeerTimeout(PeerLost):
-    """No reply within the time that the exchange was given."""
+    """No reply arrived within the timeout of the exchange."""
--- a/src/sassafrasstair/daemons/_links.py
+++ b/src/sassafrasstair/daemons/_links.py
@@ -26,7 +26,11 @@
 
 @dataclasses.dataclass(slots=True)
 class _Link:
-    """``used`` is the last begin or end, ``busy`` the exchanges under way."""
+    """A connection to one peer.
+
+    ``last_used_at`` is the monotonic time at which an exchange last began or
+    ended. ``in_flight`` is the number of exchanges in progress.
+    """
 
     socket: pynng.Req0
     last_used_at: float
@@ -45,9 +49,9 @@
 async def exchange(
     links: Links, address: str, message: _messages.Message, timeout: float
 ) -> _messages.Message:
-    """Send one message to the daemon at ``address``; return its reply.
+    """Send one message to the daemon at ``address`` and return its reply.
 
-    ``timeout`` is in seconds and covers both ways. Raises
+    ``timeout`` is in seconds and covers the request and the reply. Raises
     ``PeerUnreachable`` when nothing was sent, ``PeerLost`` otherwise.
     """
     link = _link_to(links, address)
@@ -72,10 +76,11 @@
 
 
 def close_idle(links: Links) -> None:
-    """Close the sockets that no exchange used for a minute.
+    """Close the sockets that no exchange has used for a minute.
 
-    One exchange may wait for a slow upstream longer than that: its link is
-    not idle, and closing it would make the answer unknown.
+    An exchange may wait longer than that for a slow upstream. A link with
+    an exchange in progress is therefore not idle: closing it would lose the
+    answer and leave the outcome unknown.
     """
     oldest = time.monotonic() - MAX_IDLE_SECONDS
     for address, link in list(links.by_address.items()):
@@ -85,14 +90,14 @@
 
 
 def disconnect(links: Links, address: str) -> None:
-    """Close one link; its exchanges under way end with ``PeerLost``."""
+    """Close one link; its exchanges in progress raise ``PeerLost``."""
     link = links.by_address.pop(address, None)
     if link is not None:
         link.socket.close()
 
 
 def close(links: Links) -> None:
-    """Close all sockets; exchanges under way end with ``PeerLost``."""
+    """Close all sockets; exchanges in progress raise ``PeerLost``."""
     for link in links.by_address.values():
         link.socket.close()
     links.by_address.clear()
@@ -108,10 +113,10 @@
 
 
 def _dial(address: str) -> pynng.Req0:
-    # A request socket sends again by itself when a connection is lost: the
-    # attempt would arrive twice, the second time after the caller was told
-    # that its outcome is unknown. A negative resend time ends the exchange
-    # with ConnectionReset instead.
+    # By default a request socket resends its message when a connection is
+    # lost. The attempt would then arrive twice, the second time after the
+    # caller was told that its outcome is unknown. A negative resend time
+    # ends the exchange with ConnectionReset instead.
     socket = pynng.Req0(resend_time=-1, send_timeout=SEND_TIMEOUT_MS)
     socket.reconnect_time_min = RECONNECT_MIN_MS
     socket.reconnect_time_max = RECONNECT_MAX_MS
@@ -132,15 +137,16 @@
     try:
         await context.asend(data)
     except pynng.Timeout as error:
-        # The socket takes a message that timed out off its queue under the
-        # lock that also hands it to a connection: it was not sent.
+        # The socket removes a message that timed out from its queue under
+        # the same lock under which it passes messages to a connection, so
+        # this message was not sent.
         raise _errors.PeerUnreachable("no connection") from error
 
 
 def _raise_if_cancelled() -> None:
-    # Failure: an exchange outlives its timeout, or its caller, by any time.
-    # pynng drops a cancellation that comes when its operation has just
-    # succeeded; the next operation would then wait without a bound.
+    # pynng drops a cancellation that arrives just after its operation has
+    # succeeded. Without this check the next operation would wait without a
+    # bound, and the exchange would outlive its timeout or its caller.
     task = asyncio.current_task()
     if task is not None and task.cancelling():
         raise asyncio.CancelledError
--- a/src/sassafrasstair/daemons/_messages.py
+++ b/src/sassafrasstair/daemons/_messages.py
@@ -1,9 +1,10 @@
-"""What daemons say to each other, as msgpack over SP request/reply.
+"""Messages between daemons, sent as msgpack over SP request/reply.
 
-Times cross as remaining milliseconds, never as instants: the clocks of two
-VMs are not compared. A body up to ``CHUNK_BYTES`` travels inside ``Run`` or
-``RunAnswer``; a longer one follows in parts, each asked for or accepted one
-at a time, so that neither side holds more than a few parts.
+Deadlines are sent as remaining milliseconds and not as timestamps, because
+the clocks of two VMs are not compared. A body of up to ``CHUNK_BYTES`` is
+sent inside ``Run`` or ``RunAnswer``. A longer body follows in parts, which
+are requested or accepted one at a time, so that neither side holds more
+than a few parts.
 """
 
 from __future__ import annotations
@@ -16,10 +17,15 @@
 
 
 class Run(msgspec.Struct, frozen=True, tag="run", array_like=True):
-    """Ask the daemon in the instance's slot to run one attempt.
-
-    ``body_length`` is that of the whole body, -1 where the caller did not
-    say. ``more`` means that the body goes on in ``BodyPart`` messages.
+    """Request one attempt at the upstream of the receiving daemon.
+
+    ``remaining_ms`` is the time left until the deadline. ``retries`` is the
+    number of retries that calls further down the chain may use, and
+    ``depth`` the number of calls above this one. ``ticket`` is empty unless
+    the work is once-only. ``body`` is the beginning of the body and
+    ``body_length`` the length of the whole body, -1 if the caller did not
+    state it. ``more`` means that the body continues in ``BodyPart``
+    messages.
     """
 
     attempt_id: str
@@ -41,14 +47,17 @@
 
 
 class RunAnswer(msgspec.Struct, frozen=True, tag="answer", array_like=True):
-    """The end of one attempt: an upstream's answer, or a refusal.
+    """Result of one attempt: the upstream's answer, or a refusal.
 
     ``outcome`` and ``reason`` are values of the enums in ``outcomes``.
-    ``more`` means that the body goes on: ask with ``AnswerNext``.
-    ``limit`` is the concurrency limit that ``busy`` is a share of and
-    ``service_seconds`` the usual time of service there.
-    ``digest`` is the blake2b of the body so far, of the whole when not
-    ``more``.
+    ``retries_spent`` is the number of retries used by calls further down
+    the chain. ``busy`` is the share of the concurrency limit ``limit`` that
+    is in use, queue included. ``floor`` is the shed floor: requests of a
+    lower rank are shed. ``service_seconds`` is the usual service time.
+    ``status`` is 0 when there is no answer of an upstream. ``more`` means
+    that the body continues; its parts are read with ``AnswerFetch``.
+    ``digest`` is the BLAKE2b digest of the body so far, which is that of
+    the whole body unless ``more`` is set.
     """
 
     attempt_id: str
@@ -69,9 +78,10 @@
 
 
 class BodyPart(msgspec.Struct, frozen=True, tag="part", array_like=True):
-    """One part of a request's body; ``last`` carries the whole's digest.
+    """One part of a request's body.
 
-    Part 0 is empty: its acceptance means that the attempt was started.
+    The part with ``last`` set carries the digest of the whole body. Part 0
+    is empty; the callee accepts it once it has started the attempt.
     """
 
     attempt_id: str
@@ -82,20 +92,24 @@
 
 
 class PartReply(msgspec.Struct, frozen=True, tag="taken", array_like=True):
-    """Reply to ``BodyPart``: whether the attempt still wants parts."""
+    """Reply to ``BodyPart``: whether the attempt accepts more parts."""
 
     wanted: bool
 
 
 class AnswerFetch(msgspec.Struct, frozen=True, tag="next", array_like=True):
-    """Ask for part ``sequence`` of an answer's body, from 1."""
+    """Request part ``sequence`` of an answer's body, counted from 1."""
 
     attempt_id: str
     sequence: int
 
 
 class AnswerPart(msgspec.Struct, frozen=True, tag="anext", array_like=True):
-    """One part of an answer's body. ``gone`` means that it is lost."""
+    """One part of an answer's body.
+
+    ``gone`` means that the rest of the body is lost. The part with ``last``
+    set carries the digest of the whole body.
+    """
 
     data: bytes
     last: bool = False
@@ -104,7 +118,7 @@
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel", array_like=True):
-    """Nobody waits for the attempt any more."""
+    """Cancel an attempt because no caller waits for it any more."""
 
     attempt_id: str
 
@@ -112,7 +126,7 @@
 class TicketRequest(
     msgspec.Struct, frozen=True, tag="ticket", array_like=True
 ):
-    """Ask a callee's daemon for a ticket of its own incarnation."""
+    """Request a ticket from the current process of a callee's daemon."""
 
     service: str
     request_class: str
@@ -123,7 +137,10 @@
 class TicketResponse(
     msgspec.Struct, frozen=True, tag="given", array_like=True
 ):
-    """A ticket, or a refusal where ``ticket`` is empty."""
+    """A ticket, or a refusal if ``ticket`` is empty.
+
+    ``busy`` and ``floor`` are as in ``RunAnswer``.
+    """
 
     ticket: str
     expires_in_ms: int
@@ -136,7 +153,7 @@
 
 
 class Ping(msgspec.Struct, frozen=True, tag="ping", array_like=True):
-    """Ask whether the daemon takes work."""
+    """Ask whether the daemon accepts work."""
 
 
 class Pong(msgspec.Struct, frozen=True, tag="pong", array_like=True):
@@ -147,13 +164,13 @@
 
 
 class Control(msgspec.Struct, frozen=True, tag="control", array_like=True):
-    """A message of ``decisions.fleet``, encoded by its own codec."""
+    """A message of ``decisions.fleet``, encoded by that package."""
 
     body: bytes
 
 
 class NoContent(msgspec.Struct, frozen=True, tag="nothing", array_like=True):
-    """Reply that only says that the message came."""
+    """Reply that only acknowledges the message."""
 
 
 Message = (
@@ -184,5 +201,8 @@
 
 
 def decode(data: bytes) -> Message:
-    """Return the message in ``data``; ``msgspec.DecodeError`` if none."""
+    """Return the message in ``data``.
+
+    Raises ``msgspec.DecodeError`` if ``data`` is not a message.
+    """
     return _decoder.decode(data)
--- a/src/sassafrasstair/daemons/_server.py
+++ b/src/sassafrasstair/daemons/_server.py
@@ -29,10 +29,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Server:
-    """A listening reply socket and its receivers.
+    """A listening reply socket and its receiver tasks.
 
-    Each exchange in progress holds one receiver; a new one is made when
-    few are idle, up to ``MAX_RECEIVERS``.
+    Each exchange in progress occupies one receiver. New receivers are
+    started when fewer than ``IDLE_RECEIVERS`` are idle, up to
+    ``MAX_RECEIVERS`` in total. ``unreadable_messages`` counts the messages
+    that could not be decoded.
     """
 
     socket: pynng.Rep0
@@ -46,9 +48,9 @@
 
 
 def listen(address: str, handler: Handler) -> Server:
-    """Listen at ``address`` ("IP:port"); give each message to ``handler``.
+    """Listen at ``address`` ("IP:port") and pass messages to ``handler``.
 
-    Raises ``OSError`` when the address can't be bound.
+    Raises ``OSError`` if the address can't be bound.
     """
     socket = pynng.Rep0(recv_max_size=MAX_MESSAGE_BYTES)
     socket.tcp_nodelay = True
@@ -63,13 +65,13 @@
 
 
 async def close(server: Server) -> None:
-    """Stop listening; exchanges in progress lose their reply."""
+    """Stop listening; the replies of exchanges in progress are lost."""
     server.closing = True
     while server.tasks:
-        # Again and again: pynng drops a cancellation that comes when its
-        # operation has just succeeded, and the stop would never end. Under
-        # traffic each try may meet a message, so receivers look at the mark
-        # too.
+        # pynng drops a cancellation that arrives just after its operation
+        # has succeeded. One round of cancellations may thus leave receivers
+        # running, and the stop would never end. Under traffic this can
+        # happen in every round, so receivers also check ``closing``.
         for task in server.tasks:
             task.cancel()
         await asyncio.wait(server.tasks, timeout=CLOSE_POLL_SECONDS)
@@ -88,9 +90,9 @@
 
 
 async def _receive(server: Server) -> None:
-    # Failure: a receiver ends by an error and still counts as idle. After
-    # a few of these no new one is made, and every exchange with this daemon
-    # waits for its timeout. So the count goes down however it ends.
+    # The idle count must go down however a receiver ends. If receivers that
+    # failed still counted as idle, no new one would be started after a few
+    # failures, and every exchange with this daemon would time out.
     try:
         with server.socket.new_context() as context:
             while (
@@ -119,7 +121,8 @@
     try:
         await context.asend(encoded)
     except pynng.NNGException:
-        # The peer went away while the handler ran; it reports PeerLost.
+        # The peer disconnected while the handler ran. Its own side of the
+        # exchange raises PeerLost.
         return
 
 
@@ -132,7 +135,7 @@
     try:
         return await server.handler(message)
     except Exception:
-        # A fault of ours: the peer is told at once that there is no answer,
-        # which it takes for unknown, instead of waiting for its timeout.
+        # An internal error. An immediate empty reply lets the peer treat the
+        # outcome as unknown without waiting for its timeout.
         _LOG.exception("event=handler_fault kind=%s", type(message).__name__)
         return _messages.NoContent()
--- a/src/sassafrasstair/runtime/__init__.py
+++ b/src/sassafrasstair/runtime/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon at work: the decisions driven with real time and I/O."""
+"""The running daemon: runs the ``decisions`` with real time and I/O."""
 
 from __future__ import annotations
 
--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -1,4 +1,4 @@
-"""The answers of the callee's side, each with its load and floor."""
+"""Answers of the callee's side, each with its load and shed floor."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     *,
     more: bool,
 ) -> daemons.RunAnswer:
-    """Return the upstream's answer, or its beginning when ``more``."""
+    """Return the upstream's answer, or its beginning if ``more`` is set."""
     return daemons.RunAnswer(
         attempt_id=attempt.message.attempt_id,
         incarnation=slot.incarnation,
@@ -55,7 +55,10 @@
     spent: int = 0,
     retry_after: float = 0.0,
 ) -> daemons.RunAnswer:
-    """Return a refusal; ``after`` is in seconds, 0 for the class's rule."""
+    """Return a refusal.
+
+    ``retry_after`` is in seconds; 0 leaves it to the rules of the class.
+    """
     return daemons.RunAnswer(
         attempt_id=message.attempt_id,
         incarnation=slot.incarnation,
@@ -76,7 +79,7 @@
     result: once.Result,
     retry_after: float = 0.0,
 ) -> daemons.RunAnswer:
-    """Return the refusal for how an attempt ended."""
+    """Return the answer for an attempt that was refused or failed."""
     outcome = _Outcome.UNKNOWN
     reason = outcomes.Reason.ANSWER_NOT_KEPT
     if isinstance(result, once.NotRun):
@@ -96,7 +99,7 @@
 def stored_answer(
     slot: _slots.Slot, message: daemons.Run, result: once.Done | once.Summary
 ) -> daemons.RunAnswer:
-    """Return the stored answer of a ticket that was run before."""
+    """Return the stored answer of a ticket that has already been used."""
     if isinstance(result, once.Summary):
         return refusal(slot, message, _Outcome.DONE, result.reason)
     return daemons.RunAnswer(
--- a/src/sassafrasstair/runtime/_attempts.py
+++ b/src/sassafrasstair/runtime/_attempts.py
@@ -1,4 +1,4 @@
-"""An attempt that is at this VM's upstream, or waits for it."""
+"""Attempts that run at this VM's upstream or wait for it."""
 
 from __future__ import annotations
 
@@ -21,19 +21,29 @@
 
 
 def new_digest(data: bytes = b"") -> hashlib.blake2b:
-    """Return the running digest that both sides of a body keep."""
+    """Return the incremental digest that both ends of a transfer compute."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES)
 
 
 @dataclasses.dataclass(slots=True)
 class Attempt:
-    """State of one attempt; ``deadline`` is a local monotonic instant.
-
-    ``spent`` and the ``child_`` fields gather what the upstream's own
-    calls further down told. ``parts`` holds request parts that the
-    upstream has not taken yet, ``rest`` what it has not answered yet and
-    ``reading`` the read of its next part. ``body_taken`` is true once the
-    last part of a long body has come.
+    """State of one attempt.
+
+    ``message`` is the request that started it and ``deadline`` a time of
+    the local monotonic clock. ``admission`` is set once the guard has
+    decided whether the attempt may start.
+
+    The upstream may make calls of its own. ``retries_spent`` counts the
+    retries of these calls, ``child_refused`` is set if one of them was
+    refused, and ``child_retry_after`` is the longest time, in seconds,
+    after which such a refusal allows a repeat.
+
+    ``request_parts`` holds body parts that the upstream has not read yet;
+    ``next_request_part`` is the sequence number of the next one to arrive
+    and ``body_received`` is set once the last part of a long body has
+    arrived. For an answer longer than one message, ``answer_chunks`` yields
+    the rest of its body, ``pending_read`` is the read in progress of its
+    next part, and ``answer_parts_sent`` counts the parts requested so far.
     """
 
     message: daemons.Run
@@ -58,17 +68,17 @@
 
     @property
     def body_is_complete(self) -> bool:
-        """Whether all of the request's body is here or at the upstream."""
+        """Whether the whole request body has arrived at this daemon."""
         return self.body_received or not self.message.more
 
     def unblock_body_reader(self) -> None:
-        """Let whoever waits for a part of the body see that none comes."""
+        """Wake the reader of the request body: no further part will come."""
         while not self.request_parts.empty():
             self.request_parts.get_nowait()
         self.request_parts.put_nowait(_END_OF_PARTS)
 
 
 def new_attempt(run: daemons.Run, deadline: float) -> Attempt:
-    """Return an attempt that the guard has not decided on yet."""
+    """Return an attempt that the guard has not admitted or refused yet."""
     verdict = asyncio.get_running_loop().create_future()
     return Attempt(run, deadline, verdict, asyncio.Queue(PART_QUEUE_SIZE))
--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -1,12 +1,13 @@
-"""Bodies longer than one message, passed on part by part.
-
-A part is at least ``CHUNK_BYTES`` and at most that and one read of the
-loop (256 KB). At most ``PART_QUEUE`` parts of a request wait here, one more
-is on its way in and one out; of an answer one part is. With the copies that
-encoding and sending make, a transfer holds about 3 MB of a daemon's
-memory, whatever its length (docs/MEASUREMENTS.md, "Large bodies").
-``MAX_LARGE_BODIES`` bounds the requests at once, the instance's slots the
-answers.
+"""Bodies longer than one message, transferred part by part.
+
+A part has at least ``CHUNK_BYTES`` and at most that plus one read of the
+event loop (256 KB). At most ``PART_QUEUE_SIZE`` parts of a request are
+queued here, while one more is being received and one is being sent to the
+upstream. Of an answer, one part is in memory. With the copies made by
+encoding and sending, a transfer uses about 3 MB of a daemon's memory,
+regardless of its length (docs/MEASUREMENTS.md, "Large bodies").
+``MAX_LARGE_BODIES`` bounds the number of concurrent large requests, and the
+slots of the instance bound the number of answers.
 """
 
 from __future__ import annotations
@@ -40,8 +41,8 @@
 ) -> abc.AsyncIterator[bytes]:
     """Yield the whole request body as its parts arrive.
 
-    Raises ``BodyBroken`` instead of ending early: the upstream must see a
-    cut connection and not a short body that looks whole.
+    Raises ``BodyBroken`` if a part is missing, so that the upstream sees a
+    broken connection and not a short body that looks complete.
     """
     digest = _attempts.new_digest(attempt.message.body)
     length = len(attempt.message.body)
@@ -65,7 +66,10 @@
 async def receive_part(
     slot: _slots.Slot, part: daemons.BodyPart
 ) -> daemons.PartReply:
-    """Take one part of a request's body; the reply waits for room."""
+    """Accept one part of a request's body.
+
+    The reply is delayed until the part queue has room.
+    """
     attempt = slot.attempts.get(part.attempt_id)
     if attempt is None and part.sequence == 0:
         attempt = await _wait_for_attempt(slot, part.attempt_id)
@@ -87,7 +91,7 @@
 async def read_answer_part(
     slot: _slots.Slot, message: daemons.AnswerFetch
 ) -> daemons.AnswerPart:
-    """Return the next part of an answer that is still coming."""
+    """Return the next part of an answer that is still being sent."""
     attempt = slot.attempts.get(message.attempt_id)
     if attempt is None or attempt.answer_chunks is None:
         return _LOST_PART
@@ -109,7 +113,7 @@
 
 
 def record_answer_part(attempt: _attempts.Attempt, data: bytes) -> None:
-    """Count a part of the answer's body into its digest and length."""
+    """Add a part of the answer's body to its digest and length."""
     attempt.answer_digest.update(data)
     attempt.answer_length += len(data)
 
@@ -119,10 +123,11 @@
     attempt: _attempts.Attempt,
     rest: abc.AsyncIterator[bytes],
 ) -> bytes:
-    """Return the answer's next part; ``TimeoutError`` if it was dropped.
+    """Return the next part of the answer.
 
-    In a task of its own, so that a cancellation of the attempt ends it and
-    the upstream sees that at once, and not at the deadline.
+    Raises ``TimeoutError`` if the deadline passes or the attempt ends. The
+    read runs in a task of its own, so that cancelling the attempt cancels
+    it and the upstream's connection closes at once, not at the deadline.
     """
     reading = asyncio.ensure_future(_next_chunk(rest))
     attempt.pending_read = reading
@@ -143,7 +148,7 @@
 async def rechunk(
     chunks: abc.AsyncGenerator[bytes, None],
 ) -> abc.AsyncGenerator[bytes, None]:
-    """Yield parts of at least ``CHUNK_BYTES``, only the last shorter."""
+    """Yield parts of at least ``CHUNK_BYTES``; the last may be shorter."""
     held = bytearray()
     async with contextlib.aclosing(chunks):
         async for chunk in chunks:
@@ -158,11 +163,11 @@
 async def _wait_for_attempt(
     slot: _slots.Slot, attempt_id: str
 ) -> _attempts.Attempt | None:
-    """Wait until the attempt is known; None if it is not in time."""
-    # Failure: each message has an exchange of its own, so the question
-    # whether a body is wanted may be handled before its request. Told no,
-    # the entrance sends nothing, and the request waits for its body until
-    # its deadline.
+    """Wait for the request of the attempt; return None if it is late."""
+    # Each message has an exchange of its own, so part 0 of a body may be
+    # handled before the request that it belongs to. If it were rejected,
+    # the entrance would not send the body, and the request would wait for
+    # it until its deadline.
     arrived = slot.arrival_events.setdefault(attempt_id, asyncio.Event())
     try:
         async with asyncio.timeout(ATTEMPT_WAIT_SECONDS):
@@ -189,7 +194,10 @@
 async def _wait_unless_ended(
     attempt: _attempts.Attempt, work: asyncio.Future[typing.Any]
 ) -> bool:
-    """Wait for ``work``; give it up, and say so, if the attempt ends."""
+    """Wait for ``work`` and return whether it finished.
+
+    If the attempt ends first, cancel ``work``.
+    """
     ending = asyncio.ensure_future(attempt.ended.wait())
     both: set[asyncio.Future[typing.Any]] = {work, ending}
     try:
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -1,4 +1,4 @@
-"""Tickets at the entrance: for callers, and for calls deeper in a chain."""
+"""Tickets that an entrance takes for callers and for child calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 async def take_ticket(
     entry: _entries.Entry, service: str, fields: callers.Fields
 ) -> callers.TicketReply | callers.Refusal:
-    """Take a ticket for a caller of once-only work."""
+    """Take a ticket for a caller that requests once-only work."""
     reply = await _take_for_caller(entry, service, fields)
     if isinstance(reply, callers.Refusal):
         _entries.record_refusal(entry, fields.request_class, reply)
@@ -59,10 +59,10 @@
     ready: _entries.PreparedCall,
     request: callers.Request,
 ) -> _entries.PreparedCall | callers.Refusal:
-    """Return a child call of once-only work with its ticket.
+    """Return a once-only child call with its ticket attached.
 
-    The parent's owner is this daemon: it remembers the child's ticket, so
-    that the upstream's repeat of the call carries the same.
+    This daemon owns the parent's ticket and stores the child's ticket with
+    it, so that a repeat of the call by the upstream carries the same one.
     """
     assert ready.parent is not None
     parent_ticket = ready.parent.message.ticket
@@ -93,7 +93,11 @@
 async def _request_ticket(
     entry: _entries.Entry, bundle: bundles.Bundle, ask: daemons.TicketRequest
 ) -> callers.TicketReply | callers.Refusal:
-    """Ask instances for a ticket; asking again elsewhere runs nothing."""
+    """Request a ticket from up to ``TICKET_TRIES`` instances.
+
+    Another instance may safely be tried, since a request for a ticket does
+    not run any work.
+    """
     tried: list[str] = []
     refusal = _refusal(outcomes.Reason.NO_INSTANCE, 1.0)
     for _ in range(TICKET_TRIES):
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -1,7 +1,7 @@
-"""The daemon's part in the fleet: gossip, and the platform's watches.
+"""Gossip between daemons and watches of the platform.
 
-It drives ``decisions.fleet`` with real time, the link to the other
-daemons and the platform's client.
+Runs ``decisions.fleet`` with real time, the links to the other daemons and
+the client of the platform.
 """
 
 from __future__ import annotations
@@ -30,17 +30,20 @@
 
 _LOG = logging.getLogger(__name__)
 _WARNING_EVENTS = frozenset({"bundle_refused", "bundle_conflict"})
-"""Events that operators must look into."""
+"""Events that are logged as warnings, since operators must act on them."""
 
 
 @dataclasses.dataclass(slots=True)
 class Control:
-    """State of the control side. ``adopted`` is told each new bundle.
-
-    ``heard`` is when this daemon itself last heard of the platform,
-    ``adopted_at`` when the bundle in force came into force here.
-    ``approvals`` names who approved an envelope, ``refused`` whence and when
-    one came that was refused, ``kept`` the winner of a version's conflict.
+    """State of the control side of a daemon.
+
+    ``on_adopted`` is called with each bundle that comes into force.
+    ``platform_heard_at`` is when this daemon itself last got an answer of
+    the platform, ``bundle_adopted_at`` when the current bundle came into
+    force here. ``approvals`` maps the SHA-256 of an envelope to the names
+    of its approvers. ``refused_bundles`` maps the digest of a refused
+    bundle to its source and the time of the refusal. ``conflict_winners``
+    maps a version of which two bundles exist to the digest that was kept.
     """
 
     clock: clocks.Clock
@@ -62,19 +65,19 @@
 
 
 def tick(control: Control) -> None:
-    """Let the fleet decisions do what is due."""
+    """Run the fleet work that is due."""
     now = control.clock.monotonic()
     apply_effects(control, fleet.tick(control.node, now, control.rng))
 
 
 def leave(control: Control) -> None:
-    """Tell the others that this VM takes no new work."""
+    """Announce to the other daemons that this VM takes no new work."""
     now = control.clock.monotonic()
     apply_effects(control, fleet.set_leaving(control.node, now, control.rng))
 
 
 def handle(control: Control, message: daemons.Control) -> daemons.Message:
-    """Answer one control message of a peer."""
+    """Handle one control message of a peer and return the reply."""
     try:
         decoded = fleet.decode(message.body)
     except fleet.BadMessage as error:
@@ -91,7 +94,7 @@
 
 
 async def close(control: Control) -> None:
-    """End all tasks and the platform's connections."""
+    """Cancel all tasks and close the connections to the platform."""
     tasks = [*control.watches, *control.tasks]
     for task in tasks:
         task.cancel()
@@ -100,7 +103,7 @@
 
 
 def apply_effects(control: Control, effects: list[fleet.Effect]) -> None:
-    """Carry out what the fleet decisions ask."""
+    """Carry out the effects of fleet decisions."""
     for effect in effects:
         if isinstance(effect, fleet.Exchange):
             _start_task(control, _exchange(control, effect))
@@ -142,7 +145,7 @@
 
 
 def _defect_of(reason: str) -> bundles.Defect:
-    """Return the sentinel that a refusal's text begins with."""
+    """Return the defect that the text of a refusal begins with."""
     name = reason.partition(":")[0].replace(" ", "_")
     known = {defect.value for defect in bundles.Defect}
     if name in known:
@@ -223,13 +226,13 @@
             if snapshot.index != index:
                 handle_snapshot(control, snapshot)
         except configservice.PlatformError as error:
-            # What changed while the watch was lost is unknown: index 0
-            # makes the next one a read of the whole, after a spread delay.
+            # Changes may have been missed while the watch was lost. Index 0
+            # makes the next watch read everything, after a random delay.
             index = 0
             await asyncio.sleep(_retry_delay(control, error))
             continue
         except Exception:
-            # A fault of ours must not end the watch for good: new bundles
+            # An internal error must not end the watch for good: new bundles
             # would never again come into force in this failure domain.
             _LOG.exception("event=watch_fault prefix=%s", prefix)
             index = 0
@@ -310,7 +313,7 @@
 def _retry_delay(
     control: Control, error: configservice.PlatformError
 ) -> float:
-    """Report a lost watch; return the seconds until the next one."""
+    """Process a lost watch and return the seconds until the next one."""
     delay = TICK_SECONDS
     for effect in _process_failure(control, error):
         if isinstance(effect, fleet.ReadPlatform):
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts put together, started, run and stopped."""
+"""Assembly, start and stop of the daemon."""
 
 from __future__ import annotations
 
@@ -65,13 +65,13 @@
 
 
 def new_incarnation(clock: clocks.Clock) -> str:
-    """Return a name of this process; a later start has a greater one."""
+    """Return an ID of this process; a later start has a greater one."""
     milliseconds = int(clock.wall().timestamp() * 1000)
     return f"{milliseconds:012x}{secrets.token_hex(4)}"
 
 
 def build(settings_: settings.Settings, clock: clocks.Clock) -> Daemon:
-    """Return a daemon that has done no I/O yet."""
+    """Return a daemon from its settings, without doing any I/O."""
     rng = random.Random(secrets.randbits(64))
     incarnation = new_incarnation(clock)
     counts = metrics.Metrics()
@@ -121,9 +121,9 @@
 
 
 async def run(daemon: Daemon) -> None:
-    """Serve until ``stop``, then finish what is in flight and return.
+    """Serve until ``stop`` is called, finish requests in flight and return.
 
-    Raises ``OSError`` when one of the addresses can't be bound.
+    Raises ``OSError`` if one of the addresses can't be bound.
     """
     settings_ = daemon.settings
     handler = functools.partial(_handle, daemon)
@@ -135,8 +135,8 @@
     try:
         http = await _http.start(apps)
     except OSError:
-        # Left open, the peers' receivers would go on answering for a
-        # daemon that serves no caller.
+        # If the server for peers stayed open, it would go on answering for
+        # a daemon that serves no callers.
         await _close(daemon, server)
         raise
     logs.event(
@@ -180,32 +180,34 @@
 
 
 def stop(daemon: Daemon) -> None:
-    """Begin a planned stop; a second call changes nothing."""
+    """Begin a planned stop; further calls have no effect."""
     daemon.stopping.set()
 
 
 async def _leave(daemon: Daemon) -> None:
-    """Take no new work, let peers know, and wait for what is in flight."""
+    """Stop taking work, tell the peers, and wait for work in flight."""
     logs.event(_LOG, logging.INFO, "leaving", vm=daemon.settings.vm)
     daemon.entry.leaving = True
     _control.leave(daemon.control)
     _drain(daemon)
-    # Peers and callers learn of it meanwhile and are refused, not cut: a
-    # closed socket at once would show them as lost answers.
+    # Peers and callers need time to learn that this daemon leaves. Until
+    # then their requests are refused: if the sockets were closed at once,
+    # the answers would be lost.
     await asyncio.sleep(LEAVE_NOTICE_SECONDS)
     while daemon.slot.attempts or daemon.entry.in_flight:
         await asyncio.sleep(calls.HEARTBEAT_SECONDS)
 
 
 async def _repeat(step: abc.Callable[[], None], period: float) -> None:
-    """Call ``step`` for ever, each ``period`` seconds."""
+    """Call ``step`` every ``period`` seconds until cancelled."""
     while True:
         try:
             step()
         except Exception:
-            # Failure: one fault ends the task unseen; the daemon serves on
-            # with queues that never expire and members that never change.
-            # The next call may go well, and the fault is in the log.
+            # An exception must not end the task unnoticed: the daemon would
+            # go on serving with queues that never expire and members that
+            # never change. The error is logged, and the next call may
+            # succeed.
             _LOG.exception("periodic_fault")
         await asyncio.sleep(period)
 
@@ -226,19 +228,19 @@
 
 
 def _drain_if_listed_leaving(daemon: Daemon) -> None:
-    # The platform said that this VM leaves: its upstream gets nothing new,
-    # whoever has not heard of it yet and sends here all the same.
+    # The platform lists this VM as leaving. Peers that have not heard of it
+    # yet may still send work, which must not reach the upstream.
     if fleet.is_leaving(daemon.control.node):
         _drain(daemon)
 
 
 def _drain(daemon: Daemon) -> None:
-    """Issue no more tickets, and soon take no more work.
+    """Stop issuing tickets at once, and stop taking work a little later.
 
-    Failure: a call in flight at another entrance picks this instance before
-    that entrance has heard, is refused, and fails if its class allows no
-    retry; so would a ticket that was issued a moment ago. Hearing takes a
-    second or so: until then such work is still taken.
+    An entrance that has not heard yet that this VM leaves may still send a
+    call here. If it were refused, it would fail where its class allows no
+    retry, and so would a call whose ticket was issued a moment ago. The
+    news takes about a second to spread; until then work is accepted.
     """
     if daemon.slot.owner.leaving:
         return
@@ -272,12 +274,13 @@
 
 
 def _disconnect_if_unreachable(daemon: Daemon, vm: str) -> None:
-    # Failure: a VM vanishes without closing its connections, and each call
-    # under way there waits for its whole deadline. Closing the link ends
-    # them now, as lost, so that they can be tried elsewhere. One's own ping
-    # is not enough: where all VMs are slow it would cut work that is about
-    # to end, and the repeats would slow them further. So the fleet must
-    # agree, which asks helpers too.
+    # If a VM disappears without closing its connections, each call in
+    # progress there waits until its deadline. Closing the link ends these
+    # calls at once as lost, so that they can be retried elsewhere. One
+    # failed ping of this daemon is not enough: when all VMs are slow, it
+    # would abort work that is about to end, and the repeats would slow the
+    # VMs further. The fleet's view must agree, which includes probes by
+    # other daemons.
     node = daemon.control.node
     address = fleet.address_of(node, vm)
     if address is not None and not fleet.is_serving(node, vm):
@@ -328,9 +331,9 @@
 async def _exchange_locally(
     slot: _slots.Slot, message: daemons.Message, timeout: float
 ) -> daemons.Message:
-    """Serve a message of this daemon's own entrance without the link."""
-    # A time-out, or a cancellation, ends this wait only: the attempt is a
-    # task of its own, which the entrance's ``Cancel`` then ends.
+    """Handle a message of this daemon's own entrance without a link."""
+    # A timeout or a cancellation ends only this wait. The attempt runs in a
+    # task of its own, which the entrance's ``Cancel`` message ends.
     try:
         async with asyncio.timeout(timeout):
             return await _serve(slot, message)
@@ -358,7 +361,7 @@
     if slot.guard_sized:
         load.resize(slot.guard, service.slots)
         return
-    # The first bundle: nothing can have run before it.
+    # This is the first bundle, and no work runs before it.
     slot.guard_sized = True
     leaving = slot.guard.leaving
     slot.guard = load.new_guard(
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -1,7 +1,6 @@
-"""The entrance's side: a caller's request to its one final answer.
+"""The entrance's side: from a caller's request to its one final answer.
 
-It drives ``decisions.calls`` with real time and the link to the other
-daemons.
+Runs ``decisions.calls`` with real time and the links to the other daemons.
 """
 
 from __future__ import annotations
@@ -39,12 +38,12 @@
     _Reason.UPSTREAM_LOST,
     _Reason.UPSTREAM_UNREACHABLE,
 }
-"""What a later repeat of the same request may find changed."""
+"""Reasons that may no longer hold when the request is repeated later."""
 
 
 @dataclasses.dataclass(slots=True)
 class _CallProgress:
-    """A call under way: its key, its latest attempt and answer."""
+    """A call in progress: its key, its latest attempt and answer."""
 
     key: str
     attempt_id: str = ""
@@ -55,7 +54,7 @@
 async def call(
     entry: _entries.Entry, request: callers.Request
 ) -> callers.Reply | callers.Refusal:
-    """Serve one request; the caller gets its final answer at once."""
+    """Serve one request and return its final answer."""
     began = entry.clock.monotonic()
     entry.in_flight += 1
     try:
@@ -101,7 +100,10 @@
 def targets(
     entry: _entries.Entry, ready: _entries.PreparedCall
 ) -> abc.Sequence[calls.Target]:
-    """Return the instances that may run the call."""
+    """Return the instances that may run the call.
+
+    Once-only work may run only at the instance that issued its ticket.
+    """
     if ready.owner is None:
         now = entry.clock.monotonic()
         return fleet.targets(entry.node, ready.call.service, now)
@@ -126,7 +128,8 @@
         while isinstance(effect, calls.Send):
             effect = await _attempt(entry, ready, request, effect, progress)
     except BaseException:
-        # The caller went away, or a fault of ours: nobody waits any more.
+        # The caller disconnected, or an internal error occurred. In both
+        # cases nobody waits for the call any more.
         _abandon(entry, progress)
         raise
     return _finish(entry, ready, effect, progress)
@@ -152,8 +155,8 @@
     _report_reachability(entry, send.target.vm, answer, now)
     usable = targets(entry, ready)
     if transfer.body_consumed:
-        # The rest of the body was passed on once and is not kept, so no
-        # other instance could get the whole of it.
+        # The rest of the body was sent once and is not stored, so no other
+        # instance could receive the whole body.
         usable = ()
     effect = calls.apply_answer(
         entry.entrance,
@@ -226,9 +229,11 @@
     reason: outcomes.Reason,
     after: float,
 ) -> float:
-    """Return the Retry-After: spread by the class's rule if none is given.
+    """Return the Retry-After of a refusal in seconds.
 
-    0, "coming back is of no use", stays for what no repeat can change.
+    If ``after`` is 0, a random time within the limits of the class is used.
+    The result is 0, which means that a repeat is of no use, for reasons
+    that no repeat can change.
     """
     if reason not in _TRANSIENT_REASONS:
         return 0.0
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -1,4 +1,4 @@
-"""State of the entrance's side of a daemon, and calls made ready for it."""
+"""State of the entrance's side of a daemon, and preparation of calls."""
 
 from __future__ import annotations
 
@@ -35,8 +35,10 @@
 class Entry:
     """State of the entrance's side of one daemon.
 
-    ``ask`` makes an exchange with the daemon of a VM: (vm, message,
-    timeout in seconds) to its reply, raising ``daemons.PeerError``.
+    ``exchange`` sends a message to the daemon of a VM and returns its
+    reply; its arguments are the VM, the message and a timeout in seconds.
+    It raises ``daemons.PeerError``. ``in_flight`` counts the requests of
+    callers that have no final answer yet.
     """
 
     clock: clocks.Clock
@@ -55,10 +57,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PreparedCall:
-    """A call that the entrance can begin.
+    """A checked call that the entrance can begin.
 
     ``parent`` is the attempt whose upstream made the call, if any.
-    ``owner`` is set for once-only work: no other instance may run it.
+    ``owner`` is set for once-only work: it identifies the instance that
+    issued the ticket, and no other instance may run the call.
     """
 
     call: calls.Call
@@ -70,7 +73,7 @@
 def prepare(
     entry: Entry, request: callers.Request
 ) -> PreparedCall | callers.Refusal:
-    """Check a request and make it a call; nothing is dispatched here."""
+    """Check a request and turn it into a call, without dispatching it."""
     bundle = entry.bundle()
     if bundle is None:
         return _refuse(
@@ -90,7 +93,7 @@
 def check_class(
     bundle: bundles.Bundle, service: str, request_class: str, length: int
 ) -> callers.Refusal | None:
-    """Return why the bundle does not allow such a request, if so."""
+    """Return a refusal if the bundle does not allow the request."""
     if service not in bundle.services:
         return _refuse(_Reason.UNKNOWN_SERVICE, f"no service {service!r}")
     rules = bundle.classes.get(request_class)
@@ -105,10 +108,11 @@
 def correct_refusal(
     fields: callers.Fields, refusal: callers.Refusal
 ) -> callers.Refusal:
-    """Return ``refusal`` with what may be said of an earlier use.
+    """Return ``refusal`` with an outcome that holds for earlier uses too.
 
-    Failure: a repeat comes to a daemon that has no bundle yet or stops, is
-    told "not run", and the first use, through another daemon, has run.
+    A repeat may reach a daemon that has no bundle yet or is stopping. It
+    must not be answered with "not run", since the first use, through
+    another daemon, may have run.
     """
     if refusal.outcome is not _Outcome.NOT_RUN:
         return refusal
@@ -122,7 +126,7 @@
 def record_refusal(
     entry: Entry, request_class: str, refusal: callers.Refusal
 ) -> None:
-    """Count and log a final refusal that a caller is given."""
+    """Count and log a final refusal that is sent to a caller."""
     entry.counts.count_refusal(request_class, refusal.outcome, refusal.reason)
     logs.event(
         _LOG,
@@ -175,9 +179,10 @@
 ) -> PreparedCall | callers.Refusal:
     parent = entry.slot.attempts.get(request.fields.context)
     if parent is None:
-        # Nobody waits for the parent's work any more, so its upstream's
-        # further calls would be work that no answer accounts for.
-        # An earlier use of its ticket, if it has one, may have run.
+        # Nobody waits for the parent any more, so the result of further
+        # calls of its upstream would be of use to nobody. The outcome is
+        # unknown because an earlier use of a ticket of this call may have
+        # run.
         return callers.Refusal(
             _Outcome.UNKNOWN,
             _Reason.PARENT_GONE,
@@ -205,10 +210,11 @@
 def with_child_ticket(
     ready: PreparedCall, ticket: str, first_use: bool
 ) -> PreparedCall | callers.Refusal:
-    """Return a child call of once-only work with its own ticket.
+    """Return a once-only child call with its own ticket.
 
-    ``first_use`` is false where the ticket was sent before: then only the
-    owner can say "not run", which ``calls`` decides by the repeat.
+    ``first_use`` is false if the ticket was sent before. The call then
+    counts as a repeat, so that ``calls`` reports it as not run only if the
+    owner says so.
     """
     repeat = int(not first_use)
     call = dataclasses.replace(ready.call, ticket=ticket, repeat=repeat)
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -1,4 +1,4 @@
-"""One attempt at this VM's upstream: admitted, sent, answered."""
+"""Attempts at this VM's upstream, from admission to the answer."""
 
 from __future__ import annotations
 
@@ -31,13 +31,17 @@
 
 
 async def run(slot: _slots.Slot, message: daemons.Run) -> daemons.RunAnswer:
-    """Run one attempt, or refuse it; raises only ``CancelledError``."""
+    """Run one attempt or refuse it.
+
+    Raises nothing but ``CancelledError``.
+    """
     now = slot.clock.monotonic()
     calls.note_beat(slot.pauses, now)
     known = slot.attempts.get(message.attempt_id)
     if known is not None and known.task is not None:
-        # Failure: the link delivers a request twice. Were the second one
-        # refused as not run, its answer could come first and be believed.
+        # The link may deliver a request twice. If the second copy were
+        # refused as not run, this refusal could arrive before the answer
+        # to the first copy and be taken as final.
         slot.duplicate_requests += 1
         return await asyncio.shield(known.task)
     reason = _reason_to_refuse(slot, message)
@@ -128,8 +132,9 @@
     attempt = _attempts.new_attempt(message, deadline)
     _slots.add_attempt(slot, attempt)
     slot.large_bodies += message.more
-    # A task of its own: the guard aborts it, and a caller that goes away
-    # while others have joined the same ticket does not end it.
+    # The attempt runs in a task of its own, so that the guard can abort it
+    # and a caller that disconnects does not end it while others have joined
+    # the same ticket.
     attempt.task = asyncio.ensure_future(_execute(slot, attempt))
     return await asyncio.shield(attempt.task)
 
@@ -152,7 +157,7 @@
     except asyncio.CancelledError:
         result = once.Unknown(_Reason.CANCELLED)
     except Exception:
-        # A fault of ours must not leave a ticket running for ever.
+        # An internal error must not leave a ticket in use for ever.
         _LOG.exception("event=attempt_fault id=%s", attempt.message.attempt_id)
         result = once.Unknown(_Reason.UPSTREAM_LOST)
     result = _slots.end_ticket(slot, attempt, result)
@@ -172,9 +177,10 @@
 async def _dispatch(
     slot: _slots.Slot, attempt: _attempts.Attempt
 ) -> daemons.RunAnswer:
-    # Failure: the process pauses between admission and dispatch, and wakes
-    # when nobody waits any more. Both are looked at again here, with no
-    # await before the request is handed to the upstream's connection.
+    # The process may pause between admission and dispatch and resume when
+    # nobody waits any more. The deadline and the ticket are therefore
+    # checked again here, with no await before the request is passed to the
+    # connection of the upstream.
     now = slot.clock.monotonic()
     remaining = attempt.deadline - now
     ticket = attempt.message.ticket
@@ -254,10 +260,10 @@
     how = load.End.FAILED
     if error.outcome is _Outcome.NOT_RUN:
         result = once.NotRun(error.reason)
-        # Failure: the deepest service is overloaded, its refusals are passed
-        # on by each upstream above it, and every guard on the way cuts its
-        # limit though its own upstream has room. Only an upstream that
-        # refuses of itself is counted against its limit.
+        # When the deepest service is overloaded, each upstream above it
+        # passes its refusals on. If these counted as refusals of the
+        # upstream, every guard on the way would cut its limit although its
+        # own upstream has room. Only an upstream's own refusals count.
         how = load.End.FAILED if attempt.child_refused else load.End.REFUSED
     if error.reason is _Reason.DEADLINE_PASSED:
         how = load.End.CANCELLED
--- a/src/sassafrasstair/runtime/_http.py
+++ b/src/sassafrasstair/runtime/_http.py
@@ -1,4 +1,4 @@
-"""The daemon's HTTP servers: uvicorn on the daemon's own loop."""
+"""The daemon's HTTP servers: uvicorn on the daemon's event loop."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves the process's signals to the daemon."""
+    """A server that leaves signal handling to the daemon."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> abc.Generator[None, None, None]:
-        """Capture none: a planned stop is the daemon's to carry out."""
+        """Capture no signals, since the daemon handles the planned stop."""
         yield
 
 
@@ -39,9 +39,9 @@
 
 
 async def start(apps: abc.Iterable[tuple[str, typing.Any]]) -> Http:
-    """Serve each (address, application); return once all listen.
+    """Serve each (address, application) and return once all listen.
 
-    Raises ``OSError`` when an address can't be bound.
+    Raises ``OSError`` if an address can't be bound.
     """
     servers = []
     tasks = []
@@ -57,7 +57,7 @@
 
 
 async def stop(http: Http) -> None:
-    """Stop listening, finish the requests in flight, and return."""
+    """Stop listening and finish the requests in flight."""
     for server in http.servers:
         server.should_exit = True
     flushing = asyncio.ensure_future(_force_exit_when_answered(http))
@@ -66,9 +66,10 @@
 
 
 async def _force_exit_when_answered(http: Http) -> None:
-    # Failure: a caller that reads nothing more keeps its connection open,
-    # with an answer that was written, and the stop never ends. Once every
-    # request has been answered, such a connection gets a bounded time.
+    # A caller that has stopped reading keeps its connection open with an
+    # answer that is already written, and the stop would never end. Once
+    # every request has been answered, such connections are closed after
+    # ``FLUSH_SECONDS``.
     while any(server.server_state.tasks for server in http.servers):
         await asyncio.sleep(POLL_SECONDS)
     await asyncio.sleep(FLUSH_SECONDS)
@@ -77,12 +78,13 @@
 
 
 def _raise_failure(tasks: abc.Iterable[asyncio.Task[None]]) -> None:
-    # Failure: a server's task ends before it serves, and the daemon waits
-    # for it for ever: it answers its peers but serves no caller.
+    # Without this check, the daemon would wait for ever for a server whose
+    # task has ended before it listens: it would answer its peers but serve
+    # no callers.
     for task in tasks:
         if task.done():
             task.result()
-            raise OSError("a server ended before it served")
+            raise OSError("an HTTP server ended before it was listening")
 
 
 def _listen(address: str) -> socket.socket:
@@ -106,7 +108,7 @@
         log_config=None,
         access_log=False,
         server_header=False,
-        # The upstream's own Date is passed on; two would differ.
+        # The upstream's Date header is passed on; a second one would differ.
         date_header=False,
         proxy_headers=False,
         timeout_keep_alive=KEEPALIVE_SECONDS,
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon, made from its settings."""
+"""Construction of the parts of a daemon from its settings."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def in_force(node: fleet.Node, clock: clocks.Clock) -> bundles.Bundle | None:
-    """Return the bundle in force, None before this daemon may serve."""
+    """Return the bundle in force, or None before this daemon may serve."""
     if not fleet.ready_to_serve(node, clock.monotonic()):
         return None
     return fleet.in_force(node)
@@ -41,10 +41,10 @@
     rng: random.Random,
     approvals: dict[bytes, tuple[str, ...]],
 ) -> fleet.Node:
-    """Return the daemon's view of the fleet: itself alone.
+    """Return the initial view of the fleet, which has only this daemon.
 
-    ``approvals`` is given who approved each envelope that held good, by
-    the envelope's SHA-256.
+    For each valid envelope, the names of its approvers are added to
+    ``approvals`` under the envelope's SHA-256.
     """
     me = fleet.Record(
         settings_.vm,
@@ -80,7 +80,7 @@
     entrance: calls.Entrance,
     counts: metrics.Metrics,
 ) -> _slots.Slot:
-    """Return the callee's side, with a new owner of tickets."""
+    """Return the state of the callee's side with a new ticket owner."""
     now = clock.monotonic()
     owner = once.new_owner(
         settings_.vm,
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -1,4 +1,4 @@
-"""State of the callee's side of a daemon, and the guard's effects on it."""
+"""State of the callee's side of a daemon, and effects of its guard."""
 
 from __future__ import annotations
 
@@ -30,11 +30,17 @@
 class Slot:
     """State of the callee's side of one daemon.
 
-    ``floor_below`` gives, for a class and a tenant, the greatest shed floor
-    that this VM's own calls have met further down the chain. ``joins`` maps a
-    running ticket to the event of its end, ``arrivals`` an attempt whose
-    body came first to the event of its own arrival. ``cancelled`` holds the
-    last attempts of which a cancellation came and no request.
+    ``max_callee_floor`` returns, for a class and a tenant, the greatest
+    shed floor reported to this VM's own calls further down the chain.
+    ``ticket_end_events`` maps a ticket in use to the event that is set when
+    its execution ends, and ``ticket_joiners`` to the number of requests
+    that wait for this event. ``arrival_events`` maps an attempt whose body
+    arrived first to the event that is set when its request arrives.
+    ``cancelled_early`` holds the last ``MAX_CANCELLED`` attempts that were
+    cancelled before their request arrived. ``large_bodies`` counts attempts
+    whose body is longer than one message, and ``duplicate_requests`` the
+    requests that were delivered twice. ``guard_sized`` is set once a bundle
+    has given the guard its number of slots.
     """
 
     service: str
@@ -64,7 +70,7 @@
 
 
 def apply_effects(slot: Slot, effects: list[load.Effect]) -> None:
-    """Carry out what the guard decided."""
+    """Carry out the effects of the guard's decisions."""
     for effect in effects:
         attempt = slot.attempts.get(effect.attempt_id)
         if attempt is None:
@@ -76,7 +82,7 @@
 
 
 def add_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
-    """Make the attempt known, also to a body that came before it."""
+    """Register the attempt and wake a body part that arrived before it."""
     attempt_id = attempt.message.attempt_id
     slot.attempts[attempt_id] = attempt
     waiting = slot.arrival_events.get(attempt_id)
@@ -85,7 +91,7 @@
 
 
 def cancel_attempt(slot: Slot, attempt_id: str) -> None:
-    """Drop an attempt that nobody waits for any more."""
+    """Cancel an attempt that nobody waits for any more."""
     attempt = slot.attempts.get(attempt_id)
     if attempt is None:
         _record_early_cancel(slot, attempt_id)
@@ -96,7 +102,7 @@
 
 
 def check_deadlines(slot: Slot) -> None:
-    """Look again at every deadline; called at each beat of the loop."""
+    """Expire what has passed its deadline; called at each heartbeat."""
     now = slot.clock.monotonic()
     apply_effects(slot, load.tick(slot.guard, now))
     once.expire(slot.owner, now)
@@ -108,14 +114,14 @@
 def fail_answer(
     slot: Slot, attempt: _attempts.Attempt, reason: outcomes.Reason
 ) -> None:
-    """Give up on an answer whose body has not been passed on whole."""
+    """End an attempt whose answer could not be passed on completely."""
     if attempt.message.attempt_id in slot.attempts:
         end_ticket(slot, attempt, once.Unknown(reason))
         end_attempt(slot, attempt, load.End.FAILED)
 
 
 def end_attempt(slot: Slot, attempt: _attempts.Attempt, how: load.End) -> None:
-    """Forget the attempt and tell the guard how it ended."""
+    """Remove the attempt and tell the guard how it ended."""
     if forget_attempt(slot, attempt):
         now = slot.clock.monotonic()
         attempt_id = attempt.message.attempt_id
@@ -125,7 +131,7 @@
 
 
 def forget_attempt(slot: Slot, attempt: _attempts.Attempt) -> bool:
-    """Forget the attempt; False if that was done before."""
+    """Remove the attempt; return False if it was removed before."""
     known = slot.attempts.pop(attempt.message.attempt_id, None)
     if known is None:
         return False
@@ -143,7 +149,7 @@
 def end_ticket(
     slot: Slot, attempt: _attempts.Attempt, result: once.Result
 ) -> once.Result:
-    """Record a ticket's end; return what its callers must be told."""
+    """Record the result of a ticket; return the result for its callers."""
     ticket = attempt.message.ticket
     if not ticket:
         return result
@@ -157,30 +163,32 @@
 
 
 def shed_floor(slot: Slot, request_class: str, tenant: str) -> float:
-    """Return the shed floor that answers for the class carry now."""
+    """Return the shed floor to report in answers for the class."""
     own = load.floor(slot.guard, slot.clock.monotonic(), tenant)
     return max(own, slot.max_callee_floor(request_class, tenant))
 
 
 def remaining(slot: Slot, attempt: _attempts.Attempt) -> float:
-    """Return the seconds until the attempt's deadline, maybe negative."""
+    """Return the seconds until the deadline, negative once it has passed."""
     return attempt.deadline - slot.clock.monotonic()
 
 
 def _record_early_cancel(slot: Slot, attempt_id: str) -> None:
-    # Failure: each message has an exchange of its own, so a cancellation may
-    # be handled before its request, which then runs with nobody waiting.
+    # Each message has an exchange of its own, so a cancellation may be
+    # handled before the request, which would then run although nobody
+    # waits for it.
     slot.cancelled_early[attempt_id] = None
     if len(slot.cancelled_early) > MAX_CANCELLED:
         del slot.cancelled_early[next(iter(slot.cancelled_early))]
 
 
 def _must_finish(slot: Slot, attempt: _attempts.Attempt) -> bool:
-    """Return whether once-only work goes on without its caller.
+    """Return whether once-only work continues without its caller.
 
-    Cancelled at the upstream it would be unknown for ever; let end, it
-    gives the caller's repeat, which carries the same ticket, a true answer.
-    A body that has not come whole can't end, so it is cancelled.
+    If it were cancelled at the upstream, its outcome would stay unknown.
+    If it finishes, a repeat with the same ticket gets the true answer. An
+    attempt whose body has not arrived completely can't finish, so it is
+    cancelled.
     """
     ticket = attempt.message.ticket
     if not ticket or not attempt.body_is_complete:
@@ -194,9 +202,9 @@
     now = slot.clock.monotonic()
     apply_effects(slot, load.cancel(slot.guard, attempt_id, now))
     if attempt_id not in slot.guard.running and not attempt.admission.done():
-        # Failure: a cancelled attempt waits for the guard's verdict, which
-        # has forgotten it: it stays here for ever, a planned stop waits for
-        # it without end, and so do the callers that joined its ticket.
+        # The guard has removed the attempt and makes no decision on it any
+        # more. Without this result the attempt would wait for ever, and
+        # with it a planned stop and the callers that joined its ticket.
         reason = outcomes.Reason.CANCELLED
         attempt.admission.set_result(load.TurnAway(attempt_id, reason, 0.0))
 
@@ -213,7 +221,8 @@
 
 
 async def _aclose(rest: abc.AsyncGenerator[bytes, None]) -> None:
-    # The generator is in use when an answer's part is being read: reading
-    # it ends with the upstream's connection, so nothing is left open.
+    # ``aclose`` raises RuntimeError while a part of the answer is being
+    # read. That read ends with the upstream's connection, so nothing is
+    # left open.
     with contextlib.suppress(RuntimeError):
         await rest.aclose()
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -1,4 +1,4 @@
-"""What the daemon shows operators: status and gauges."""
+"""Status page and gauges of the daemon for operators."""
 
 from __future__ import annotations
 
@@ -166,7 +166,7 @@
         "tickets_invalid": counts.invalid,
         "tickets_expired": counts.expired,
         "tickets_owner_gone": counts.owner_gone,
-        # These are 0 unless something else is broken.
+        # These are 0 unless there is a fault elsewhere.
         "tickets_not_sent": counts.not_sent,
         "tickets_not_run_disbelieved": counts.not_run_disbelieved,
         "tickets_ended_twice": counts.ended_twice,
--- a/src/sassafrasstair/runtime/_tickets.py
+++ b/src/sassafrasstair/runtime/_tickets.py
@@ -1,4 +1,4 @@
-"""Tickets for once-only work, issued for this VM's upstream."""
+"""Issuing of tickets for once-only work at this VM's upstream."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 ) -> daemons.TicketResponse:
     """Issue a ticket of this incarnation, or refuse.
 
-    Overload is met here, before the caller depends on a ticket: a request
-    that holds one is not shed at an entrance.
+    Load is shed here, before the caller depends on a ticket, because a
+    request that carries a ticket is not shed at an entrance.
     """
     floor = _slots.shed_floor(slot, ask.request_class, ask.tenant)
     answer = _decide(slot, ask, floor)
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -1,4 +1,4 @@
-"""One attempt's bodies on their way between two daemons."""
+"""Transfer of request and answer bodies between two daemons."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class BodyTooLarge(Exception):
-    """The caller sent more than the class allows, after it began."""
+    """The caller's body has grown beyond the limit of its class."""
 
 
 class AnswerBroken(Exception):
-    """The rest of an answer is lost, or it does not match its digest."""
+    """The rest of an answer is lost or does not match its digest."""
 
 
 @dataclasses.dataclass(slots=True)
 class Transfer:
-    """One attempt at ``vm``, whose body is at most ``max_body`` bytes.
+    """One attempt at ``vm`` whose body may have ``max_body`` bytes.
 
-    ``body_used`` says whether the caller's later parts were read.
+    ``body_consumed`` is set once reading the caller's later parts began.
     """
 
     attempt_id: str
@@ -52,7 +52,7 @@
     message: daemons.Run,
     request: callers.Request,
 ) -> tuple[calls.Answer, daemons.RunAnswer | None]:
-    """Send the attempt and its body; return how it ended.
+    """Send the attempt and its body and return its result.
 
     The second value is the upstream's answer when there is one.
     """
@@ -77,7 +77,7 @@
     message: daemons.Run,
     request: callers.Request,
 ) -> daemons.Message:
-    """Return the reply; raise at once what ends the body's passing on."""
+    """Return the reply; raise at once an error in sending the body."""
     timeout = message.remaining_ms / 1000
     if not request.more:
         return await entry.exchange(transfer.vm, message, timeout)
@@ -99,9 +99,9 @@
 def _check_reply(
     transfer: Transfer, reply: daemons.Message
 ) -> tuple[calls.Answer, daemons.RunAnswer | None]:
-    # Failure: an answer to another attempt is taken for this one's, and a
-    # caller gets another caller's answer. Attempts are named by the
-    # entrance's incarnation and a serial, so the names never meet again.
+    # An answer to another attempt must not be used, or a caller would get
+    # another caller's answer. The identifier of an attempt consists of the
+    # entrance's incarnation and a serial number, so it is never reused.
     if not isinstance(reply, daemons.RunAnswer):
         return _unknown_answer(_Reason.PEER_LOST), None
     if reply.attempt_id != transfer.attempt_id:
@@ -134,7 +134,7 @@
     request: callers.Request,
     timeout: float,
 ) -> None:
-    """Pass on the body's later parts, once the attempt has started."""
+    """Send the later parts of the body once the attempt has started."""
     begin = daemons.BodyPart(transfer.attempt_id, 0, b"")
     if not await _send_part(entry, transfer, begin, timeout):
         return
@@ -189,7 +189,7 @@
     answer: daemons.RunAnswer,
     deadline: float,
 ) -> callers.Reply | callers.Refusal:
-    """Return the upstream's answer as the caller gets it."""
+    """Return the upstream's answer in the form sent to the caller."""
     if not answer.status:
         return callers.Refusal(
             _Outcome.DONE,
@@ -239,7 +239,7 @@
 
 
 def cancel(entry: _entries.Entry, vm: str, attempt_id: str) -> None:
-    """Tell the callee, without waiting, that nobody waits any more."""
+    """Tell the callee that nobody waits; do not wait for its reply."""
     task = asyncio.ensure_future(_cancel(entry, vm, attempt_id))
     _background_tasks.add(task)
     task.add_done_callback(_background_tasks.discard)
--- a/src/sassafrasstair/runtime/_watches.py
+++ b/src/sassafrasstair/runtime/_watches.py
@@ -1,4 +1,4 @@
-"""One watch of the platform, given up once it waits in vain."""
+"""Watches of the platform that end when no answer can come any more."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 WATCH_SECONDS = 40.0
 CHECK_SECONDS = 2.0
-"""Between two checks: a bundle is in force everywhere within 6 s, of which
-its way to all daemons may take 2."""
+"""Interval between two checks of the index. A bundle must be in force
+everywhere within 6 s, of which its distribution may take 2 s."""
 RECHECK_SECONDS = 0.5
-"""The same after one without an answer."""
+"""Interval after a check that got no answer."""
 
 
 async def watch(
@@ -24,14 +24,16 @@
     index: int,
     count_call: abc.Callable[[], None],
 ) -> configservice.Snapshot:
-    """Return what stands under ``prefix`` once its index has changed.
+    """Return the values under ``prefix`` once their index has changed.
 
-    Raises ``PlatformError``. ``counted`` is called for each call.
+    ``count_call`` is called for each call to the platform. Raises
+    ``PlatformError``.
 
-    Failure: what waits at a platform that goes away gets no answer, also
-    when it is back, and bundles are not heard of until the watch is over. A
-    check that is answered after one that was not, or with another index
-    than the watch began at, shows it, and the whole is read.
+    A watch that was waiting when the platform went away is never answered,
+    not even when the platform is back, so new bundles would be missed until
+    the watch times out. The index is therefore checked meanwhile. If a
+    check succeeds after a failed one, or returns an index other than
+    ``index``, the watch is given up and all values are read.
     """
     count_call()
     waiting = asyncio.ensure_future(client.watch(prefix, index, WATCH_SECONDS))
--- a/tests/daemons/test_close.py
+++ b/tests/daemons/test_close.py
@@ -14,7 +14,7 @@
 
 
 async def _close_under_traffic() -> None:
-    """Close a server in the middle of exchanges, then their links."""
+    """Close a server during exchanges, then the links of its peers."""
     handled = asyncio.Semaphore(0)
 
     async def handle(message: daemons.Message) -> daemons.Message:
@@ -49,10 +49,11 @@
 
 
 def test_closing_under_traffic_ends() -> None:
-    """A planned stop hangs, and the VM is killed with requests in flight.
+    """Closing a server ends although peers still send to it.
 
-    Peers still send while the daemon closes. The cancellation of a
-    receiver meets a message that has just come, and is swallowed.
+    pynng drops a cancellation that arrives just after a message was
+    received. The receiver then goes on, a planned stop hangs, and the VM is
+    killed with requests in flight.
     """
 
     async def story() -> None:
--- a/tests/daemons/test_links.py
+++ b/tests/daemons/test_links.py
@@ -56,10 +56,11 @@
 
 
 def test_faults_of_handlers_leave_the_server_whole() -> None:
-    """A daemon falls silent for all its peers, though it runs.
+    """A server still answers after exceptions in its handler.
 
-    Each fault in a handler ended a receiver that went on to count as idle,
-    and left its peer waiting. After a few no new receiver was made.
+    Each exception ended a receiver that still counted as idle and left its
+    peer waiting. After a few, no new receiver was started, and the running
+    daemon no longer answered any peer.
     """
 
     async def story() -> None:
@@ -82,10 +83,11 @@
 def test_link_with_an_exchange_under_way_is_not_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Answers that take more than a minute become unknown at quiet hours.
+    """A link whose only exchange waits for a slow upstream stays open.
 
-    A link counted as idle by its last send, so the review closed it while
-    its one exchange waited for a slow upstream.
+    Only the time of the last send was compared, so the link was closed
+    after a minute, and answers that took longer became unknown when there
+    was little traffic.
     """
     monkeypatch.setattr(_links, "MAX_IDLE_SECONDS", 0.0)
 
@@ -117,10 +119,11 @@
 def test_cancellation_that_pynng_drops_ends_the_exchange(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An exchange outlives its time-out without a bound.
+    """An exchange ends at its timeout even if pynng drops a cancellation.
 
-    The time-out comes when the send has just succeeded; pynng drops it,
-    and the receive that follows waits for a peer that never replies.
+    pynng drops a cancellation that arrives just after a send has succeeded.
+    The receive that follows would wait without a bound for a peer that
+    never replies.
     """
 
     async def late_send(context: typing.Any, data: bytes) -> None:
@@ -147,10 +150,10 @@
 
 
 def test_dropped_link_ends_what_is_under_way() -> None:
-    """A shopkeeper waits ten seconds for a VM that lost its power.
+    """Disconnecting a link ends the exchanges in progress on it.
 
-    A call is under way when its callee falls silent; no connection is
-    closed. A ping gets no answer, but the call waits for its deadline.
+    When a VM loses power, no connection is closed. A ping fails, but a call
+    in progress would wait until its deadline.
     """
 
     async def story() -> None:
--- a/tests/runtime/conftest.py
+++ b/tests/runtime/conftest.py
@@ -7,5 +7,5 @@
 
 @pytest.fixture(autouse=True)
 def _short_leave(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let a planned stop, of which most stories have two, be short."""
+    """Shorten planned stops, of which most tests have two."""
     monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.05)
--- a/tests/runtime/meshes.py
+++ b/tests/runtime/meshes.py
@@ -1,4 +1,4 @@
-"""Two daemons, ``front-1`` and ``back-1``, on one loop for tests."""
+"""Two daemons, ``front-1`` and ``back-1``, on one event loop for tests."""
 
 from __future__ import annotations
 
@@ -58,7 +58,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mesh:
-    """``url`` is that of front-1's interface for callers."""
+    """Two running daemons.
+
+    ``url`` is the address of front-1's interface for callers.
+    """
 
     front: runtime.Daemon
     back: runtime.Daemon
@@ -93,7 +96,7 @@
 
 
 async def until(condition: abc.Callable[[], object]) -> None:
-    """Wait for a condition; ``TimeoutError`` if it does not come true."""
+    """Wait until a condition holds; raise ``TimeoutError`` after ``WAIT``."""
     async with asyncio.timeout(WAIT):
         while not condition():
             await asyncio.sleep(0.005)
@@ -145,7 +148,7 @@
 
 
 class _Platform:
-    """The platform with one bundle and both VMs, which never change."""
+    """A platform whose one bundle and two VMs never change."""
 
     def __init__(self, ports: list[int]) -> None:
         entries = [
@@ -203,7 +206,7 @@
         keys=(key,),
     )
     daemon = runtime.build(chosen, clocks.SystemClock())
-    # Asking peers for a newer bundle before serving takes seconds.
+    # Skip the search for a newer bundle at the peers, which takes seconds.
     daemon.control.node.settled = True
     await daemon.control.client.close()
     fake = _Platform(ports)
@@ -212,7 +215,7 @@
 
 
 async def _feed(control: _control.Control) -> None:
-    """Tell the platform's state at once: daemons spread their reads."""
+    """Pass the platform's state at once: daemons spread their reads."""
     for prefix, took in (
         (configservice.VMS_KEY, _control._handle_vm_list),
         (configservice.BUNDLES_PREFIX, _control._handle_bundles),
--- a/tests/runtime/test_answers.py
+++ b/tests/runtime/test_answers.py
@@ -27,10 +27,10 @@
 def test_answer_has_its_upstreams_head(
     method: str, path: str, length: str | None
 ) -> None:
-    """A caller that asks for a length by HEAD is told 0.
+    """The upstream's Content-Length and Date reach the caller unchanged.
 
-    The entrance counted the bytes of the body that HEAD does not have, and
-    its server set a second Date beside the upstream's.
+    The entrance reported the length of the empty body for HEAD, and its
+    server added a second Date header.
     """
 
     async def story() -> None:
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -18,7 +18,7 @@
 
 
 class Upstream:
-    """Holds each request until ``go``; counts what was run and cut."""
+    """Holds each request until ``go``; counts requests begun and cut off."""
 
     def __init__(self) -> None:
         self.go = asyncio.Event()
@@ -58,11 +58,10 @@
 
 
 def test_waiting_request_whose_caller_left_is_forgotten() -> None:
-    """A daemon that is stopped never exits, and its memory grows.
+    """A queued request is removed once its caller has disconnected.
 
-    Requests wait for a slot at their instance. A caller goes away, the
-    guard drops its request, and nothing tells the request's task, which
-    waits for the guard for ever; a planned stop waits for the task.
+    The guard dropped the request without a decision, so its task waited for
+    ever. Memory grew, and a planned stop never ended.
     """
 
     async def story() -> None:
@@ -82,11 +81,11 @@
 
 
 def test_binding_whose_caller_left_ends_and_is_told_to_the_repeat() -> None:
-    """A broker's connection breaks; its repeat says "unknown" for ever.
+    """Once-only work continues without its caller, for the repeat.
 
-    The entrance told the owner that nobody waits, and the owner cut the
-    binding off at the upstream, which may or may not have recorded it.
-    Let go on, it ends, and the repeat joins it or gets its answer.
+    The owner cancelled the work at the upstream when the caller's
+    connection broke, and every repeat was answered with "unknown". If it
+    continues, a repeat joins it or gets its stored answer.
     """
 
     async def story() -> None:
@@ -107,10 +106,11 @@
 
 @pytest.mark.parametrize("size", [0, 300_000], ids=["no body", "long body"])
 def test_request_whose_caller_left_is_cut_at_the_upstream(size: int) -> None:
-    """Under a surge upstreams work for callers that have long hung up.
+    """A request is cancelled at the upstream when its caller leaves.
 
-    A caller sends its whole request and goes away before the answer. With
-    a long body the entrance stopped listening for that at the body's end.
+    The caller disconnects after it has sent its whole request. With a long
+    body, the entrance stopped watching for this at the end of the body, so
+    upstreams worked for callers that had left.
     """
 
     async def story() -> None:
@@ -130,10 +130,10 @@
 
 
 def test_answer_whose_caller_left_is_cut_at_the_upstream() -> None:
-    """Downloads that callers broke off go on at full speed to nobody.
+    """A long answer is cancelled at the upstream when its caller leaves.
 
-    The server takes and drops what is sent to a caller that is gone, so
-    the entrance went on to fetch the rest of the answer.
+    The HTTP server silently drops data sent to a caller that has
+    disconnected, so the entrance went on to fetch the rest of the answer.
     """
     sent = 0
     cut = asyncio.Event()
@@ -160,10 +160,10 @@
 
 
 def test_body_that_grows_too_large_is_cut() -> None:
-    """One caller fills an upstream's disk past the class's limit.
+    """A body without a declared length is held to the limit of its class.
 
-    It declares no length, so the limit could not be checked at the start,
-    and was not looked at again.
+    The limit could not be checked at the start of the request and was not
+    checked later.
     """
 
     async def endless() -> abc.AsyncIterator[bytes]:
@@ -181,10 +181,11 @@
 
 
 def test_repeat_without_room_for_its_body_is_not_told_not_run() -> None:
-    """A broker is told "not run" while its binding runs; it binds anew.
+    """A repeat of running work is not refused as not run for lack of memory.
 
-    The repeat of a large binding found no room for another large body and
-    was refused as not run before its ticket was looked at.
+    The repeat was refused for lack of memory for its large body before its
+    ticket was checked. Its caller, told "not run", then started the work
+    again with a new ticket.
     """
 
     async def story() -> None:
@@ -219,10 +220,10 @@
 def test_entrance_says_not_run_of_a_first_use_alone(
     repeat: int, headers: dict[str, str], told: tuple[int, str, str]
 ) -> None:
-    """A binding runs whose caller was told that it was not run.
+    """The entrance reports "not run" only for the first use of a ticket.
 
-    Its first use is on its way through another entrance when the repeat is
-    refused here, before any owner was asked.
+    When it refuses a repeat without asking the owner, the first use may
+    still run through another entrance.
     """
 
     async def story() -> None:
@@ -244,7 +245,7 @@
 def test_fault_in_a_handler_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caller gets plain text, or nothing, where a daemon has a fault."""
+    """An internal error is reported to the caller as a refusal."""
 
     async def fault(*_: object) -> None:
         raise RuntimeError("fault")
--- a/tests/runtime/test_child_repeat.py
+++ b/tests/runtime/test_child_repeat.py
@@ -11,11 +11,11 @@
 
 
 def test_second_use_of_a_child_ticket_is_a_repeat() -> None:
-    """A write-down's entry runs, and its upstream is told "not run".
+    """A second use of a child ticket is marked as a repeat.
 
-    The upstream repeats its call down the chain after the first one was
-    lost. The callee's daemon is gone by then, which says nothing of the
-    first use, so the entrance must know that this is a later one.
+    An upstream repeats a child call whose first attempt was lost. If the
+    callee's daemon is gone by then, the first use may still have run, so
+    the entrance must not report the call as not run.
     """
     owner = once.new_owner("poster-1", "i", bytes(32), 10)
     parent = once.issue_ticket(owner, "poster", "write-down", 60.0, 0.0)
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -58,11 +58,11 @@
 
 
 def test_body_that_comes_before_its_request_is_wanted() -> None:
-    """A shopkeeper's upload hangs for its whole deadline, then is unknown.
+    """Part 0 of a body is accepted although its request is handled later.
 
-    The entrance sends the request and asks whether its body is wanted, in
-    two exchanges. The callee handles the second one first and says no, so
-    no body is sent; then the request starts and waits for it.
+    The entrance sends the request and part 0 in two exchanges. The callee
+    handled part 0 first and rejected it, so no body was sent, and the
+    request waited for it until its deadline.
     """
 
     async def story() -> None:
@@ -81,10 +81,10 @@
 
 
 def test_doubled_request_gets_the_first_ones_answer() -> None:
-    """A caller is told "not run" of what runs, and it runs again elsewhere.
+    """Both copies of a request that is delivered twice get its answer.
 
-    The link delivers a request twice; the second one was refused as not
-    run, and its answer may come before the first one's.
+    The second copy was refused as not run. If this refusal arrived first,
+    the request was retried elsewhere although it was running.
     """
     began = 0
 
@@ -107,7 +107,7 @@
 
 
 def test_cancellation_that_comes_before_its_request_holds() -> None:
-    """An instance works for a caller that had gone before it began."""
+    """A request that arrives after its cancellation is not run."""
 
     async def upstream(_: web.BaseRequest) -> web.StreamResponse:
         raise AssertionError("nothing may run")
--- a/tests/runtime/test_nested_refusals.py
+++ b/tests/runtime/test_nested_refusals.py
@@ -14,11 +14,12 @@
 
 @pytest.mark.parametrize("nested", [True, False])
 def test_only_own_refusals_cut_the_limit(nested: bool) -> None:
-    """Goodput stays low though only the deepest service is overloaded.
+    """Refusals passed on from a deeper service do not cut the limit.
 
-    The ledger refuses; each poster passes the refusal on. The posters'
-    guards take it for overload of their own upstream, cut their limits
-    to an eighth, and refuse work that needs no ledger.
+    The ledger is overloaded and refuses, and each poster passes the refusal
+    on. The guards of the posters took this for overload of their own
+    upstream, cut their limits to an eighth, and refused work that needs no
+    ledger.
     """
 
     async def story() -> tuple[float, float]:
--- a/tests/runtime/test_periodic.py
+++ b/tests/runtime/test_periodic.py
@@ -6,9 +6,10 @@
 
 
 def test_a_fault_does_not_end_a_periodic_step() -> None:
-    """A daemon serves on, but its queues never expire any more.
+    """A periodic step is called again after an exception.
 
-    One tick meets a fault. Nothing is logged, and no tick follows.
+    Without this, one exception ended the task without a log line, and the
+    daemon went on with queues that never expired.
     """
 
     async def story() -> None:
--- a/tests/runtime/test_planned_stop.py
+++ b/tests/runtime/test_planned_stop.py
@@ -26,7 +26,7 @@
 
 
 async def _calls(mesh: meshes.Mesh, pause: float, ends: typing.Any) -> None:
-    """Call front-1 until it says that it leaves; count how calls end."""
+    """Call front-1 until it reports that it leaves; count results."""
     async with aiohttp.ClientSession() as http:
         caller = meshes.Mesh(mesh.front, mesh.back, http, mesh.url)
         while True:
@@ -46,11 +46,11 @@
 def test_stop_under_load_cuts_no_caller(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A shopkeeper's request breaks off because a VM is replaced.
+    """No connection breaks off while a daemon stops under load.
 
-    Callers keep their connections and go on to send while the daemon
-    stops. A server that closes them at once cuts who has just sent; so each
-    is told to close its connection with an answer, and go elsewhere.
+    Callers keep their connections open and go on sending. If the server
+    closed them at once, requests that were just sent would be lost. Each
+    caller is therefore told in an answer to close its connection.
     """
     monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.5)
     ends: collections.Counter[str] = collections.Counter()
@@ -71,7 +71,7 @@
 
 
 def test_stop_finishes_answers_that_are_being_passed_on() -> None:
-    """A download ends in the middle because its entrance is replaced."""
+    """A planned stop waits for long answers that are still being sent."""
     go = asyncio.Event()
 
     async def halves(request: web.BaseRequest) -> web.StreamResponse:
@@ -99,10 +99,10 @@
 def test_stop_of_a_callee_waits_for_what_its_upstream_runs(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A lookup is lost because the VM that runs it is replaced.
+    """The planned stop of a callee waits for requests at its upstream.
 
-    It takes longer than the daemon there goes on after it said that it
-    leaves; the link to its entrance is then closed under it.
+    A request that takes longer than the leave notice was lost, because the
+    link to its entrance was closed while it ran.
     """
     monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.05)
     began, go = asyncio.Event(), asyncio.Event()
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -23,7 +23,7 @@
 
 
 def busy_slot() -> _slots.Slot:
-    """Return a slot whose only place is taken: what comes waits."""
+    """Return a slot whose guard is full, so that new attempts wait."""
     bundle = worlds.verify(worlds.envelope(1))
     slot = test_early_part._new_slot()
     now = slot.clock.monotonic()
@@ -69,10 +69,10 @@
 
 
 def test_a_doubled_request_is_not_told_as_not_run() -> None:
-    """A lookup is delivered twice and its caller hears "not run".
+    """A request delivered twice is not refused while it waits.
 
-    The second copy finds the first one waiting and is refused; its
-    refusal overtakes the answer of the first, which runs.
+    The second copy was refused because the first one was waiting, and the
+    refusal could arrive before the answer to the first copy.
     """
 
     async def story() -> None:
@@ -89,10 +89,11 @@
 
 
 def test_a_refusal_by_the_owner_voids_or_joins() -> None:
-    """A write-down is repeated while the owner has no bundle or memory.
+    """A refused use of a ticket joins a running use or voids the ticket.
 
-    The owner refuses the repeat as "not run", though the first use waits
-    in its queue and runs; the shopkeeper then posts it again.
+    The owner has no bundle when a repeat arrives. If it refused the repeat
+    as "not run" while the first use waits in its queue, the caller would
+    start the work again and it would run twice.
     """
 
     async def story() -> None:
@@ -115,10 +116,11 @@
 
 
 def test_a_cancelled_use_does_not_end_what_another_joined() -> None:
-    """A shopkeeper gives up on a slow write-down and asks again.
+    """Cancelling the first use of a ticket does not end a joined repeat.
 
-    The repeat joins the first use's execution. The cancellation of the
-    first use arrives after it, and both end as not run.
+    The caller gives up and repeats the request, which joins the execution
+    of the first use. The cancellation of the first use arrives after that
+    and must not end both.
     """
 
     async def story() -> None:
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -1,4 +1,4 @@
-"""A bundle is heard of in time after the platform was away."""
+"""Watches notice a new bundle in time after the platform was away."""
 
 from __future__ import annotations
 
@@ -17,16 +17,18 @@
 
 IN_FORCE_SECONDS = 6.0
 SPREAD_SECONDS = 2.1
-"""A bundle is in force everywhere within the first; the second of it is what
-it takes from the daemons that watch to all others, at its worst."""
+"""A bundle must be in force everywhere within ``IN_FORCE_SECONDS``, of which
+distribution from the watching daemons to all others takes at most
+``SPREAD_SECONDS``."""
 ANSWER_SECONDS = 0.005
 
 
 @dataclasses.dataclass
 class _Platform:
-    """A service of one prefix, as one client sees it.
+    """A platform with one prefix, as one client sees it.
 
-    What waits when it goes away gets no answer, also when it is back.
+    A watch that waits when the platform goes away is never answered, not
+    even when the platform is back.
     """
 
     index: int = 1
@@ -83,7 +85,7 @@
 def _watch(
     platform: _Platform, heard: dict[int, float]
 ) -> asyncio.Future[None]:
-    """Begin to watch; ``heard`` gets when each index came."""
+    """Start a watch; ``heard`` receives the time of each new index."""
     loop = asyncio.get_running_loop()
 
     def took(_: object, snapshot: configservice.Snapshot) -> None:
@@ -102,7 +104,11 @@
 
 
 async def _heard_after(platform: _Platform, seconds: float) -> float:
-    """Return when a bundle is heard of that is written at the return."""
+    """Return the seconds until a bundle is noticed.
+
+    The platform is away for ``seconds``, and the bundle is written when it
+    is back.
+    """
     loop = asyncio.get_running_loop()
     heard: dict[int, float] = {}
     watch = _watch(platform, heard)
@@ -124,11 +130,12 @@
 def test_bundle_after_an_absence_is_heard_of_in_time(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Requests are served by a bundle that was superseded 47 s before.
+    """A bundle written when the platform is back is noticed in time.
 
-    The platform gave no answer for a while. What waited there then is never
-    answered, and was waited for as long as one that just has no news: 40 s
-    and 7.5 s for its answer, at all that watch since the same change.
+    A watch that was waiting when the platform went away is never answered.
+    It was waited for as long as a watch without changes, 40 s and 7.5 s for
+    its answer, by all daemons that watched since the same change. Requests
+    were then served under a bundle superseded 47 s before.
     """
     monkeypatch.setattr(_control, "_retry_delay", lambda *_: 1.0)
 
@@ -140,7 +147,11 @@
 
 
 def test_calm_watch_costs_a_check_now_and_then() -> None:
-    """The platform's rate is for all readers: 36 watches in 1,300 daemons."""
+    """A watch without changes calls the platform only for its checks.
+
+    The platform's rate limit is shared by all readers: 36 watches in a
+    fleet of 1,300 daemons.
+    """
 
     async def test() -> None:
         platform = _Platform()
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -43,10 +43,10 @@
 def test_only_the_whole_answer_of_the_own_attempt_is_passed_on(
     attempt_id: str, body: bytes, reason: outcomes.Reason
 ) -> None:
-    """A shopkeeper sees half a valuation, or another shop's.
+    """A truncated answer or one to another attempt is not passed on.
 
-    A body was cut on its way between two daemons, or the answer to an
-    earlier attempt came where this one's was waited for.
+    A body may be cut short between two daemons, or the answer to an earlier
+    attempt may arrive in place of this one's.
     """
     transfer = _transfers.Transfer("1.1", "vm-2", 1_000)
     told, raw = _transfers._check_reply(transfer, answer(attempt_id, body))
@@ -69,7 +69,7 @@
 def test_a_long_answer_that_is_cut_short_raises(
     parts: list[daemons.Message], is_whole: bool
 ) -> None:
-    """A large survey photo arrives damaged and is taken for whole."""
+    """A long answer that is damaged or cut short raises an error."""
     left = list(parts)
 
     async def exchange(
