--- a/src/sassafrasstair/forwarding/_polls.py
+++ b/src/sassafrasstair/forwarding/_polls.py
@@ -46,7 +46,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, query: bytes
 ) -> None:
     """Answer a poll, or keep it until there is news."""
-    field = exchange.request.found.get(_feed_wire.HEADER_LOWER)
+    field = exchange.request.headers.get(_feed_wire.HEADER_LOWER)
     try:
         after, hold = _feed_wire.decode_poll(query, field)
     except _wire.WireError as error:
@@ -54,7 +54,7 @@
         exchange.respond(400, [], b"")
         return
     if (
-        exchange.request.found.get(_feed_wire.SENDER_HEADER_LOWER)
+        exchange.request.headers.get(_feed_wire.SENDER_HEADER_LOWER)
         == daemon.process_mark
     ):
         exchange.respond(_feed_wire.LOOP_STATUS, [], b"")
@@ -62,10 +62,11 @@
     if hold is None:
         _serve_snapshot(daemon, exchange, after)
         return
-    peer = exchange.peer
-    _crash_updates.receive(daemon, peer, exchange.request.found)
-    news = daemon.view.content > after or _crash_updates.needs_full_update(
-        daemon, peer
+    peer = exchange.peer_host
+    _crash_updates.receive(daemon, peer, exchange.request.headers)
+    news = (
+        daemon.view.content_revision > after
+        or _crash_updates.needs_full_update(daemon, peer)
     )
     now = daemon.clock.monotonic()
     poll = HeldPoll(exchange, after, now + hold, now)
@@ -85,17 +86,19 @@
     status = feeds.PeerStatus(
         view.revision,
         views.lost_store_seconds(view, now),
-        max(0.0, view.unsteady_until - now),
+        max(0.0, view.recovering_until - now),
         daemon.leaving,
         max(0.0, now - view.store_answered_at),
     )
-    return _feed_wire.HEADER, _feed_wire.encode_status(status, view.content)
+    return _feed_wire.HEADER, _feed_wire.encode_status(
+        status, view.content_revision
+    )
 
 
 def answer_outdated(daemon: _state.Daemon) -> None:
     """Answer all for whom there is news."""
     daemon.encoded_answers.clear()
-    _answer_if(daemon, lambda one: daemon.view.content > one.after)
+    _answer_if(daemon, lambda one: daemon.view.content_revision > one.after)
 
 
 def answer_all(daemon: _state.Daemon) -> None:
@@ -110,7 +113,7 @@
     due = [
         poll
         for poll in daemon.held_polls
-        if not _crash_updates.is_in_sync(daemon, poll.exchange.peer)
+        if not _crash_updates.is_in_sync(daemon, poll.exchange.peer_host)
     ]
     daemon.held_polls = [poll for poll in daemon.held_polls if poll not in due]
     for poll in due:
@@ -140,7 +143,7 @@
     told: tuple[bytes, bytes] | None = None,
 ) -> None:
     body = _encoded(daemon, poll.after)
-    told = told or _crash_updates.header(daemon, poll.exchange.peer)
+    told = told or _crash_updates.header(daemon, poll.exchange.peer_host)
     poll.exchange.gone = None
     held = daemon.clock.monotonic() - poll.received_at
     confirmed = _confirmations.headers(daemon, held)
@@ -149,7 +152,7 @@
 
 
 def _encoded(daemon: _state.Daemon, after: int) -> bytes:
-    if after >= daemon.view.content:
+    if after >= daemon.view.content_revision:
         return b""
     body = daemon.encoded_answers.get(after)
     if body is None:
@@ -164,7 +167,7 @@
     daemon: _state.Daemon, exchange: httpio.Exchange, after: int
 ) -> None:
     """Answer a daemon of the version before: all that is known."""
-    if after >= daemon.view.content:
+    if after >= daemon.view.content_revision:
         exchange.respond(204, [], b"")
         return
     body = _feed_wire.encode_snapshot(views.snapshot(daemon.view))
