--- a/src/sassafrasstair/daemons/_links.py
+++ b/src/sassafrasstair/daemons/_links.py
@@ -82,9 +82,9 @@
     an exchange in progress is therefore not idle: closing it would lose the
     answer and leave the outcome unknown.
     """
-    oldest = time.monotonic() - MAX_IDLE_SECONDS
+    idle_cutoff = time.monotonic() - MAX_IDLE_SECONDS
     for address, link in list(links.by_address.items()):
-        if not link.in_flight and link.last_used_at < oldest:
+        if not link.in_flight and link.last_used_at < idle_cutoff:
             link.socket.close()
             del links.by_address[address]
 
--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -18,7 +18,7 @@
 
 
 def upstream_answer(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
     response: upstreams.Response,
     body: bytes,
@@ -28,15 +28,15 @@
     """Return the upstream's answer, or its beginning if ``more`` is set."""
     return daemons.RunAnswer(
         attempt_id=attempt.message.attempt_id,
-        incarnation=slot.incarnation,
+        incarnation=callee.incarnation,
         outcome=_Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
         retries_spent=attempt.retries_spent,
-        busy=load.busy(slot.guard),
-        limit=slot.guard.limit,
-        service_seconds=load.service_seconds(slot.guard),
+        busy=load.busy(callee.guard),
+        limit=callee.guard.limit,
+        service_seconds=load.service_seconds(callee.guard),
         floor=_slots.shed_floor(
-            slot, attempt.message.request_class, attempt.message.tenant
+            callee, attempt.message.request_class, attempt.message.tenant
         ),
         status=response.status,
         headers=response.headers,
@@ -47,7 +47,7 @@
 
 
 def refusal(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     message: daemons.Run,
     outcome: outcomes.Outcome,
     reason: outcomes.Reason,
@@ -61,20 +61,20 @@
     """
     return daemons.RunAnswer(
         attempt_id=message.attempt_id,
-        incarnation=slot.incarnation,
+        incarnation=callee.incarnation,
         outcome=outcome.value,
         reason=reason.value,
         retry_after_ms=int(retry_after * 1000),
         retries_spent=spent,
-        busy=load.busy(slot.guard),
-        limit=slot.guard.limit,
-        service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.shed_floor(slot, message.request_class, message.tenant),
+        busy=load.busy(callee.guard),
+        limit=callee.guard.limit,
+        service_seconds=load.service_seconds(callee.guard),
+        floor=_slots.shed_floor(callee, message.request_class, message.tenant),
     )
 
 
 def failure_answer(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
     result: once.Result,
     retry_after: float = 0.0,
@@ -87,7 +87,7 @@
     if isinstance(result, once.NotRun | once.Unknown):
         reason = result.reason
     return refusal(
-        slot,
+        callee,
         attempt.message,
         outcome,
         reason,
@@ -97,20 +97,22 @@
 
 
 def stored_answer(
-    slot: _slots.Slot, message: daemons.Run, result: once.Done | once.Summary
+    callee: _slots.Callee,
+    message: daemons.Run,
+    result: once.Done | once.Summary,
 ) -> daemons.RunAnswer:
     """Return the stored answer of a ticket that has already been used."""
     if isinstance(result, once.Summary):
-        return refusal(slot, message, _Outcome.DONE, result.reason)
+        return refusal(callee, message, _Outcome.DONE, result.reason)
     return daemons.RunAnswer(
         attempt_id=message.attempt_id,
-        incarnation=slot.incarnation,
+        incarnation=callee.incarnation,
         outcome=_Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
-        busy=load.busy(slot.guard),
-        limit=slot.guard.limit,
-        service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.shed_floor(slot, message.request_class, message.tenant),
+        busy=load.busy(callee.guard),
+        limit=callee.guard.limit,
+        service_seconds=load.service_seconds(callee.guard),
+        floor=_slots.shed_floor(callee, message.request_class, message.tenant),
         status=result.status,
         headers=tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -64,15 +64,15 @@
 
 
 async def receive_part(
-    slot: _slots.Slot, part: daemons.BodyPart
+    callee: _slots.Callee, part: daemons.BodyPart
 ) -> daemons.PartReply:
     """Accept one part of a request's body.
 
     The reply is delayed until the part queue has room.
     """
-    attempt = slot.attempts.get(part.attempt_id)
+    attempt = callee.attempts.get(part.attempt_id)
     if attempt is None and part.sequence == 0:
-        attempt = await _wait_for_attempt(slot, part.attempt_id)
+        attempt = await _wait_for_attempt(callee, part.attempt_id)
     if attempt is None:
         return daemons.PartReply(False)
     if part.sequence == 0:
@@ -89,27 +89,27 @@
 
 
 async def read_answer_part(
-    slot: _slots.Slot, message: daemons.AnswerFetch
+    callee: _slots.Callee, message: daemons.AnswerFetch
 ) -> daemons.AnswerPart:
     """Return the next part of an answer that is still being sent."""
-    attempt = slot.attempts.get(message.attempt_id)
+    attempt = callee.attempts.get(message.attempt_id)
     if attempt is None or attempt.answer_chunks is None:
         return _LOST_PART
     attempt.answer_parts_sent += 1
     if message.sequence != attempt.answer_parts_sent:
-        _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
+        _slots.fail_answer(callee, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
         return _LOST_PART
     try:
         data = await _read_before_deadline(
-            slot, attempt, attempt.answer_chunks
+            callee, attempt, attempt.answer_chunks
         )
     except (upstreams.UpstreamError, TimeoutError):
-        _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
+        _slots.fail_answer(callee, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
         return _LOST_PART
     record_answer_part(attempt, data)
     if data:
         return daemons.AnswerPart(data)
-    return _last_part(slot, attempt)
+    return _last_part(callee, attempt)
 
 
 def record_answer_part(attempt: _attempts.Attempt, data: bytes) -> None:
@@ -119,9 +119,9 @@
 
 
 async def _read_before_deadline(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
-    rest: abc.AsyncIterator[bytes],
+    chunks: abc.AsyncIterator[bytes],
 ) -> bytes:
     """Return the next part of the answer.
 
@@ -129,11 +129,11 @@
     read runs in a task of its own, so that cancelling the attempt cancels
     it and the upstream's connection closes at once, not at the deadline.
     """
-    reading = asyncio.ensure_future(_next_chunk(rest))
+    reading = asyncio.ensure_future(_next_chunk(chunks))
     attempt.pending_read = reading
-    left = max(0.0, _slots.remaining(slot, attempt))
+    seconds_left = max(0.0, _slots.remaining(callee, attempt))
     try:
-        await asyncio.wait({reading}, timeout=left)
+        await asyncio.wait({reading}, timeout=seconds_left)
     finally:
         reading.cancel()
     if not reading.done() or reading.cancelled():
@@ -141,42 +141,42 @@
     return reading.result()
 
 
-async def _next_chunk(rest: abc.AsyncIterator[bytes]) -> bytes:
-    return await anext(rest, b"")
+async def _next_chunk(chunks: abc.AsyncIterator[bytes]) -> bytes:
+    return await anext(chunks, b"")
 
 
 async def rechunk(
     chunks: abc.AsyncGenerator[bytes, None],
 ) -> abc.AsyncGenerator[bytes, None]:
     """Yield parts of at least ``CHUNK_BYTES``; the last may be shorter."""
-    held = bytearray()
+    buffer = bytearray()
     async with contextlib.aclosing(chunks):
         async for chunk in chunks:
-            held += chunk
-            if len(held) >= daemons.CHUNK_BYTES:
-                yield bytes(held)
-                held.clear()
-        if held:
-            yield bytes(held)
+            buffer += chunk
+            if len(buffer) >= daemons.CHUNK_BYTES:
+                yield bytes(buffer)
+                buffer.clear()
+        if buffer:
+            yield bytes(buffer)
 
 
 async def _wait_for_attempt(
-    slot: _slots.Slot, attempt_id: str
+    callee: _slots.Callee, attempt_id: str
 ) -> _attempts.Attempt | None:
     """Wait for the request of the attempt; return None if it is late."""
     # Each message has an exchange of its own, so part 0 of a body may be
     # handled before the request that it belongs to. If it were rejected,
     # the entrance would not send the body, and the request would wait for
     # it until its deadline.
-    arrived = slot.arrival_events.setdefault(attempt_id, asyncio.Event())
+    arrived = callee.arrival_events.setdefault(attempt_id, asyncio.Event())
     try:
         async with asyncio.timeout(ATTEMPT_WAIT_SECONDS):
             await arrived.wait()
     except TimeoutError:
         return None
     finally:
-        slot.arrival_events.pop(attempt_id, None)
-    return slot.attempts.get(attempt_id)
+        callee.arrival_events.pop(attempt_id, None)
+    return callee.attempts.get(attempt_id)
 
 
 async def _reply_when_admitted(
@@ -199,9 +199,9 @@
     If the attempt ends first, cancel ``work``.
     """
     ending = asyncio.ensure_future(attempt.ended.wait())
-    both: set[asyncio.Future[typing.Any]] = {work, ending}
+    futures: set[asyncio.Future[typing.Any]] = {work, ending}
     try:
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
         return work.done()
     finally:
         work.cancel()
@@ -209,10 +209,10 @@
 
 
 def _last_part(
-    slot: _slots.Slot, attempt: _attempts.Attempt
+    callee: _slots.Callee, attempt: _attempts.Attempt
 ) -> daemons.AnswerPart:
     digest = attempt.answer_digest.digest()
     summary = once.Summary(attempt.status, digest, attempt.answer_length)
-    _slots.end_ticket(slot, attempt, summary)
-    _slots.end_attempt(slot, attempt, load.End.DONE)
+    _slots.end_ticket(callee, attempt, summary)
+    _slots.end_attempt(callee, attempt, load.End.DONE)
     return daemons.AnswerPart(b"", last=True, digest=digest)
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -48,10 +48,10 @@
             0.0,
             f"class {fields.request_class!r} needs no ticket",
         )
-    ask = daemons.TicketRequest(
+    ticket_request = daemons.TicketRequest(
         service, fields.request_class, fields.caller, fields.tenant
     )
-    return await _request_ticket(entry, bundle, ask)
+    return await _request_ticket(entry, bundle, ticket_request)
 
 
 async def attach_child_ticket(
@@ -68,30 +68,32 @@
     parent_ticket = ready.parent.message.ticket
     service = ready.call.service
     key = request.fields.child_key
-    owner = entry.slot.owner
-    known = once.find_child(owner, parent_ticket, service, key)
-    first_use = known is None
-    if known is None:
-        ask = daemons.TicketRequest(
+    owner = entry.callee.owner
+    child = once.find_child(owner, parent_ticket, service, key)
+    first_use = child is None
+    if child is None:
+        ticket_request = daemons.TicketRequest(
             service,
             ready.call.request_class,
             ready.call.caller,
             ready.call.tenant,
         )
-        taken = await _request_ticket(entry, ready.bundle, ask)
-        if isinstance(taken, callers.Refusal):
-            return taken
-        known = once.adopt_child(
-            owner, parent_ticket, service, key, taken.ticket
+        reply = await _request_ticket(entry, ready.bundle, ticket_request)
+        if isinstance(reply, callers.Refusal):
+            return reply
+        child = once.adopt_child(
+            owner, parent_ticket, service, key, reply.ticket
         )
-        first_use = known == taken.ticket
-    if isinstance(known, once.Refused):
-        return callers.Refusal(known.outcome, known.reason)
-    return _entries.with_child_ticket(ready, known, first_use)
+        first_use = child == reply.ticket
+    if isinstance(child, once.Refused):
+        return callers.Refusal(child.outcome, child.reason)
+    return _entries.with_child_ticket(ready, child, first_use)
 
 
 async def _request_ticket(
-    entry: _entries.Entry, bundle: bundles.Bundle, ask: daemons.TicketRequest
+    entry: _entries.Entry,
+    bundle: bundles.Bundle,
+    request: daemons.TicketRequest,
 ) -> callers.TicketReply | callers.Refusal:
     """Request a ticket from up to ``TICKET_TRIES`` instances.
 
@@ -102,7 +104,7 @@
     refusal = _refusal(outcomes.Reason.NO_INSTANCE, 1.0)
     for _ in range(TICKET_TRIES):
         now = entry.clock.monotonic()
-        targets = fleet.targets(entry.node, ask.service, now)
+        targets = fleet.targets(entry.node, request.service, now)
         target = calls.choose_target(
             entry.entrance, targets, tried, now, entry.rng
         )
@@ -110,17 +112,17 @@
             return refusal
         tried.append(target.vm)
         try:
-            given = await entry.exchange(target.vm, ask, TICKET_TIMEOUT)
+            response = await entry.exchange(target.vm, request, TICKET_TIMEOUT)
         except daemons.PeerError:
             refusal = _refusal(outcomes.Reason.PEER_UNREACHABLE, 1.0)
             fleet.observe_call(entry.node, target.vm, False, "", now)
             continue
-        if not isinstance(given, daemons.TicketResponse):
+        if not isinstance(response, daemons.TicketResponse):
             continue
-        if given.ticket:
-            expires_in = given.expires_in_ms / 1000
-            return callers.TicketReply(given.ticket, expires_in)
-        refusal = _refusal_of_callee(entry, bundle, ask, given)
+        if response.ticket:
+            expires_in = response.expires_in_ms / 1000
+            return callers.TicketReply(response.ticket, expires_in)
+        refusal = _refusal_of_callee(entry, bundle, request, response)
         if refusal.reason is not outcomes.Reason.LEAVING:
             return refusal
     return refusal
@@ -129,17 +131,17 @@
 def _refusal_of_callee(
     entry: _entries.Entry,
     bundle: bundles.Bundle,
-    ask: daemons.TicketRequest,
-    given: daemons.TicketResponse,
+    request: daemons.TicketRequest,
+    response: daemons.TicketResponse,
 ) -> callers.Refusal:
-    rules = bundle.classes[ask.request_class].refusal
-    low = max(rules.retry_after_min_ms, given.retry_after_ms) / 1000
-    high = max(low, rules.retry_after_max_ms / 1000)
-    after = entry.rng.uniform(low, high)
-    return _refusal(outcomes.Reason(given.reason), after)
+    rules = bundle.classes[request.request_class].refusal
+    shortest = max(rules.retry_after_min_ms, response.retry_after_ms) / 1000
+    longest = max(shortest, rules.retry_after_max_ms / 1000)
+    retry_after = entry.rng.uniform(shortest, longest)
+    return _refusal(outcomes.Reason(response.reason), retry_after)
 
 
-def _refusal(reason: outcomes.Reason, after: float) -> callers.Refusal:
+def _refusal(reason: outcomes.Reason, retry_after: float) -> callers.Refusal:
     return callers.Refusal(
-        outcomes.Outcome.NOT_RUN, reason, after, "no ticket was issued"
+        outcomes.Outcome.NOT_RUN, reason, retry_after, "no ticket was issued"
     )
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -135,11 +135,11 @@
 def _record_refused_bundle(control: Control, fields: dict[str, str]) -> None:
     control.counts.count_refused_bundle(_defect_of(fields["reason"]))
     now = control.clock.monotonic()
-    shown = control.node.refusal_reasons
+    reasons = control.node.refusal_reasons
     control.refused_bundles = {
         digest: finding
         for digest, finding in control.refused_bundles.items()
-        if digest in shown
+        if digest in reasons
     }
     control.refused_bundles[fields["digest"]] = (fields["source"], now)
 
@@ -192,12 +192,12 @@
     return fleet.decode(reply.body)
 
 
-def _set_watch(control: Control, on: bool) -> None:
+def _set_watch(control: Control, enabled: bool) -> None:
     for task in control.watches:
         task.cancel()
     control.watches.clear()
-    logs.event(_LOG, logging.INFO, "watch", on=on)
-    if on:
+    logs.event(_LOG, logging.INFO, "watch", on=enabled)
+    if enabled:
         loop = asyncio.get_running_loop()
         control.watches += [
             loop.create_task(
@@ -246,7 +246,7 @@
     await asyncio.sleep(delay)
     try:
         control.counts.count_platform_read()
-        held = await control.client.read(configservice.BUNDLES_PREFIX)
+        bundles_read = await control.client.read(configservice.BUNDLES_PREFIX)
         control.counts.count_platform_read()
         vms = await control.client.read(configservice.VMS_KEY)
     except configservice.PlatformError as error:
@@ -255,7 +255,7 @@
         return
     control.platform_heard_at = control.clock.monotonic()
     _handle_vm_list(control, vms)
-    _handle_bundles(control, held)
+    _handle_bundles(control, bundles_read)
 
 
 def _handle_bundles(
@@ -274,11 +274,11 @@
 def _handle_vm_list(
     control: Control, snapshot: configservice.Snapshot
 ) -> None:
-    raw = snapshot.values.get(configservice.VMS_KEY)
-    if raw is None:
+    encoded = snapshot.values.get(configservice.VMS_KEY)
+    if encoded is None:
         return
     try:
-        entries = configservice.decode_vms(raw)
+        entries = configservice.decode_vms(encoded)
     except configservice.PlatformError as error:
         logs.event(_LOG, logging.WARNING, "vm_list_refused", detail=str(error))
         return
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -58,7 +58,7 @@
     incarnation: str
     links: daemons.Links
     control: _control.Control
-    slot: _slots.Slot
+    callee: _slots.Callee
     entry: _entries.Entry
     metrics: metrics.Metrics
     stopping: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
@@ -84,7 +84,7 @@
     entrance = calls.new_entrance(
         incarnation, settings_.failure_domain, settings_.region
     )
-    slot = _parts.new_slot(
+    callee = _parts.new_callee(
         settings_, incarnation, clock, bundle, entrance, counts
     )
     entry = _entries.Entry(
@@ -92,8 +92,8 @@
         rng=rng,
         entrance=entrance,
         node=node,
-        slot=slot,
-        exchange=functools.partial(_exchange, links, node, slot),
+        callee=callee,
+        exchange=functools.partial(_exchange, links, node, callee),
         bundle=bundle,
         counts=counts,
     )
@@ -103,7 +103,7 @@
         node=node,
         links=links,
         client=configservice.open_client(settings_.platform.urls),
-        on_adopted=functools.partial(_adopt, slot, counts),
+        on_adopted=functools.partial(_adopt, callee, counts),
         counts=counts,
         approvals=approvals,
     )
@@ -114,7 +114,7 @@
         incarnation,
         links,
         control,
-        slot,
+        callee,
         entry,
         counts,
     )
@@ -176,7 +176,7 @@
     await _control.close(daemon.control)
     await daemons.close_server(server)
     daemons.close(daemon.links)
-    await upstreams.close(daemon.slot.upstream)
+    await upstreams.close(daemon.callee.upstream)
 
 
 def stop(daemon: Daemon) -> None:
@@ -194,7 +194,7 @@
     # then their requests are refused: if the sockets were closed at once,
     # the answers would be lost.
     await asyncio.sleep(LEAVE_NOTICE_SECONDS)
-    while daemon.slot.attempts or daemon.entry.in_flight:
+    while daemon.callee.attempts or daemon.entry.in_flight:
         await asyncio.sleep(calls.HEARTBEAT_SECONDS)
 
 
@@ -214,10 +214,10 @@
 
 def _heartbeat(daemon: Daemon) -> None:
     now = daemon.clock.monotonic()
-    if calls.note_beat(daemon.slot.pauses, now):
-        gap = daemon.slot.pauses.last_pause
+    if calls.note_beat(daemon.callee.pauses, now):
+        gap = daemon.callee.pauses.last_pause
         logs.event(_LOG, logging.WARNING, "woke_late", seconds=gap)
-    _slots.check_deadlines(daemon.slot)
+    _slots.check_deadlines(daemon.callee)
     _ping_ejected(daemon, now)
 
 
@@ -242,15 +242,15 @@
     retry, and so would a call whose ticket was issued a moment ago. The
     news takes about a second to spread; until then work is accepted.
     """
-    if daemon.slot.owner.leaving:
+    if daemon.callee.owner.leaving:
         return
-    once.stop_issuing(daemon.slot.owner)
+    once.stop_issuing(daemon.callee.owner)
     loop = asyncio.get_running_loop()
-    loop.call_later(ACCEPT_WHILE_LEAVING_SECONDS, _refuse_work, daemon.slot)
+    loop.call_later(ACCEPT_WHILE_LEAVING_SECONDS, _refuse_work, daemon.callee)
 
 
-def _refuse_work(slot: _slots.Slot) -> None:
-    slot.guard.leaving = True
+def _refuse_work(callee: _slots.Callee) -> None:
+    callee.guard.leaving = True
 
 
 def _ping_ejected(daemon: Daemon, now: float) -> None:
@@ -290,38 +290,38 @@
 async def _handle(daemon: Daemon, message: daemons.Message) -> daemons.Message:
     if isinstance(message, daemons.Control):
         return _control.handle(daemon.control, message)
-    return await _serve(daemon.slot, message)
+    return await _serve(daemon.callee, message)
 
 
 async def _serve(
-    slot: _slots.Slot, message: daemons.Message
+    callee: _slots.Callee, message: daemons.Message
 ) -> daemons.Message:
     if isinstance(message, daemons.Run):
-        return await _execution.run(slot, message)
+        return await _execution.run(callee, message)
     if isinstance(message, daemons.BodyPart):
-        return await _bodies.receive_part(slot, message)
+        return await _bodies.receive_part(callee, message)
     if isinstance(message, daemons.AnswerFetch):
-        return await _bodies.read_answer_part(slot, message)
+        return await _bodies.read_answer_part(callee, message)
     if isinstance(message, daemons.TicketRequest):
-        return _tickets.issue(slot, message)
+        return _tickets.issue(callee, message)
     if isinstance(message, daemons.Cancel):
-        _slots.cancel_attempt(slot, message.attempt_id)
+        _slots.cancel_attempt(callee, message.attempt_id)
     if isinstance(message, daemons.Ping):
-        serving = slot.bundle() is not None and not slot.owner.leaving
-        return daemons.Pong(slot.incarnation, serving)
+        serving = callee.bundle() is not None and not callee.owner.leaving
+        return daemons.Pong(callee.incarnation, serving)
     return daemons.NoContent()
 
 
 async def _exchange(
     links: daemons.Links,
     node: fleet.Node,
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     vm: str,
     message: daemons.Message,
     timeout: float,
 ) -> daemons.Message:
     if vm == node.local_record.vm:
-        return await _exchange_locally(slot, message, timeout)
+        return await _exchange_locally(callee, message, timeout)
     address = fleet.address_of(node, vm)
     if address is None:
         raise daemons.PeerUnreachable(f"no address of {vm}")
@@ -329,25 +329,25 @@
 
 
 async def _exchange_locally(
-    slot: _slots.Slot, message: daemons.Message, timeout: float
+    callee: _slots.Callee, message: daemons.Message, timeout: float
 ) -> daemons.Message:
     """Handle a message of this daemon's own entrance without a link."""
     # A timeout or a cancellation ends only this wait. The attempt runs in a
     # task of its own, which the entrance's ``Cancel`` message ends.
     try:
         async with asyncio.timeout(timeout):
-            return await _serve(slot, message)
+            return await _serve(callee, message)
     except TimeoutError as error:
         raise daemons.PeerTimeout("own slot") from error
 
 
 def _adopt(
-    slot: _slots.Slot, counts: metrics.Metrics, bundle: bundles.Bundle
+    callee: _slots.Callee, counts: metrics.Metrics, bundle: bundles.Bundle
 ) -> None:
     counts.apply_bundle(bundle)
-    service = bundle.services.get(slot.service)
+    service = bundle.services.get(callee.service)
     if service is not None:
-        _resize_guard(slot, service)
+        _resize_guard(callee, service)
     logs.event(
         _LOG,
         logging.INFO,
@@ -357,20 +357,20 @@
     )
 
 
-def _resize_guard(slot: _slots.Slot, service: bundles.Service) -> None:
-    if slot.guard_sized:
-        load.resize(slot.guard, service.slots)
+def _resize_guard(callee: _slots.Callee, service: bundles.Service) -> None:
+    if callee.guard_sized:
+        load.resize(callee.guard, service.slots)
         return
     # This is the first bundle, and no work runs before it.
-    slot.guard_sized = True
-    leaving = slot.guard.leaving
-    slot.guard = load.new_guard(
+    callee.guard_sized = True
+    leaving = callee.guard.leaving
+    callee.guard = load.new_guard(
         service.slots,
-        slot.clock.monotonic(),
+        callee.clock.monotonic(),
         cold=service.cold_start_ms > 0,
         warm_seconds=service.cold_start_ms / 1000,
     )
-    slot.guard.leaving = leaving
+    callee.guard.leaving = leaving
 
 
 def _callers_app(daemon: Daemon) -> typing.Any:
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -55,7 +55,7 @@
     entry: _entries.Entry, request: callers.Request
 ) -> callers.Reply | callers.Refusal:
     """Serve one request and return its final answer."""
-    began = entry.clock.monotonic()
+    started_at = entry.clock.monotonic()
     entry.in_flight += 1
     try:
         ready = await _prepare(entry, request)
@@ -69,9 +69,9 @@
         entry.in_flight -= 1
     if isinstance(reply, callers.Refusal):
         return _record_and_return(entry, ready.call.request_class, reply)
-    taken = entry.clock.monotonic() - began
+    elapsed = entry.clock.monotonic() - started_at
     entry.counts.count_answer(
-        ready.call.request_class, ready.call.tenant, taken
+        ready.call.request_class, ready.call.tenant, elapsed
     )
     return reply
 
@@ -149,22 +149,24 @@
     max_body = ready.bundle.classes[ready.call.request_class].max_body_bytes
     transfer = _transfers.Transfer(send.attempt_id, send.target.vm, max_body)
     message = _to_run(entry, ready, request, send)
-    answer, raw = await _transfers.send(entry, transfer, message, request)
-    progress.answer = raw
+    answer, upstream_answer = await _transfers.send(
+        entry, transfer, message, request
+    )
+    progress.answer = upstream_answer
     now = entry.clock.monotonic()
     _report_reachability(entry, send.target.vm, answer, now)
-    usable = targets(entry, ready)
+    targets_left = targets(entry, ready)
     if transfer.body_consumed:
         # The rest of the body was sent once and is not stored, so no other
         # instance could receive the whole body.
-        usable = ()
+        targets_left = ()
     effect = calls.apply_answer(
         entry.entrance,
         ready.bundle,
         progress.key,
         send.attempt_id,
         answer,
-        usable,
+        targets_left,
         now,
         entry.rng,
     )
@@ -180,19 +182,19 @@
     request: callers.Request,
     send: calls.Send,
 ) -> daemons.Run:
-    call_ = ready.call
-    left = send.deadline - entry.clock.monotonic()
+    prepared_call = ready.call
+    seconds_left = send.deadline - entry.clock.monotonic()
     return daemons.Run(
         attempt_id=send.attempt_id,
-        service=call_.service,
-        request_class=call_.request_class,
-        tenant=call_.tenant,
-        caller=call_.caller,
-        call_id=call_.call_id,
-        remaining_ms=max(0, int(left * 1000)),
+        service=prepared_call.service,
+        request_class=prepared_call.request_class,
+        tenant=prepared_call.tenant,
+        caller=prepared_call.caller,
+        call_id=prepared_call.call_id,
+        remaining_ms=max(0, int(seconds_left * 1000)),
         retries=send.retries,
-        depth=call_.depth,
-        ticket=call_.ticket,
+        depth=prepared_call.depth,
+        ticket=prepared_call.ticket,
         method=request.method,
         path=request.path,
         headers=request.headers,
@@ -240,9 +242,9 @@
     if after > 0:
         return after
     rules = ready.bundle.classes[ready.call.request_class].refusal
-    low = rules.retry_after_min_ms / 1000
-    high = max(low, rules.retry_after_max_ms / 1000)
-    return entry.rng.uniform(low, high)
+    shortest = rules.retry_after_min_ms / 1000
+    longest = max(shortest, rules.retry_after_max_ms / 1000)
+    return entry.rng.uniform(shortest, longest)
 
 
 def _update_parent(
@@ -275,8 +277,12 @@
 def _owner_target(
     entry: _entries.Entry, owner: once.TicketTarget
 ) -> tuple[calls.Target, ...]:
-    known = fleet.incarnation_of(entry.node, owner.vm)
-    if known and known != owner.incarnation and known > owner.incarnation:
+    current = fleet.incarnation_of(entry.node, owner.vm)
+    if (
+        current
+        and current != owner.incarnation
+        and current > owner.incarnation
+    ):
         return ()
     if fleet.address_of(entry.node, owner.vm) is None:
         return ()
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -45,7 +45,7 @@
     rng: random.Random
     entrance: calls.Entrance
     node: fleet.Node
-    slot: _slots.Slot
+    callee: _slots.Callee
     exchange: abc.Callable[
         [str, daemons.Message, float], abc.Awaitable[daemons.Message]
     ]
@@ -100,8 +100,8 @@
     if rules is None:
         return _refuse(_Reason.UNKNOWN_CLASS, f"no class {request_class!r}")
     if length > rules.max_body_bytes:
-        most = rules.max_body_bytes
-        return _refuse(_Reason.BODY_TOO_LARGE, f"at most {most} bytes")
+        limit = rules.max_body_bytes
+        return _refuse(_Reason.BODY_TOO_LARGE, f"at most {limit} bytes")
     return None
 
 
@@ -119,8 +119,8 @@
     if not fields.ticket and refusal.reason is not _Reason.PARENT_GONE:
         return refusal
     repeat = max(fields.repeat, refusal.reason is _Reason.PARENT_GONE)
-    told = once.entrance_refusal(repeat, refusal.reason).outcome
-    return dataclasses.replace(refusal, outcome=told)
+    outcome = once.entrance_refusal(repeat, refusal.reason).outcome
+    return dataclasses.replace(refusal, outcome=outcome)
 
 
 def record_refusal(
@@ -177,7 +177,7 @@
 def _prepare_child(
     entry: Entry, bundle: bundles.Bundle, request: callers.Request
 ) -> PreparedCall | callers.Refusal:
-    parent = entry.slot.attempts.get(request.fields.context)
+    parent = entry.callee.attempts.get(request.fields.context)
     if parent is None:
         # Nobody waits for the parent any more, so the result of further
         # calls of its upstream would be of use to nobody. The outcome is
@@ -233,18 +233,18 @@
             f"POST /v1/ticket/{call.service} and send it as "
             "Sassafras-Ticket",
         )
-    name = once.parse_ticket(call.ticket)
-    if name is None:
+    target = once.parse_ticket(call.ticket)
+    if target is None:
         return _refuse(_Reason.TICKET_INVALID, "this is not a ticket")
-    if (name.service, name.request_class) != (
+    if (target.service, target.request_class) != (
         call.service,
         call.request_class,
     ):
         return _refuse(
             _Reason.TICKET_INVALID,
-            f"the ticket is for {name.service}/{name.request_class}",
+            f"the ticket is for {target.service}/{target.request_class}",
         )
-    return PreparedCall(call, bundle, parent, name)
+    return PreparedCall(call, bundle, parent, target)
 
 
 def _refuse(
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -30,169 +30,175 @@
 _Reason = outcomes.Reason
 
 
-async def run(slot: _slots.Slot, message: daemons.Run) -> daemons.RunAnswer:
+async def run(
+    callee: _slots.Callee, message: daemons.Run
+) -> daemons.RunAnswer:
     """Run one attempt or refuse it.
 
     Raises nothing but ``CancelledError``.
     """
-    now = slot.clock.monotonic()
-    calls.note_beat(slot.pauses, now)
-    known = slot.attempts.get(message.attempt_id)
-    if known is not None and known.task is not None:
+    now = callee.clock.monotonic()
+    calls.note_beat(callee.pauses, now)
+    existing = callee.attempts.get(message.attempt_id)
+    if existing is not None and existing.task is not None:
         # The link may deliver a request twice. If the second copy were
         # refused as not run, this refusal could arrive before the answer
         # to the first copy and be taken as final.
-        slot.duplicate_requests += 1
-        return await asyncio.shield(known.task)
-    reason = _reason_to_refuse(slot, message)
+        callee.duplicate_requests += 1
+        return await asyncio.shield(existing.task)
+    reason = _reason_to_refuse(callee, message)
     if message.ticket:
-        return await _run_ticket(slot, message, reason, now)
+        return await _run_ticket(callee, message, reason, now)
     if reason is not _Reason.NONE:
-        return _answers.refusal(slot, message, _Outcome.NOT_RUN, reason)
-    return await _run(slot, message, now)
+        return _answers.refusal(callee, message, _Outcome.NOT_RUN, reason)
+    return await _run(callee, message, now)
 
 
 def _reason_to_refuse(
-    slot: _slots.Slot, message: daemons.Run
+    callee: _slots.Callee, message: daemons.Run
 ) -> outcomes.Reason:
-    bundle = slot.bundle()
+    bundle = callee.bundle()
     if bundle is None:
         return _Reason.NO_BUNDLE
-    if message.service != slot.service:
+    if message.service != callee.service:
         return _Reason.UNKNOWN_SERVICE
     rules = bundle.classes.get(message.request_class)
     if rules is None:
         return _Reason.UNKNOWN_CLASS
     if rules.once and not message.ticket:
         return _Reason.TICKET_MISSING
-    if message.attempt_id in slot.cancelled_early:
-        del slot.cancelled_early[message.attempt_id]
+    if message.attempt_id in callee.cancelled_early:
+        del callee.cancelled_early[message.attempt_id]
         return _Reason.CANCELLED
-    if message.more and slot.large_bodies >= MAX_LARGE_BODIES:
+    if message.more and callee.large_bodies >= MAX_LARGE_BODIES:
         return _Reason.BODY_MEMORY
     return _Reason.NONE
 
 
 async def _run_ticket(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     message: daemons.Run,
-    unfit: outcomes.Reason,
+    refusal_reason: outcomes.Reason,
     now: float,
 ) -> daemons.RunAnswer:
-    arrival = _process_arrival(slot, message, unfit, now)
+    arrival = _process_arrival(callee, message, refusal_reason, now)
     if isinstance(arrival, once.Run):
-        slot.ticket_end_events[message.ticket] = asyncio.Event()
-        return await _run(slot, message, now)
+        callee.ticket_end_events[message.ticket] = asyncio.Event()
+        return await _run(callee, message, now)
     if isinstance(arrival, once.Join):
-        await _wait_for_end(slot, message)
-        now = slot.clock.monotonic()
-        arrival = _process_arrival(slot, message, unfit, now)
+        await _wait_for_end(callee, message)
+        now = callee.clock.monotonic()
+        arrival = _process_arrival(callee, message, refusal_reason, now)
     if isinstance(arrival, once.Replay):
-        return _answers.stored_answer(slot, message, arrival.result)
+        return _answers.stored_answer(callee, message, arrival.result)
     if isinstance(arrival, once.Refused):
-        return _answers.refusal(slot, message, arrival.outcome, arrival.reason)
+        return _answers.refusal(
+            callee, message, arrival.outcome, arrival.reason
+        )
     reason = _Reason.DEADLINE_PASSED
-    return _answers.refusal(slot, message, _Outcome.UNKNOWN, reason)
+    return _answers.refusal(callee, message, _Outcome.UNKNOWN, reason)
 
 
 def _process_arrival(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     message: daemons.Run,
-    unfit: outcomes.Reason,
+    refusal_reason: outcomes.Reason,
     now: float,
 ) -> once.Arrival:
     ticket, request_class = message.ticket, message.request_class
-    if unfit is _Reason.NONE:
-        return once.accept_arrival(slot.owner, ticket, request_class, now)
-    return once.refuse_arrival(slot.owner, ticket, request_class, unfit, now)
+    if refusal_reason is _Reason.NONE:
+        return once.accept_arrival(callee.owner, ticket, request_class, now)
+    return once.refuse_arrival(
+        callee.owner, ticket, request_class, refusal_reason, now
+    )
 
 
-async def _wait_for_end(slot: _slots.Slot, message: daemons.Run) -> None:
+async def _wait_for_end(callee: _slots.Callee, message: daemons.Run) -> None:
     ticket = message.ticket
-    event = slot.ticket_end_events.get(ticket)
+    event = callee.ticket_end_events.get(ticket)
     if event is None:
         return
-    slot.ticket_joiners[ticket] = slot.ticket_joiners.get(ticket, 0) + 1
+    callee.ticket_joiners[ticket] = callee.ticket_joiners.get(ticket, 0) + 1
     try:
         async with asyncio.timeout(message.remaining_ms / 1000):
             await event.wait()
     except TimeoutError:
         return
     finally:
-        slot.ticket_joiners[ticket] -= 1
-        if not slot.ticket_joiners[ticket]:
-            del slot.ticket_joiners[ticket]
+        callee.ticket_joiners[ticket] -= 1
+        if not callee.ticket_joiners[ticket]:
+            del callee.ticket_joiners[ticket]
 
 
 async def _run(
-    slot: _slots.Slot, message: daemons.Run, now: float
+    callee: _slots.Callee, message: daemons.Run, now: float
 ) -> daemons.RunAnswer:
-    late = calls.max_message_age(slot.pauses, now)
-    deadline = now + message.remaining_ms / 1000 - late
+    max_age = calls.max_message_age(callee.pauses, now)
+    deadline = now + message.remaining_ms / 1000 - max_age
     attempt = _attempts.new_attempt(message, deadline)
-    _slots.add_attempt(slot, attempt)
-    slot.large_bodies += message.more
+    _slots.add_attempt(callee, attempt)
+    callee.large_bodies += message.more
     # The attempt runs in a task of its own, so that the guard can abort it
     # and a caller that disconnects does not end it while others have joined
     # the same ticket.
-    attempt.task = asyncio.ensure_future(_execute(slot, attempt))
+    attempt.task = asyncio.ensure_future(_execute(callee, attempt))
     return await asyncio.shield(attempt.task)
 
 
 async def _execute(
-    slot: _slots.Slot, attempt: _attempts.Attempt
+    callee: _slots.Callee, attempt: _attempts.Attempt
 ) -> daemons.RunAnswer:
     result: once.Result
     try:
-        verdict = await _admit(slot, attempt)
-        if isinstance(verdict, load.TurnAway):
-            result = once.NotRun(verdict.reason)
-            result = _slots.end_ticket(slot, attempt, result)
-            _slots.forget_attempt(slot, attempt)
-            after = verdict.retry_after
-            return _answers.failure_answer(slot, attempt, result, after)
-        return await _dispatch(slot, attempt)
+        admission = await _admit(callee, attempt)
+        if isinstance(admission, load.TurnAway):
+            result = once.NotRun(admission.reason)
+            result = _slots.end_ticket(callee, attempt, result)
+            _slots.forget_attempt(callee, attempt)
+            after = admission.retry_after
+            return _answers.failure_answer(callee, attempt, result, after)
+        return await _dispatch(callee, attempt)
     except upstreams.UpstreamError as error:
-        return _finish_failed(slot, attempt, error)
+        return _finish_failed(callee, attempt, error)
     except asyncio.CancelledError:
         result = once.Unknown(_Reason.CANCELLED)
     except Exception:
         # An internal error must not leave a ticket in use for ever.
         _LOG.exception("event=attempt_fault id=%s", attempt.message.attempt_id)
         result = once.Unknown(_Reason.UPSTREAM_LOST)
-    result = _slots.end_ticket(slot, attempt, result)
-    _slots.end_attempt(slot, attempt, load.End.CANCELLED)
-    return _answers.failure_answer(slot, attempt, result)
+    result = _slots.end_ticket(callee, attempt, result)
+    _slots.end_attempt(callee, attempt, load.End.CANCELLED)
+    return _answers.failure_answer(callee, attempt, result)
 
 
 async def _admit(
-    slot: _slots.Slot, attempt: _attempts.Attempt
+    callee: _slots.Callee, attempt: _attempts.Attempt
 ) -> load.Start | load.TurnAway:
-    now = slot.clock.monotonic()
-    work = _to_work(slot, attempt)
-    _slots.apply_effects(slot, load.offer(slot.guard, work, now))
+    now = callee.clock.monotonic()
+    work = _to_work(callee, attempt)
+    _slots.apply_effects(callee, load.offer(callee.guard, work, now))
     return await attempt.admission
 
 
 async def _dispatch(
-    slot: _slots.Slot, attempt: _attempts.Attempt
+    callee: _slots.Callee, attempt: _attempts.Attempt
 ) -> daemons.RunAnswer:
     # The process may pause between admission and dispatch and resume when
     # nobody waits any more. The deadline and the ticket are therefore
     # checked again here, with no await before the request is passed to the
     # connection of the upstream.
-    now = slot.clock.monotonic()
+    now = callee.clock.monotonic()
     remaining = attempt.deadline - now
     ticket = attempt.message.ticket
     if remaining <= 0:
         raise upstreams.UpstreamError(
             _Outcome.NOT_RUN, _Reason.DEADLINE_PASSED
         )
-    if ticket and not once.dispatched(slot.owner, ticket, now):
+    if ticket and not once.dispatched(callee.owner, ticket, now):
         raise upstreams.UpstreamError(_Outcome.NOT_RUN, _Reason.TICKET_VOID)
     try:
         async with asyncio.timeout(remaining):
-            return await _send(slot, attempt, remaining)
+            return await _send(callee, attempt, remaining)
     except TimeoutError as error:
         raise upstreams.UpstreamError(
             _Outcome.UNKNOWN, _Reason.DEADLINE_PASSED
@@ -200,10 +206,10 @@
 
 
 async def _send(
-    slot: _slots.Slot, attempt: _attempts.Attempt, remaining: float
+    callee: _slots.Callee, attempt: _attempts.Attempt, remaining: float
 ) -> daemons.RunAnswer:
     request = _request(attempt, remaining)
-    response = await upstreams.send(slot.upstream, request)
+    response = await upstreams.send(callee.upstream, request)
     attempt.status = response.status
     chunks = _bodies.rechunk(response.chunks)
     first = await anext(chunks, b"")
@@ -211,18 +217,18 @@
     if len(first) >= daemons.CHUNK_BYTES:
         attempt.answer_chunks = chunks
         return _answers.upstream_answer(
-            slot, attempt, response, first, more=True
+            callee, attempt, response, first, more=True
         )
     answer = _answers.upstream_answer(
-        slot, attempt, response, first, more=False
+        callee, attempt, response, first, more=False
     )
     headers = tuple(
         (name.encode("latin-1"), value.encode("latin-1"))
         for name, value in response.headers
     )
-    stored = once.Done(response.status, headers, first)
-    _slots.end_ticket(slot, attempt, stored)
-    _slots.end_attempt(slot, attempt, load.End.DONE)
+    result = once.Done(response.status, headers, first)
+    _slots.end_ticket(callee, attempt, result)
+    _slots.end_attempt(callee, attempt, load.End.DONE)
     return answer
 
 
@@ -252,31 +258,31 @@
 
 
 def _finish_failed(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
     error: upstreams.UpstreamError,
 ) -> daemons.RunAnswer:
     result: once.Result = once.Unknown(error.reason)
-    how = load.End.FAILED
+    ending = load.End.FAILED
     if error.outcome is _Outcome.NOT_RUN:
         result = once.NotRun(error.reason)
         # When the deepest service is overloaded, each upstream above it
         # passes its refusals on. If these counted as refusals of the
         # upstream, every guard on the way would cut its limit although its
         # own upstream has room. Only an upstream's own refusals count.
-        how = load.End.FAILED if attempt.child_refused else load.End.REFUSED
+        ending = load.End.FAILED if attempt.child_refused else load.End.REFUSED
     if error.reason is _Reason.DEADLINE_PASSED:
-        how = load.End.CANCELLED
-    result = _slots.end_ticket(slot, attempt, result)
-    _slots.end_attempt(slot, attempt, how)
+        ending = load.End.CANCELLED
+    result = _slots.end_ticket(callee, attempt, result)
+    _slots.end_attempt(callee, attempt, ending)
     return _answers.failure_answer(
-        slot, attempt, result, attempt.child_retry_after
+        callee, attempt, result, attempt.child_retry_after
     )
 
 
-def _to_work(slot: _slots.Slot, attempt: _attempts.Attempt) -> load.Work:
+def _to_work(callee: _slots.Callee, attempt: _attempts.Attempt) -> load.Work:
     message = attempt.message
-    bundle = typing.cast("bundles.Bundle", slot.bundle())
+    bundle = typing.cast("bundles.Bundle", callee.bundle())
     rules = bundle.classes[message.request_class]
     tenant = bundle.tenants.get(message.tenant)
     return load.Work(
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -46,7 +46,7 @@
     For each valid envelope, the names of its approvers are added to
     ``approvals`` under the envelope's SHA-256.
     """
-    me = fleet.Record(
+    local_record = fleet.Record(
         settings_.vm,
         settings_.service,
         settings_.failure_domain,
@@ -56,7 +56,7 @@
     keys = {key.name: key.raw for key in settings_.keys}
     verify = functools.partial(_verify, keys, approvals)
     return fleet.new_node(
-        me, incarnation, settings_.peers.seeds, verify, now, rng
+        local_record, incarnation, settings_.peers.seeds, verify, now, rng
     )
 
 
@@ -72,14 +72,14 @@
     return approved
 
 
-def new_slot(
+def new_callee(
     settings_: settings.Settings,
     incarnation: str,
     clock: clocks.Clock,
     bundle: typing.Callable[[], bundles.Bundle | None],
     entrance: calls.Entrance,
     counts: metrics.Metrics,
-) -> _slots.Slot:
+) -> _slots.Callee:
     """Return the state of the callee's side with a new ticket owner."""
     now = clock.monotonic()
     owner = once.new_owner(
@@ -88,7 +88,7 @@
         secrets.token_bytes(32),
         MAX_TICKET_RECORDS,
     )
-    return _slots.Slot(
+    return _slots.Callee(
         service=settings_.service,
         incarnation=incarnation,
         clock=clock,
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -27,7 +27,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Slot:
+class Callee:
     """State of the callee's side of one daemon.
 
     ``max_callee_floor`` returns, for a class and a tenant, the greatest
@@ -69,10 +69,10 @@
     duplicate_requests: int = 0
 
 
-def apply_effects(slot: Slot, effects: list[load.Effect]) -> None:
+def apply_effects(callee: Callee, effects: list[load.Effect]) -> None:
     """Carry out the effects of the guard's decisions."""
     for effect in effects:
-        attempt = slot.attempts.get(effect.attempt_id)
+        attempt = callee.attempts.get(effect.attempt_id)
         if attempt is None:
             continue
         if isinstance(effect, load.Abort):
@@ -81,61 +81,67 @@
             attempt.admission.set_result(effect)
 
 
-def add_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
+def add_attempt(callee: Callee, attempt: _attempts.Attempt) -> None:
     """Register the attempt and wake a body part that arrived before it."""
     attempt_id = attempt.message.attempt_id
-    slot.attempts[attempt_id] = attempt
-    waiting = slot.arrival_events.get(attempt_id)
+    callee.attempts[attempt_id] = attempt
+    waiting = callee.arrival_events.get(attempt_id)
     if waiting is not None:
         waiting.set()
 
 
-def cancel_attempt(slot: Slot, attempt_id: str) -> None:
+def cancel_attempt(callee: Callee, attempt_id: str) -> None:
     """Cancel an attempt that nobody waits for any more."""
-    attempt = slot.attempts.get(attempt_id)
+    attempt = callee.attempts.get(attempt_id)
     if attempt is None:
-        _record_early_cancel(slot, attempt_id)
+        _record_early_cancel(callee, attempt_id)
     elif attempt.answer_chunks is not None:
-        fail_answer(slot, attempt, outcomes.Reason.CANCELLED)
-    elif not _must_finish(slot, attempt):
-        _drop_attempt(slot, attempt)
+        fail_answer(callee, attempt, outcomes.Reason.CANCELLED)
+    elif not _must_finish(callee, attempt):
+        _drop_attempt(callee, attempt)
 
 
-def check_deadlines(slot: Slot) -> None:
+def check_deadlines(callee: Callee) -> None:
     """Expire what has passed its deadline; called at each heartbeat."""
-    now = slot.clock.monotonic()
-    apply_effects(slot, load.tick(slot.guard, now))
-    once.expire(slot.owner, now)
-    for attempt in list(slot.attempts.values()):
+    now = callee.clock.monotonic()
+    apply_effects(callee, load.tick(callee.guard, now))
+    once.expire(callee.owner, now)
+    for attempt in list(callee.attempts.values()):
         if attempt.answer_chunks is not None and now >= attempt.deadline:
-            fail_answer(slot, attempt, outcomes.Reason.DEADLINE_PASSED)
+            fail_answer(callee, attempt, outcomes.Reason.DEADLINE_PASSED)
 
 
 def fail_answer(
-    slot: Slot, attempt: _attempts.Attempt, reason: outcomes.Reason
+    callee: Callee, attempt: _attempts.Attempt, reason: outcomes.Reason
 ) -> None:
     """End an attempt whose answer could not be passed on completely."""
-    if attempt.message.attempt_id in slot.attempts:
-        end_ticket(slot, attempt, once.Unknown(reason))
-        end_attempt(slot, attempt, load.End.FAILED)
+    if attempt.message.attempt_id in callee.attempts:
+        end_ticket(callee, attempt, once.Unknown(reason))
+        end_attempt(callee, attempt, load.End.FAILED)
 
 
-def end_attempt(slot: Slot, attempt: _attempts.Attempt, how: load.End) -> None:
+def end_attempt(
+    callee: Callee, attempt: _attempts.Attempt, ending: load.End
+) -> None:
     """Remove the attempt and tell the guard how it ended."""
-    if forget_attempt(slot, attempt):
-        now = slot.clock.monotonic()
+    if forget_attempt(callee, attempt):
+        now = callee.clock.monotonic()
         attempt_id = attempt.message.attempt_id
-        started = slot.guard.running.get(attempt_id, now)
-        slot.counts.count_attempt(attempt.message.request_class, now - started)
-        apply_effects(slot, load.finish(slot.guard, attempt_id, how, now))
+        started = callee.guard.running.get(attempt_id, now)
+        callee.counts.count_attempt(
+            attempt.message.request_class, now - started
+        )
+        apply_effects(
+            callee, load.finish(callee.guard, attempt_id, ending, now)
+        )
 
 
-def forget_attempt(slot: Slot, attempt: _attempts.Attempt) -> bool:
+def forget_attempt(callee: Callee, attempt: _attempts.Attempt) -> bool:
     """Remove the attempt; return False if it was removed before."""
-    known = slot.attempts.pop(attempt.message.attempt_id, None)
+    known = callee.attempts.pop(attempt.message.attempt_id, None)
     if known is None:
         return False
-    slot.large_bodies -= attempt.message.more
+    callee.large_bodies -= attempt.message.more
     attempt.ended.set()
     if attempt.message.more:
         attempt.unblock_body_reader()
@@ -147,42 +153,42 @@
 
 
 def end_ticket(
-    slot: Slot, attempt: _attempts.Attempt, result: once.Result
+    callee: Callee, attempt: _attempts.Attempt, result: once.Result
 ) -> once.Result:
     """Record the result of a ticket; return the result for its callers."""
     ticket = attempt.message.ticket
     if not ticket:
         return result
-    told = once.finish_execution(
-        slot.owner, ticket, result, slot.clock.monotonic()
+    recorded = once.finish_execution(
+        callee.owner, ticket, result, callee.clock.monotonic()
     )
-    event = slot.ticket_end_events.pop(ticket, None)
+    event = callee.ticket_end_events.pop(ticket, None)
     if event is not None:
         event.set()
-    return told
+    return recorded
 
 
-def shed_floor(slot: Slot, request_class: str, tenant: str) -> float:
+def shed_floor(callee: Callee, request_class: str, tenant: str) -> float:
     """Return the shed floor to report in answers for the class."""
-    own = load.floor(slot.guard, slot.clock.monotonic(), tenant)
-    return max(own, slot.max_callee_floor(request_class, tenant))
+    own_floor = load.floor(callee.guard, callee.clock.monotonic(), tenant)
+    return max(own_floor, callee.max_callee_floor(request_class, tenant))
 
 
-def remaining(slot: Slot, attempt: _attempts.Attempt) -> float:
+def remaining(callee: Callee, attempt: _attempts.Attempt) -> float:
     """Return the seconds until the deadline, negative once it has passed."""
-    return attempt.deadline - slot.clock.monotonic()
+    return attempt.deadline - callee.clock.monotonic()
 
 
-def _record_early_cancel(slot: Slot, attempt_id: str) -> None:
+def _record_early_cancel(callee: Callee, attempt_id: str) -> None:
     # Each message has an exchange of its own, so a cancellation may be
     # handled before the request, which would then run although nobody
     # waits for it.
-    slot.cancelled_early[attempt_id] = None
-    if len(slot.cancelled_early) > MAX_CANCELLED:
-        del slot.cancelled_early[next(iter(slot.cancelled_early))]
+    callee.cancelled_early[attempt_id] = None
+    if len(callee.cancelled_early) > MAX_CANCELLED:
+        del callee.cancelled_early[next(iter(callee.cancelled_early))]
 
 
-def _must_finish(slot: Slot, attempt: _attempts.Attempt) -> bool:
+def _must_finish(callee: Callee, attempt: _attempts.Attempt) -> bool:
     """Return whether once-only work continues without its caller.
 
     If it were cancelled at the upstream, its outcome would stay unknown.
@@ -193,15 +199,15 @@
     ticket = attempt.message.ticket
     if not ticket or not attempt.body_is_complete:
         return False
-    started = attempt.message.attempt_id in slot.guard.running
-    return started or slot.ticket_joiners.get(ticket, 0) > 0
+    started = attempt.message.attempt_id in callee.guard.running
+    return started or callee.ticket_joiners.get(ticket, 0) > 0
 
 
-def _drop_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
+def _drop_attempt(callee: Callee, attempt: _attempts.Attempt) -> None:
     attempt_id = attempt.message.attempt_id
-    now = slot.clock.monotonic()
-    apply_effects(slot, load.cancel(slot.guard, attempt_id, now))
-    if attempt_id not in slot.guard.running and not attempt.admission.done():
+    now = callee.clock.monotonic()
+    apply_effects(callee, load.cancel(callee.guard, attempt_id, now))
+    if attempt_id not in callee.guard.running and not attempt.admission.done():
         # The guard has removed the attempt and makes no decision on it any
         # more. Without this result the attempt would wait for ever, and
         # with it a planned stop and the callers that joined its ticket.
@@ -214,15 +220,15 @@
         attempt.task.cancel()
 
 
-def _close(rest: abc.AsyncGenerator[bytes, None]) -> None:
-    task = asyncio.ensure_future(_aclose(rest))
+def _close(chunks: abc.AsyncGenerator[bytes, None]) -> None:
+    task = asyncio.ensure_future(_aclose(chunks))
     _closing_tasks.add(task)
     task.add_done_callback(_closing_tasks.discard)
 
 
-async def _aclose(rest: abc.AsyncGenerator[bytes, None]) -> None:
+async def _aclose(chunks: abc.AsyncGenerator[bytes, None]) -> None:
     # ``aclose`` raises RuntimeError while a part of the answer is being
     # read. That read ends with the upstream's connection, so nothing is
     # left open.
     with contextlib.suppress(RuntimeError):
-        await rest.aclose()
+        await chunks.aclose()
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -31,7 +31,7 @@
         service=settings_.service,
         failure_domain=settings_.failure_domain,
         region=settings_.region,
-        incarnation=entry.slot.incarnation,
+        incarnation=entry.callee.incarnation,
         state=_state(entry),
         in_force=_in_force(control, entry, shown["in_force"]),
         newest_seen=_newest_bundle(shown["held"]),
@@ -54,7 +54,7 @@
             reachable=shown["platform_failures"] == 0,
             heard_seconds=_age(control, control.platform_heard_at),
         ),
-        instance=_instance(entry.slot),
+        instance=_instance(entry.callee),
         entrance=_entrance(entry),
         counters=_counters(entry),
     )
@@ -62,7 +62,7 @@
 
 def update_gauges(counts: metrics.Metrics, entry: _entries.Entry) -> None:
     """Set the gauges from the daemon's state."""
-    instance = _instance(entry.slot)
+    instance = _instance(entry.callee)
     counts.gauges.limit = instance.limit
     counts.gauges.running = instance.running
     counts.gauges.waiting = instance.waiting
@@ -74,7 +74,7 @@
 
 
 def _state(entry: _entries.Entry) -> operators.State:
-    if entry.leaving or entry.slot.owner.leaving:
+    if entry.leaving or entry.callee.owner.leaving:
         return operators.State.LEAVING
     if entry.bundle() is None:
         return operators.State.STARTING
@@ -87,13 +87,13 @@
     shown: dict[str, typing.Any] | None,
 ) -> operators.InForce:
     bundle = entry.bundle()
-    held = control.node.in_force
-    if bundle is None or shown is None or held is None:
+    stored = control.node.in_force
+    if bundle is None or shown is None or stored is None:
         return operators.InForce()
     return operators.InForce(
         bundle=operators.BundleId(shown["version"], shown["digest"]),
         mesh=bundle.mesh,
-        approved_by=control.approvals.get(held.envelope_digest, ()),
+        approved_by=control.approvals.get(stored.envelope_digest, ()),
         age_seconds=_age(control, control.bundle_adopted_at),
     )
 
@@ -122,21 +122,21 @@
     return round(control.clock.monotonic() - since, 1)
 
 
-def _newest_bundle(held: list[dict[str, typing.Any]]) -> operators.BundleId:
-    if not held:
+def _newest_bundle(stored: list[dict[str, typing.Any]]) -> operators.BundleId:
+    if not stored:
         return operators.BundleId()
-    return operators.BundleId(held[-1]["version"], held[-1]["digest"])
+    return operators.BundleId(stored[-1]["version"], stored[-1]["digest"])
 
 
-def _instance(slot: _slots.Slot) -> operators.Instance:
-    bundle = slot.bundle()
-    service = bundle.services.get(slot.service) if bundle else None
+def _instance(callee: _slots.Callee) -> operators.Instance:
+    bundle = callee.bundle()
+    service = bundle.services.get(callee.service) if bundle else None
     return operators.Instance(
         slots=service.slots if service else 0,
-        limit=load.limit(slot.guard, slot.clock.monotonic()),
-        running=len(slot.guard.running),
-        waiting=len(slot.guard.waiting),
-        shed_floor=load.floor(slot.guard, slot.clock.monotonic()),
+        limit=load.limit(callee.guard, callee.clock.monotonic()),
+        running=len(callee.guard.running),
+        waiting=len(callee.guard.waiting),
+        shed_floor=load.floor(callee.guard, callee.clock.monotonic()),
     )
 
 
@@ -151,11 +151,11 @@
 
 
 def _counters(entry: _entries.Entry) -> dict[str, int]:
-    counts = entry.slot.owner.counts
+    counts = entry.callee.owner.counts
     return {
         **entry.counts.totals(),
-        "doubled_attempts": entry.slot.duplicate_requests,
-        "pauses": entry.slot.pauses.count,
+        "doubled_attempts": entry.callee.duplicate_requests,
+        "pauses": entry.callee.pauses.count,
         "tickets_issued": counts.issued,
         "tickets_run": counts.ran,
         "tickets_joined": counts.joined,
--- a/src/sassafrasstair/runtime/_tickets.py
+++ b/src/sassafrasstair/runtime/_tickets.py
@@ -17,62 +17,62 @@
 
 
 def issue(
-    slot: _slots.Slot, ask: daemons.TicketRequest
+    callee: _slots.Callee, request: daemons.TicketRequest
 ) -> daemons.TicketResponse:
     """Issue a ticket of this incarnation, or refuse.
 
     Load is shed here, before the caller depends on a ticket, because a
     request that carries a ticket is not shed at an entrance.
     """
-    floor = _slots.shed_floor(slot, ask.request_class, ask.tenant)
-    answer = _decide(slot, ask, floor)
+    floor = _slots.shed_floor(callee, request.request_class, request.tenant)
+    answer = _decide(callee, request, floor)
     if isinstance(answer, once.Issued):
-        return _given(slot, answer, floor)
+        return _response(callee, answer, floor)
     return daemons.TicketResponse(
         ticket="",
         expires_in_ms=0,
         outcome=answer.outcome.value,
         reason=answer.reason.value,
-        retry_after_ms=_retry_after_ms(slot.bundle(), ask),
-        incarnation=slot.incarnation,
-        busy=load.busy(slot.guard),
+        retry_after_ms=_retry_after_ms(callee.bundle(), request),
+        incarnation=callee.incarnation,
+        busy=load.busy(callee.guard),
         floor=floor,
     )
 
 
-def _given(
-    slot: _slots.Slot, issued: once.Issued, floor: float
+def _response(
+    callee: _slots.Callee, issued: once.Issued, floor: float
 ) -> daemons.TicketResponse:
     return daemons.TicketResponse(
         ticket=issued.ticket,
         expires_in_ms=int(issued.expires_in * 1000),
         outcome=outcomes.Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
-        incarnation=slot.incarnation,
-        busy=load.busy(slot.guard),
+        incarnation=callee.incarnation,
+        busy=load.busy(callee.guard),
         floor=floor,
     )
 
 
 def _decide(
-    slot: _slots.Slot, ask: daemons.TicketRequest, floor: float
+    callee: _slots.Callee, request: daemons.TicketRequest, floor: float
 ) -> once.Issued | once.Refused:
-    bundle = slot.bundle()
+    bundle = callee.bundle()
     if bundle is None:
         return _refused(outcomes.Reason.NO_BUNDLE)
-    rules = bundle.classes.get(ask.request_class)
+    rules = bundle.classes.get(request.request_class)
     if rules is None or not rules.once:
         return _refused(outcomes.Reason.UNKNOWN_CLASS)
-    if ask.service != slot.service:
+    if request.service != callee.service:
         return _refused(outcomes.Reason.UNKNOWN_SERVICE)
-    if slot.guard.leaving:
+    if callee.guard.leaving:
         return _refused(outcomes.Reason.LEAVING)
-    now = slot.clock.monotonic()
-    if load.rank(rules.importance, ask.caller, bundle.version) < floor:
+    now = callee.clock.monotonic()
+    if load.rank(rules.importance, request.caller, bundle.version) < floor:
         return _refused(outcomes.Reason.SHED_AT_CALLEE)
     lifetime = bundle.ticket_lifetime_ms / 1000
     return once.issue_ticket(
-        slot.owner, ask.service, ask.request_class, lifetime, now
+        callee.owner, request.service, request.request_class, lifetime, now
     )
 
 
@@ -81,9 +81,9 @@
 
 
 def _retry_after_ms(
-    bundle: bundles.Bundle | None, ask: daemons.TicketRequest
+    bundle: bundles.Bundle | None, request: daemons.TicketRequest
 ) -> int:
-    rules = bundle.classes.get(ask.request_class) if bundle else None
+    rules = bundle.classes.get(request.request_class) if bundle else None
     if rules is None:
         return _NO_RULES_RETRY_AFTER_MS
     return rules.refusal.retry_after_min_ms
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -81,19 +81,21 @@
     timeout = message.remaining_ms / 1000
     if not request.more:
         return await entry.exchange(transfer.vm, message, timeout)
-    asking = asyncio.ensure_future(
+    request_task = asyncio.ensure_future(
         entry.exchange(transfer.vm, message, timeout)
     )
-    pump = asyncio.ensure_future(_send_body(entry, transfer, request, timeout))
-    both: set[asyncio.Future[typing.Any]] = {asking, pump}
+    body_task = asyncio.ensure_future(
+        _send_body(entry, transfer, request, timeout)
+    )
+    futures: set[asyncio.Future[typing.Any]] = {request_task, body_task}
     try:
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
-        if pump.done():
-            pump.result()
-        return await asking
+        await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
+        if body_task.done():
+            body_task.result()
+        return await request_task
     finally:
-        asking.cancel()
-        pump.cancel()
+        request_task.cancel()
+        body_task.cancel()
 
 
 def _check_reply(
@@ -108,8 +110,8 @@
         return _unknown_answer(_Reason.PEER_LOST), None
     outcome = _Outcome(reply.outcome)
     reason = _Reason(reply.reason)
-    whole = reply.more or _matches_digest(reply)
-    if outcome is _Outcome.DONE and reply.status and not whole:
+    is_complete = reply.more or _matches_digest(reply)
+    if outcome is _Outcome.DONE and reply.status and not is_complete:
         return _unknown_answer(_Reason.ANSWER_CUT_SHORT), None
     answer = calls.Answer(
         outcome=outcome,
@@ -135,8 +137,8 @@
     timeout: float,
 ) -> None:
     """Send the later parts of the body once the attempt has started."""
-    begin = daemons.BodyPart(transfer.attempt_id, 0, b"")
-    if not await _send_part(entry, transfer, begin, timeout):
+    part_zero = daemons.BodyPart(transfer.attempt_id, 0, b"")
+    if not await _send_part(entry, transfer, part_zero, timeout):
         return
     transfer.body_consumed = True
     digest = _attempts.new_digest(request.body)
@@ -160,14 +162,14 @@
 async def _chunked(
     parts: abc.AsyncIterator[bytes],
 ) -> abc.AsyncIterator[bytes]:
-    held = bytearray()
+    buffer = bytearray()
     async for part in parts:
-        held += part
-        if len(held) >= daemons.CHUNK_BYTES:
-            yield bytes(held)
-            held.clear()
-    if held:
-        yield bytes(held)
+        buffer += part
+        if len(buffer) >= daemons.CHUNK_BYTES:
+            yield bytes(buffer)
+            buffer.clear()
+    if buffer:
+        yield bytes(buffer)
 
 
 async def _send_part(
@@ -206,8 +208,10 @@
     if not answer.more:
         return callers.Reply(answer.status, headers, answer.body)
     parts = _answer_parts(entry, vm, answer, deadline)
-    left = max(0.0, deadline - entry.clock.monotonic())
-    return callers.Reply(answer.status, headers, answer.body, parts, left)
+    seconds_left = max(0.0, deadline - entry.clock.monotonic())
+    return callers.Reply(
+        answer.status, headers, answer.body, parts, seconds_left
+    )
 
 
 async def _answer_parts(
@@ -218,23 +222,23 @@
 ) -> abc.AsyncGenerator[bytes, None]:
     digest = _attempts.new_digest(answer.body)
     sequence = 0
-    whole = False
+    complete = False
     try:
-        while not whole:
+        while not complete:
             sequence += 1
-            ask = daemons.AnswerFetch(answer.attempt_id, sequence)
-            left = max(0.0, deadline - entry.clock.monotonic())
-            part = await entry.exchange(vm, ask, left)
+            fetch = daemons.AnswerFetch(answer.attempt_id, sequence)
+            seconds_left = max(0.0, deadline - entry.clock.monotonic())
+            part = await entry.exchange(vm, fetch, seconds_left)
             if not isinstance(part, daemons.AnswerPart) or part.gone:
                 raise AnswerBroken("a part is gone")
             digest.update(part.data)
             if part.last and part.digest != digest.digest():
                 raise AnswerBroken("digest differs")
-            whole = part.last
+            complete = part.last
             if part.data:
                 yield part.data
     finally:
-        if not whole:
+        if not complete:
             cancel(entry, vm, answer.attempt_id)
 
 
--- a/src/sassafrasstair/runtime/_watches.py
+++ b/src/sassafrasstair/runtime/_watches.py
@@ -37,22 +37,22 @@
     """
     count_call()
     waiting = asyncio.ensure_future(client.watch(prefix, index, WATCH_SECONDS))
-    missed = False
+    check_failed = False
     try:
         while not waiting.done():
-            pause = RECHECK_SECONDS if missed else CHECK_SECONDS
+            pause = RECHECK_SECONDS if check_failed else CHECK_SECONDS
             await asyncio.wait((waiting,), timeout=pause)
             if waiting.done():
                 break
             count_call()
             try:
-                seen = await client.read_index(prefix)
+                current_index = await client.read_index(prefix)
             except configservice.PlatformError:
-                missed = True
+                check_failed = True
                 continue
             if waiting.done():
                 break
-            if missed or seen != index:
+            if check_failed or current_index != index:
                 count_call()
                 return await client.read(prefix)
         return waiting.result()
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -67,13 +67,15 @@
     async def story() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
+            callee = mesh.back.callee
             async with asyncio.TaskGroup() as group:
                 for _ in range(meshes.SLOTS):
                     group.create_task(_whole(mesh.call("back")))
                 await meshes.until(lambda: upstream.began == meshes.SLOTS)
-                await leave(mesh.call("back"), lambda: slot.guard.waiting)
-                await meshes.until(lambda: len(slot.attempts) == meshes.SLOTS)
+                await leave(mesh.call("back"), lambda: callee.guard.waiting)
+                await meshes.until(
+                    lambda: len(callee.attempts) == meshes.SLOTS
+                )
                 upstream.go.set()
         assert upstream.began == meshes.SLOTS
 
@@ -94,7 +96,7 @@
             ticket = await mesh.ticket()
             await leave(mesh.bind(ticket), lambda: upstream.began)
             repeat = asyncio.create_task(_whole(mesh.bind(ticket, 1)))
-            owner = mesh.back.slot.owner
+            owner = mesh.back.callee.owner
             await meshes.until(lambda: owner.counts.joined)
             upstream.go.set()
             assert await repeat == (200, "0")
@@ -116,15 +118,17 @@
     async def story() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
+            callee = mesh.back.callee
 
             def taken() -> bool:
-                return all(a.body_is_complete for a in slot.attempts.values())
+                return all(
+                    a.body_is_complete for a in callee.attempts.values()
+                )
 
             request = mesh.call("back", data=bytes(size))
             await leave(request, lambda: upstream.began and taken())
             await meshes.until(lambda: upstream.cut)
-            assert slot.attempts == {}
+            assert callee.attempts == {}
 
     run(story())
 
@@ -154,7 +158,7 @@
         async with meshes.started(endless) as mesh:
             await leave(mesh.call("back"), lambda: sent > 1)
             await asyncio.wait_for(cut.wait(), 2)
-            await meshes.until(lambda: not mesh.back.slot.attempts)
+            await meshes.until(lambda: not mesh.back.callee.attempts)
 
     run(story())
 
@@ -195,11 +199,11 @@
             body = bytes(300_000)
             first = asyncio.create_task(_whole(mesh.bind(ticket, data=body)))
             await meshes.until(lambda: upstream.began)
-            mesh.back.slot.large_bodies += _execution.MAX_LARGE_BODIES
+            mesh.back.callee.large_bodies += _execution.MAX_LARGE_BODIES
             repeat = asyncio.create_task(
                 _whole(mesh.bind(ticket, 1, data=body))
             )
-            counts = mesh.back.slot.owner.counts
+            counts = mesh.back.callee.owner.counts
             await meshes.until(lambda: counts.joined)
             upstream.go.set()
             assert await first == await repeat == (200, "300000")
--- a/tests/runtime/test_child_repeat.py
+++ b/tests/runtime/test_child_repeat.py
@@ -32,7 +32,7 @@
     ready = _entries.PreparedCall(
         call, typing.cast("typing.Any", None), _any(attempt), None
     )
-    entry = types.SimpleNamespace(slot=types.SimpleNamespace(owner=owner))
+    entry = types.SimpleNamespace(callee=types.SimpleNamespace(owner=owner))
     request = types.SimpleNamespace(fields=types.SimpleNamespace(child_key=""))
     used = asyncio.run(
         _children.attach_child_ticket(_any(entry), ready, _any(request))
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -42,8 +42,8 @@
 )
 
 
-def _new_slot() -> _slots.Slot:
-    return _slots.Slot(
+def _new_callee() -> _slots.Callee:
+    return _slots.Callee(
         service="intake",
         incarnation="i",
         clock=clocks.SystemClock(),
@@ -66,16 +66,16 @@
     """
 
     async def story() -> None:
-        slot = _new_slot()
+        callee = _new_callee()
         early = asyncio.create_task(
-            _bodies.receive_part(slot, daemons.BodyPart("a.1", 0, b""))
+            _bodies.receive_part(callee, daemons.BodyPart("a.1", 0, b""))
         )
         await asyncio.sleep(0)
-        attempt = _attempts.new_attempt(RUN, slot.clock.monotonic() + 60)
-        _slots.add_attempt(slot, attempt)
+        attempt = _attempts.new_attempt(RUN, callee.clock.monotonic() + 60)
+        _slots.add_attempt(callee, attempt)
         attempt.admission.set_result(load.Start("a.1"))
         assert await early == daemons.PartReply(True)
-        assert slot.arrival_events == {}
+        assert callee.arrival_events == {}
 
     asyncio.run(story())
 
@@ -96,9 +96,9 @@
 
     async def story() -> None:
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
+            callee = mesh.back.callee
             both = await asyncio.gather(
-                _execution.run(slot, SHORT), _execution.run(slot, SHORT)
+                _execution.run(callee, SHORT), _execution.run(callee, SHORT)
             )
             assert [answer.body for answer in both] == [b"ok", b"ok"]
 
@@ -114,9 +114,9 @@
 
     async def story() -> None:
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
-            _slots.cancel_attempt(slot, SHORT.attempt_id)
-            answer = await _execution.run(slot, SHORT)
+            callee = mesh.back.callee
+            _slots.cancel_attempt(callee, SHORT.attempt_id)
+            answer = await _execution.run(callee, SHORT)
             told = (answer.outcome, answer.reason)
             assert told == ("not run", outcomes.Reason.CANCELLED.value)
 
--- a/tests/runtime/test_nested_refusals.py
+++ b/tests/runtime/test_nested_refusals.py
@@ -23,22 +23,22 @@
     """
 
     async def story() -> tuple[float, float]:
-        slot = test_tickets_in_use.busy_slot()
-        now = slot.clock.monotonic()
-        slot.guard = load.new_guard(16, now - 9)
-        run = test_tickets_in_use.run_of(slot, "", "1.1")
+        callee = test_tickets_in_use.busy_callee()
+        now = callee.clock.monotonic()
+        callee.guard = load.new_guard(16, now - 9)
+        run = test_tickets_in_use.run_of(callee, "", "1.1")
         attempt = _attempts.new_attempt(run, now + 9)
         attempt.child_refused = nested
-        slot.attempts["1.1"] = attempt
-        work = _execution._to_work(slot, attempt)
-        assert load.offer(slot.guard, work, now) == [load.Start("1.1")]
-        before = slot.guard.limit
+        callee.attempts["1.1"] = attempt
+        work = _execution._to_work(callee, attempt)
+        assert load.offer(callee.guard, work, now) == [load.Start("1.1")]
+        before = callee.guard.limit
         error = upstreams.UpstreamError(
             outcomes.Outcome.NOT_RUN, outcomes.Reason.UPSTREAM_REFUSED
         )
-        answer = _execution._finish_failed(slot, attempt, error)
+        answer = _execution._finish_failed(callee, attempt, error)
         assert answer.outcome == "not run"
-        return before, slot.guard.limit
+        return before, callee.guard.limit
 
     before, after = asyncio.run(story())
     assert (after == before) is nested
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -22,24 +22,24 @@
 WAIT = 5.0
 
 
-def busy_slot() -> _slots.Slot:
-    """Return a slot whose guard is full, so that new attempts wait."""
+def busy_callee() -> _slots.Callee:
+    """Return a callee whose guard is full, so that new attempts wait."""
     bundle = worlds.verify(worlds.envelope(1))
-    slot = test_early_part._new_slot()
-    now = slot.clock.monotonic()
-    slot = dataclasses.replace(
-        slot,
+    callee = test_early_part._new_callee()
+    now = callee.clock.monotonic()
+    callee = dataclasses.replace(
+        callee,
         service="poster",
         owner=once.new_owner("poster-1", "i", bytes(32), 4),
         bundle=lambda: bundle,
         pauses=calls.Pauses(now),
     )
     work = load.Work("other", "report", "shop", 9.0, now + 60, 60.0)
-    assert load.offer(slot.guard, work, now) == [load.Start("other")]
-    return slot
+    assert load.offer(callee.guard, work, now) == [load.Start("other")]
+    return callee
 
 
-def run_of(slot: _slots.Slot, ticket: str, attempt_id: str) -> daemons.Run:
+def run_of(callee: _slots.Callee, ticket: str, attempt_id: str) -> daemons.Run:
     return msgspec.structs.replace(
         test_early_part.RUN,
         service="poster",
@@ -51,18 +51,18 @@
     )
 
 
-def ticket_of(slot: _slots.Slot) -> str:
-    now = slot.clock.monotonic()
-    issued = once.issue_ticket(slot.owner, "poster", "write-down", 60.0, now)
+def ticket_of(callee: _slots.Callee) -> str:
+    now = callee.clock.monotonic()
+    issued = once.issue_ticket(callee.owner, "poster", "write-down", 60.0, now)
     assert isinstance(issued, once.Issued)
     return issued.ticket
 
 
 async def arrived(
-    slot: _slots.Slot, ticket: str, attempt_id: str
+    callee: _slots.Callee, ticket: str, attempt_id: str
 ) -> asyncio.Task[daemons.RunAnswer]:
-    run = run_of(slot, ticket, attempt_id)
-    task = asyncio.create_task(_execution.run(slot, run))
+    run = run_of(callee, ticket, attempt_id)
+    task = asyncio.create_task(_execution.run(callee, run))
     for _ in range(3):
         await asyncio.sleep(0)
     return task
@@ -76,14 +76,14 @@
     """
 
     async def story() -> None:
-        slot = busy_slot()
-        first = await arrived(slot, "", "1.1")
-        second = await arrived(slot, "", "1.1")
+        callee = busy_callee()
+        first = await arrived(callee, "", "1.1")
+        second = await arrived(callee, "", "1.1")
         assert not second.done()
-        _slots.cancel_attempt(slot, "1.1")
+        _slots.cancel_attempt(callee, "1.1")
         assert (await first).reason == Reason.CANCELLED.value
         assert (await second) == (await first)
-        assert slot.duplicate_requests == 1
+        assert callee.duplicate_requests == 1
 
     asyncio.run(asyncio.wait_for(story(), WAIT))
 
@@ -97,19 +97,19 @@
     """
 
     async def story() -> None:
-        slot = busy_slot()
-        running, unused = ticket_of(slot), ticket_of(slot)
-        first = await arrived(slot, running, "1.1")
-        slot.bundle = lambda: None
-        again = await arrived(slot, running, "1.2")
+        callee = busy_callee()
+        running, unused = ticket_of(callee), ticket_of(callee)
+        first = await arrived(callee, running, "1.1")
+        callee.bundle = lambda: None
+        again = await arrived(callee, running, "1.2")
         assert not again.done()
-        refused = await (await arrived(slot, unused, "2.1"))
+        refused = await (await arrived(callee, unused, "2.1"))
         assert refused.outcome == "not run"
-        slot.bundle = busy_slot().bundle
-        late = await (await arrived(slot, unused, "2.2"))
+        callee.bundle = busy_callee().bundle
+        late = await (await arrived(callee, unused, "2.2"))
         assert late.reason == Reason.TICKET_VOID.value
         turn = load.TurnAway("1.1", Reason.QUEUE_FULL, 1.0)
-        slot.attempts["1.1"].admission.set_result(turn)
+        callee.attempts["1.1"].admission.set_result(turn)
         assert (await first).outcome == (await again).outcome == "not run"
 
     asyncio.run(asyncio.wait_for(story(), WAIT))
@@ -124,18 +124,18 @@
     """
 
     async def story() -> None:
-        slot = busy_slot()
-        ticket = ticket_of(slot)
-        first = await arrived(slot, ticket, "1.1")
-        again = await arrived(slot, ticket, "1.2")
-        _slots.cancel_attempt(slot, "1.1")
+        callee = busy_callee()
+        ticket = ticket_of(callee)
+        first = await arrived(callee, ticket, "1.1")
+        again = await arrived(callee, ticket, "1.2")
+        _slots.cancel_attempt(callee, "1.1")
         await asyncio.wait({first}, timeout=0.01)
         assert not first.done()
         again.cancel()
         await asyncio.wait({again})
-        _slots.cancel_attempt(slot, "1.1")
+        _slots.cancel_attempt(callee, "1.1")
         assert (await first).outcome == "not run"
-        assert not slot.ticket_joiners
+        assert not callee.ticket_joiners
 
     asyncio.run(asyncio.wait_for(story(), WAIT))
 
