--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Transfer:
-    """One attempt at ``vm`` whose body may have ``max_body`` bytes.
+    """One attempt at ``vm`` with a body of at most ``max_body`` bytes.
 
     ``body_consumed`` is set once reading the caller's later parts began.
     """
--- a/tests/daemons/test_close.py
+++ b/tests/daemons/test_close.py
@@ -6,9 +6,9 @@
 
 from sassafrasstair import daemons
 
-CLOSINGS = 5
-PEERS = 20
-ENOUGH_MESSAGES = 50
+ROUNDS = 5
+PEER_COUNT = 20
+MESSAGES_BEFORE_CLOSE = 50
 HANDLE_SECONDS = 0.0005
 CLOSE_SECONDS = 3.0
 
@@ -35,8 +35,8 @@
                 await daemons.exchange(links, address, daemons.Ping(), 0.2)
             await asyncio.sleep(0)
 
-    peers = [asyncio.create_task(flood()) for _ in range(PEERS)]
-    for _ in range(ENOUGH_MESSAGES):
+    peers = [asyncio.create_task(flood()) for _ in range(PEER_COUNT)]
+    for _ in range(MESSAGES_BEFORE_CLOSE):
         await handled.acquire()
     try:
         await daemons.close_server(server)
@@ -56,9 +56,9 @@
     killed with requests in flight.
     """
 
-    async def story() -> None:
-        for _ in range(CLOSINGS):
+    async def scenario() -> None:
+        for _ in range(ROUNDS):
             async with asyncio.timeout(CLOSE_SECONDS):
                 await _close_under_traffic()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/daemons/test_links.py
+++ b/tests/daemons/test_links.py
@@ -35,13 +35,13 @@
     ],
     ids=["not sent", "no reply", "may be sent"],
 )
-def test_errors_say_whether_it_was_sent(
+def test_errors_tell_whether_the_message_was_sent(
     listens: bool,
     message: daemons.Message,
     timeout: float,
     error: type[Exception],
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong) if listens else None
         links = daemons.Links()
@@ -52,10 +52,10 @@
         if server is not None:
             await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_faults_of_handlers_leave_the_server_whole() -> None:
+def test_server_answers_after_handler_exceptions() -> None:
     """A server still answers after exceptions in its handler.
 
     Each exception ended a receiver that still counted as idle and left its
@@ -63,7 +63,7 @@
     daemon no longer answered any peer.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
@@ -77,10 +77,10 @@
         daemons.close(links)
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_link_with_an_exchange_under_way_is_not_idle(
+def test_link_with_an_exchange_in_flight_is_not_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A link whose only exchange waits for a slow upstream stays open.
@@ -91,7 +91,7 @@
     """
     monkeypatch.setattr(_links, "MAX_IDLE_SECONDS", 0.0)
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         go = asyncio.Event()
 
@@ -113,10 +113,10 @@
         assert links.by_address == {}
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_cancellation_that_pynng_drops_ends_the_exchange(
+def test_cancellation_dropped_by_pynng_ends_the_exchange(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An exchange ends at its timeout even if pynng drops a cancellation.
@@ -134,7 +134,7 @@
 
     monkeypatch.setattr(_links, "_send", late_send)
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
@@ -146,17 +146,17 @@
         daemons.close(links)
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_dropped_link_ends_what_is_under_way() -> None:
+def test_disconnected_link_ends_its_exchanges() -> None:
     """Disconnecting a link ends the exchanges in progress on it.
 
     When a VM loses power, no connection is closed. A ping fails, but a call
     in progress would wait until its deadline.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
@@ -170,4 +170,4 @@
         daemons.close(links)
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/runtime/meshes.py
+++ b/tests/runtime/meshes.py
@@ -123,7 +123,7 @@
     runs = [asyncio.create_task(runtime.run(one)) for one in daemons]
     await asyncio.sleep(0)
     for one in daemons:
-        await _feed(one.control)
+        await _send_platform_state(one.control)
     async with aiohttp.ClientSession() as http:
         mesh = Mesh(
             daemons[0], daemons[1], http, f"http://127.0.0.1:{ports[0]}"
@@ -214,7 +214,7 @@
     return daemon
 
 
-async def _feed(control: _control.Control) -> None:
+async def _send_platform_state(control: _control.Control) -> None:
     """Pass the platform's state at once: daemons spread their reads."""
     for prefix, took in (
         (configservice.VMS_KEY, _control._handle_vm_list),
--- a/tests/runtime/test_answers.py
+++ b/tests/runtime/test_answers.py
@@ -24,7 +24,7 @@
         ("GET", "/none", None),
     ],
 )
-def test_answer_has_its_upstreams_head(
+def test_answer_keeps_length_and_date_of_the_upstream(
     method: str, path: str, length: str | None
 ) -> None:
     """The upstream's Content-Length and Date reach the caller unchanged.
@@ -33,7 +33,7 @@
     server added a second Date header.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with (
             meshes.started(_upstream) as mesh,
             mesh.call("back", path, method=method) as answer,
@@ -41,4 +41,4 @@
             assert answer.headers.get("content-length") == length
             assert len(answer.headers.getall("date")) == 1
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -21,9 +21,9 @@
     """Holds each request until ``go``; counts requests begun and cut off."""
 
     def __init__(self) -> None:
-        self.go = asyncio.Event()
+        self.release = asyncio.Event()
         self.began = 0
-        self.cut = 0
+        self.cancelled = 0
 
     async def __call__(self, request: web.BaseRequest) -> web.StreamResponse:
         self.began += 1
@@ -31,14 +31,14 @@
             length = 0
             async for chunk in request.content.iter_any():
                 length += len(chunk)
-            await self.go.wait()
+            await self.release.wait()
         except (asyncio.CancelledError, ConnectionError):
-            self.cut += 1
+            self.cancelled += 1
             raise
         return web.Response(text=f"{length}")
 
 
-async def leave(
+async def send_and_disconnect(
     request: typing.Any, condition: abc.Callable[[], object]
 ) -> None:
     """Send a request and close its connection once ``condition`` holds."""
@@ -53,36 +53,38 @@
     await asyncio.wait({sending})
 
 
-def run(story: abc.Coroutine[typing.Any, typing.Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(story, 4 * meshes.WAIT))
+def run(scenario: abc.Coroutine[typing.Any, typing.Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 4 * meshes.WAIT))
 
 
-def test_waiting_request_whose_caller_left_is_forgotten() -> None:
+def test_waiting_request_is_removed_when_its_caller_leaves() -> None:
     """A queued request is removed once its caller has disconnected.
 
     The guard dropped the request without a decision, so its task waited for
     ever. Memory grew, and a planned stop never ended.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
             callee = mesh.back.callee
             async with asyncio.TaskGroup() as group:
                 for _ in range(meshes.SLOTS):
-                    group.create_task(_whole(mesh.call("back")))
+                    group.create_task(_status_and_text(mesh.call("back")))
                 await meshes.until(lambda: upstream.began == meshes.SLOTS)
-                await leave(mesh.call("back"), lambda: callee.guard.waiting)
+                await send_and_disconnect(
+                    mesh.call("back"), lambda: callee.guard.waiting
+                )
                 await meshes.until(
                     lambda: len(callee.attempts) == meshes.SLOTS
                 )
-                upstream.go.set()
+                upstream.release.set()
         assert upstream.began == meshes.SLOTS
 
-    run(story())
+    run(scenario())
 
 
-def test_binding_whose_caller_left_ends_and_is_told_to_the_repeat() -> None:
+def test_once_only_work_continues_for_the_repeat() -> None:
     """Once-only work continues without its caller, for the repeat.
 
     The owner cancelled the work at the upstream when the caller's
@@ -90,24 +92,28 @@
     continues, a repeat joins it or gets its stored answer.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
             ticket = await mesh.ticket()
-            await leave(mesh.bind(ticket), lambda: upstream.began)
-            repeat = asyncio.create_task(_whole(mesh.bind(ticket, 1)))
+            await send_and_disconnect(
+                mesh.bind(ticket), lambda: upstream.began
+            )
+            repeat = asyncio.create_task(
+                _status_and_text(mesh.bind(ticket, 1))
+            )
             owner = mesh.back.callee.owner
             await meshes.until(lambda: owner.counts.joined)
-            upstream.go.set()
+            upstream.release.set()
             assert await repeat == (200, "0")
-            assert await _whole(mesh.bind(ticket, 2)) == (200, "0")
-        assert (upstream.began, upstream.cut) == (1, 0)
+            assert await _status_and_text(mesh.bind(ticket, 2)) == (200, "0")
+        assert (upstream.began, upstream.cancelled) == (1, 0)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("size", [0, 300_000], ids=["no body", "long body"])
-def test_request_whose_caller_left_is_cut_at_the_upstream(size: int) -> None:
+def test_request_is_cancelled_when_its_caller_leaves(size: int) -> None:
     """A request is cancelled at the upstream when its caller leaves.
 
     The caller disconnects after it has sent its whole request. With a long
@@ -115,7 +121,7 @@
     upstreams worked for callers that had left.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
             callee = mesh.back.callee
@@ -126,14 +132,16 @@
                 )
 
             request = mesh.call("back", data=bytes(size))
-            await leave(request, lambda: upstream.began and taken())
-            await meshes.until(lambda: upstream.cut)
+            await send_and_disconnect(
+                request, lambda: upstream.began and taken()
+            )
+            await meshes.until(lambda: upstream.cancelled)
             assert callee.attempts == {}
 
-    run(story())
+    run(scenario())
 
 
-def test_answer_whose_caller_left_is_cut_at_the_upstream() -> None:
+def test_answer_is_cancelled_when_its_caller_leaves() -> None:
     """A long answer is cancelled at the upstream when its caller leaves.
 
     The HTTP server silently drops data sent to a caller that has
@@ -154,16 +162,16 @@
             cut.set()
             raise
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(endless) as mesh:
-            await leave(mesh.call("back"), lambda: sent > 1)
+            await send_and_disconnect(mesh.call("back"), lambda: sent > 1)
             await asyncio.wait_for(cut.wait(), 2)
             await meshes.until(lambda: not mesh.back.callee.attempts)
 
-    run(story())
+    run(scenario())
 
 
-def test_body_that_grows_too_large_is_cut() -> None:
+def test_body_beyond_the_limit_is_refused() -> None:
     """A body without a declared length is held to the limit of its class.
 
     The limit could not be checked at the start of the request and was not
@@ -174,17 +182,19 @@
         while True:
             yield PART
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
-            answer = await _refused(mesh.call("back", data=endless()))
+            answer = await _status_and_refusal(
+                mesh.call("back", data=endless())
+            )
             assert answer == (413, "unknown", "body_too_large")
-            await meshes.until(lambda: upstream.cut)
+            await meshes.until(lambda: upstream.cancelled)
 
-    run(story())
+    run(scenario())
 
 
-def test_repeat_without_room_for_its_body_is_not_told_not_run() -> None:
+def test_repeat_without_body_memory_joins_the_first_use() -> None:
     """A repeat of running work is not refused as not run for lack of memory.
 
     The repeat was refused for lack of memory for its large body before its
@@ -192,23 +202,25 @@
     again with a new ticket.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
             ticket = await mesh.ticket()
             body = bytes(300_000)
-            first = asyncio.create_task(_whole(mesh.bind(ticket, data=body)))
+            first = asyncio.create_task(
+                _status_and_text(mesh.bind(ticket, data=body))
+            )
             await meshes.until(lambda: upstream.began)
             mesh.back.callee.large_bodies += _execution.MAX_LARGE_BODIES
             repeat = asyncio.create_task(
-                _whole(mesh.bind(ticket, 1, data=body))
+                _status_and_text(mesh.bind(ticket, 1, data=body))
             )
             counts = mesh.back.callee.owner.counts
             await meshes.until(lambda: counts.joined)
-            upstream.go.set()
+            upstream.release.set()
             assert await first == await repeat == (200, "300000")
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -221,7 +233,7 @@
         (99, {}, (429, "unknown", "too_many_repeats")),
     ],
 )
-def test_entrance_says_not_run_of_a_first_use_alone(
+def test_entrance_reports_not_run_only_for_a_first_use(
     repeat: int, headers: dict[str, str], told: tuple[int, str, str]
 ) -> None:
     """The entrance reports "not run" only for the first use of a ticket.
@@ -230,7 +242,7 @@
     still run through another entrance.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(Upstream()) as mesh:
             gone = once.new_owner("lost-1", "1", bytes(32), 9)
             issued = once.issue_ticket(gone, "back", "bind", 600.0, 0.0)
@@ -241,12 +253,12 @@
                 "sassafras-repeat": str(repeat),
             }
             request = mesh.call("back", headers=fields | headers)
-            assert await _refused(request) == told
+            assert await _status_and_refusal(request) == told
 
-    run(story())
+    run(scenario())
 
 
-def test_fault_in_a_handler_is_answered(
+def test_internal_error_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """An internal error is reported to the caller as a refusal."""
@@ -254,23 +266,23 @@
     async def fault(*_: object) -> None:
         raise RuntimeError("fault")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(Upstream()) as mesh:
             monkeypatch.setattr(mesh.front.entry, "exchange", fault)
-            answer = await _refused(mesh.call("back"))
+            answer = await _status_and_refusal(mesh.call("back"))
             reason = outcomes.Reason.INTERNAL_FAULT.value
             assert answer == (500, "unknown", reason)
             assert mesh.front.entry.entrance.pending == {}
 
-    run(story())
+    run(scenario())
 
 
-async def _whole(request: typing.Any) -> tuple[int, str]:
+async def _status_and_text(request: typing.Any) -> tuple[int, str]:
     async with request as answer:
         return answer.status, await answer.text()
 
 
-async def _refused(request: typing.Any) -> tuple[int, str, str]:
+async def _status_and_refusal(request: typing.Any) -> tuple[int, str, str]:
     async with request as answer:
         return (
             answer.status,
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -19,7 +19,7 @@
 from sassafrasstair import upstreams
 from tests.runtime import meshes
 
-RUN = daemons.Run(
+LONG_REQUEST = daemons.Run(
     attempt_id="a.1",
     service="intake",
     request_class="stock-upload",
@@ -37,8 +37,12 @@
     body_length=200_000,
     more=True,
 )
-SHORT = msgspec.structs.replace(
-    RUN, service="back", request_class="look", body_length=5, more=False
+SHORT_REQUEST = msgspec.structs.replace(
+    LONG_REQUEST,
+    service="back",
+    request_class="look",
+    body_length=5,
+    more=False,
 )
 
 
@@ -57,7 +61,7 @@
     )
 
 
-def test_body_that_comes_before_its_request_is_wanted() -> None:
+def test_part_before_its_request_is_accepted() -> None:
     """Part 0 of a body is accepted although its request is handled later.
 
     The entrance sends the request and part 0 in two exchanges. The callee
@@ -65,22 +69,24 @@
     request waited for it until its deadline.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         callee = _new_callee()
         early = asyncio.create_task(
             _bodies.receive_part(callee, daemons.BodyPart("a.1", 0, b""))
         )
         await asyncio.sleep(0)
-        attempt = _attempts.new_attempt(RUN, callee.clock.monotonic() + 60)
+        attempt = _attempts.new_attempt(
+            LONG_REQUEST, callee.clock.monotonic() + 60
+        )
         _slots.add_attempt(callee, attempt)
         attempt.admission.set_result(load.Start("a.1"))
         assert await early == daemons.PartReply(True)
         assert callee.arrival_events == {}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_doubled_request_gets_the_first_ones_answer() -> None:
+def test_duplicate_request_gets_the_same_answer() -> None:
     """Both copies of a request that is delivered twice get its answer.
 
     The second copy was refused as not run. If this refusal arrived first,
@@ -94,30 +100,31 @@
         await asyncio.sleep(0.05)
         return web.Response(text="ok")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(upstream) as mesh:
             callee = mesh.back.callee
             both = await asyncio.gather(
-                _execution.run(callee, SHORT), _execution.run(callee, SHORT)
+                _execution.run(callee, SHORT_REQUEST),
+                _execution.run(callee, SHORT_REQUEST),
             )
             assert [answer.body for answer in both] == [b"ok", b"ok"]
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
     assert began == 1
 
 
-def test_cancellation_that_comes_before_its_request_holds() -> None:
+def test_cancellation_before_its_request_prevents_it() -> None:
     """A request that arrives after its cancellation is not run."""
 
     async def upstream(_: web.BaseRequest) -> web.StreamResponse:
         raise AssertionError("nothing may run")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(upstream) as mesh:
             callee = mesh.back.callee
-            _slots.cancel_attempt(callee, SHORT.attempt_id)
-            answer = await _execution.run(callee, SHORT)
+            _slots.cancel_attempt(callee, SHORT_REQUEST.attempt_id)
+            answer = await _execution.run(callee, SHORT_REQUEST)
             told = (answer.outcome, answer.reason)
             assert told == ("not run", outcomes.Reason.CANCELLED.value)
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
--- a/tests/runtime/test_nested_refusals.py
+++ b/tests/runtime/test_nested_refusals.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("nested", [True, False])
-def test_only_own_refusals_cut_the_limit(nested: bool) -> None:
+def test_only_own_refusals_reduce_the_limit(nested: bool) -> None:
     """Refusals passed on from a deeper service do not cut the limit.
 
     The ledger is overloaded and refuses, and each poster passes the refusal
@@ -22,11 +22,11 @@
     ledger.
     """
 
-    async def story() -> tuple[float, float]:
+    async def scenario() -> tuple[float, float]:
         callee = test_tickets_in_use.busy_callee()
         now = callee.clock.monotonic()
         callee.guard = load.new_guard(16, now - 9)
-        run = test_tickets_in_use.run_of(callee, "", "1.1")
+        run = test_tickets_in_use.new_request(callee, "", "1.1")
         attempt = _attempts.new_attempt(run, now + 9)
         attempt.child_refused = nested
         callee.attempts["1.1"] = attempt
@@ -40,5 +40,5 @@
         assert answer.outcome == "not run"
         return before, callee.guard.limit
 
-    before, after = asyncio.run(story())
+    before, after = asyncio.run(scenario())
     assert (after == before) is nested
--- a/tests/runtime/test_periodic.py
+++ b/tests/runtime/test_periodic.py
@@ -5,14 +5,14 @@
 from sassafrasstair.runtime import _daemon
 
 
-def test_a_fault_does_not_end_a_periodic_step() -> None:
+def test_exception_does_not_end_a_periodic_step() -> None:
     """A periodic step is called again after an exception.
 
     Without this, one exception ended the task without a log line, and the
     daemon went on with queues that never expired.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         called = asyncio.Event()
         faults = iter([ValueError("fault")])
 
@@ -26,4 +26,4 @@
         await asyncio.wait_for(called.wait(), 5.0)
         task.cancel()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/runtime/test_planned_stop.py
+++ b/tests/runtime/test_planned_stop.py
@@ -15,8 +15,8 @@
     import pytest
 
 CALLERS = 40
-PAUSES = (0.0, 0.004, 0.1)
-DOWNLOAD = 2_000_000
+CALL_INTERVALS = (0.0, 0.004, 0.1)
+ANSWER_BYTES = 2_000_000
 
 
 async def upstream(request: web.BaseRequest) -> web.StreamResponse:
@@ -25,7 +25,9 @@
     return web.Response(text="ok")
 
 
-async def _calls(mesh: meshes.Mesh, pause: float, ends: typing.Any) -> None:
+async def _call_until_leaving(
+    mesh: meshes.Mesh, pause: float, ends: typing.Any
+) -> None:
     """Call front-1 until it reports that it leaves; count results."""
     async with aiohttp.ClientSession() as http:
         caller = meshes.Mesh(mesh.front, mesh.back, http, mesh.url)
@@ -43,7 +45,7 @@
             await asyncio.sleep(pause)
 
 
-def test_stop_under_load_cuts_no_caller(
+def test_stop_under_load_breaks_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """No connection breaks off while a daemon stops under load.
@@ -55,35 +57,35 @@
     monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.5)
     ends: collections.Counter[str] = collections.Counter()
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(upstream) as mesh:
             async with asyncio.TaskGroup() as group:
                 for number in range(CALLERS):
-                    pause = PAUSES[number % len(PAUSES)]
-                    group.create_task(_calls(mesh, pause, ends))
+                    pause = CALL_INTERVALS[number % len(CALL_INTERVALS)]
+                    group.create_task(_call_until_leaving(mesh, pause, ends))
                 await meshes.until(lambda: ends["200"] > CALLERS)
                 runtime.stop(mesh.front)
                 runtime.stop(mesh.front)
 
-    asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), 4 * meshes.WAIT))
     assert ends.keys() == {"200", "503", "close"}
     assert ends["close"] == CALLERS
 
 
-def test_stop_finishes_answers_that_are_being_passed_on() -> None:
+def test_stop_waits_for_answers_in_transfer() -> None:
     """A planned stop waits for long answers that are still being sent."""
     go = asyncio.Event()
 
     async def halves(request: web.BaseRequest) -> web.StreamResponse:
         answer = web.StreamResponse()
-        answer.content_length = DOWNLOAD
+        answer.content_length = ANSWER_BYTES
         await answer.prepare(request)
-        await answer.write(bytes(DOWNLOAD // 2))
+        await answer.write(bytes(ANSWER_BYTES // 2))
         await go.wait()
-        await answer.write(bytes(DOWNLOAD // 2))
+        await answer.write(bytes(ANSWER_BYTES // 2))
         return answer
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(halves) as mesh:
             async with mesh.call("back") as answer:
                 runtime.stop(mesh.front)
@@ -91,12 +93,12 @@
                 await meshes.until(lambda: mesh.back.entry.leaving)
                 await asyncio.sleep(2 * _daemon.LEAVE_NOTICE_SECONDS)
                 go.set()
-                assert len(await answer.read()) == DOWNLOAD
+                assert len(await answer.read()) == ANSWER_BYTES
 
-    asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), 4 * meshes.WAIT))
 
 
-def test_stop_of_a_callee_waits_for_what_its_upstream_runs(
+def test_stop_of_a_callee_waits_for_running_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The planned stop of a callee waits for requests at its upstream.
@@ -117,7 +119,7 @@
             await answer.read()
             return int(answer.status)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(slow) as mesh:
             asked = asyncio.create_task(ask(mesh))
             await began.wait()
@@ -129,4 +131,4 @@
             go.set()
             assert await asked == 200
 
-    asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), 4 * meshes.WAIT))
--- a/tests/runtime/test_status.py
+++ b/tests/runtime/test_status.py
@@ -13,13 +13,13 @@
 from tests.runtime import meshes
 
 
-async def _nothing(_: web.BaseRequest) -> web.StreamResponse:
+async def _empty_upstream(_: web.BaseRequest) -> web.StreamResponse:
     return web.Response()
 
 
 def test_status_names_approvers_members_and_refused_bundles() -> None:
-    async def story() -> None:
-        async with meshes.started(_nothing) as mesh:
+    async def scenario() -> None:
+        async with meshes.started(_empty_upstream) as mesh:
             control = mesh.front.control
             older = meshes.DOCUMENT | {"version": 1, "supersedes": 0}
             envelope = bundles.approve(
@@ -47,4 +47,4 @@
         text = metrics.render(mesh.front.metrics).decode()
         assert 'reason="downgraded"} 1' in text
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -39,9 +39,11 @@
     return callee
 
 
-def run_of(callee: _slots.Callee, ticket: str, attempt_id: str) -> daemons.Run:
+def new_request(
+    callee: _slots.Callee, ticket: str, attempt_id: str
+) -> daemons.Run:
     return msgspec.structs.replace(
-        test_early_part.RUN,
+        test_early_part.LONG_REQUEST,
         service="poster",
         request_class="write-down" if ticket else "lookup",
         ticket=ticket,
@@ -51,44 +53,44 @@
     )
 
 
-def ticket_of(callee: _slots.Callee) -> str:
+def issue_ticket(callee: _slots.Callee) -> str:
     now = callee.clock.monotonic()
     issued = once.issue_ticket(callee.owner, "poster", "write-down", 60.0, now)
     assert isinstance(issued, once.Issued)
     return issued.ticket
 
 
-async def arrived(
+async def start_request(
     callee: _slots.Callee, ticket: str, attempt_id: str
 ) -> asyncio.Task[daemons.RunAnswer]:
-    run = run_of(callee, ticket, attempt_id)
+    run = new_request(callee, ticket, attempt_id)
     task = asyncio.create_task(_execution.run(callee, run))
     for _ in range(3):
         await asyncio.sleep(0)
     return task
 
 
-def test_a_doubled_request_is_not_told_as_not_run() -> None:
+def test_duplicate_request_is_not_refused_while_waiting() -> None:
     """A request delivered twice is not refused while it waits.
 
     The second copy was refused because the first one was waiting, and the
     refusal could arrive before the answer to the first copy.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         callee = busy_callee()
-        first = await arrived(callee, "", "1.1")
-        second = await arrived(callee, "", "1.1")
+        first = await start_request(callee, "", "1.1")
+        second = await start_request(callee, "", "1.1")
         assert not second.done()
         _slots.cancel_attempt(callee, "1.1")
         assert (await first).reason == Reason.CANCELLED.value
         assert (await second) == (await first)
         assert callee.duplicate_requests == 1
 
-    asyncio.run(asyncio.wait_for(story(), WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), WAIT))
 
 
-def test_a_refusal_by_the_owner_voids_or_joins() -> None:
+def test_refused_ticket_use_joins_or_voids() -> None:
     """A refused use of a ticket joins a running use or voids the ticket.
 
     The owner has no bundle when a repeat arrives. If it refused the repeat
@@ -96,26 +98,26 @@
     start the work again and it would run twice.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         callee = busy_callee()
-        running, unused = ticket_of(callee), ticket_of(callee)
-        first = await arrived(callee, running, "1.1")
+        running, unused = issue_ticket(callee), issue_ticket(callee)
+        first = await start_request(callee, running, "1.1")
         callee.bundle = lambda: None
-        again = await arrived(callee, running, "1.2")
+        again = await start_request(callee, running, "1.2")
         assert not again.done()
-        refused = await (await arrived(callee, unused, "2.1"))
+        refused = await (await start_request(callee, unused, "2.1"))
         assert refused.outcome == "not run"
         callee.bundle = busy_callee().bundle
-        late = await (await arrived(callee, unused, "2.2"))
+        late = await (await start_request(callee, unused, "2.2"))
         assert late.reason == Reason.TICKET_VOID.value
         turn = load.TurnAway("1.1", Reason.QUEUE_FULL, 1.0)
         callee.attempts["1.1"].admission.set_result(turn)
         assert (await first).outcome == (await again).outcome == "not run"
 
-    asyncio.run(asyncio.wait_for(story(), WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), WAIT))
 
 
-def test_a_cancelled_use_does_not_end_what_another_joined() -> None:
+def test_cancelled_use_does_not_end_a_joined_repeat() -> None:
     """Cancelling the first use of a ticket does not end a joined repeat.
 
     The caller gives up and repeats the request, which joins the execution
@@ -123,11 +125,11 @@
     and must not end both.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         callee = busy_callee()
-        ticket = ticket_of(callee)
-        first = await arrived(callee, ticket, "1.1")
-        again = await arrived(callee, ticket, "1.2")
+        ticket = issue_ticket(callee)
+        first = await start_request(callee, ticket, "1.1")
+        again = await start_request(callee, ticket, "1.2")
         _slots.cancel_attempt(callee, "1.1")
         await asyncio.wait({first}, timeout=0.01)
         assert not first.done()
@@ -137,7 +139,7 @@
         assert (await first).outcome == "not run"
         assert not callee.ticket_joiners
 
-    asyncio.run(asyncio.wait_for(story(), WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), WAIT))
 
 
 @pytest.mark.parametrize(
@@ -149,7 +151,7 @@
         ("", 0, Reason.PARENT_GONE, outcomes.Outcome.UNKNOWN),
     ],
 )
-def test_an_early_refusal_of_a_repeat_is_unknown(
+def test_early_refusal_of_a_repeat_is_unknown(
     ticket: str,
     repeat: int,
     reason: outcomes.Reason,
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -33,7 +33,7 @@
 
     index: int = 1
     away: bool = False
-    absences: int = 0
+    outages: int = 0
     calls: int = 0
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
@@ -44,22 +44,22 @@
 
     def leave(self) -> None:
         self.away = True
-        self.absences += 1
+        self.outages += 1
 
     async def watch(
         self, prefix: str, index: int, wait: float
     ) -> configservice.Snapshot:
         self.calls += 1
-        longest = wait * (1 + _client.JITTER_SHARE) + _client.READ_SECONDS
-        absences = self.absences
+        timeout = wait * (1 + _client.JITTER_SHARE) + _client.READ_SECONDS
+        absences = self.outages
         try:
             async with asyncio.timeout(wait):
                 while self.index <= index:
                     await self.changed.wait()
         except TimeoutError:
             pass
-        if self.away or self.absences != absences:
-            await asyncio.sleep(longest)
+        if self.away or self.outages != absences:
+            await asyncio.sleep(timeout)
             raise configservice.PlatformError(
                 configservice.Reason.TIMEOUT, "watch"
             )
@@ -83,13 +83,13 @@
 
 
 def _watch(
-    platform: _Platform, heard: dict[int, float]
+    platform: _Platform, noticed_at: dict[int, float]
 ) -> asyncio.Future[None]:
     """Start a watch; ``heard`` receives the time of each new index."""
     loop = asyncio.get_running_loop()
 
-    def took(_: object, snapshot: configservice.Snapshot) -> None:
-        heard.setdefault(snapshot.index, loop.time())
+    def handle_snapshot(_: object, snapshot: configservice.Snapshot) -> None:
+        noticed_at.setdefault(snapshot.index, loop.time())
 
     control = types.SimpleNamespace(
         client=platform,
@@ -97,21 +97,21 @@
         clock=types.SimpleNamespace(monotonic=loop.time),
         platform_heard_at=None,
     )
-    watched = _control._watch(
-        typing.cast("_control.Control", control), "bundles/", took
+    watching = _control._watch(
+        typing.cast("_control.Control", control), "bundles/", handle_snapshot
     )
-    return asyncio.ensure_future(watched)
+    return asyncio.ensure_future(watching)
 
 
-async def _heard_after(platform: _Platform, seconds: float) -> float:
+async def _seconds_until_noticed(platform: _Platform, seconds: float) -> float:
     """Return the seconds until a bundle is noticed.
 
     The platform is away for ``seconds``, and the bundle is written when it
     is back.
     """
     loop = asyncio.get_running_loop()
-    heard: dict[int, float] = {}
-    watch = _watch(platform, heard)
+    noticed_at: dict[int, float] = {}
+    watch = _watch(platform, noticed_at)
     await asyncio.sleep(3.0)
     platform.put()
     await asyncio.sleep(0.1)
@@ -120,14 +120,14 @@
     platform.away = False
     platform.put()
     begun = loop.time()
-    while platform.index not in heard and loop.time() < begun + 60.0:
+    while platform.index not in noticed_at and loop.time() < begun + 60.0:
         await asyncio.sleep(0.01)
     watch.cancel()
     return loop.time() - begun
 
 
 @pytest.mark.parametrize("seconds", [0.0, 1.0, 3.0, 8.6, 30.0, 100.0])
-def test_bundle_after_an_absence_is_heard_of_in_time(
+def test_bundle_after_an_outage_is_noticed_in_time(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A bundle written when the platform is back is noticed in time.
@@ -140,13 +140,13 @@
     monkeypatch.setattr(_control, "_retry_delay", lambda *_: 1.0)
 
     async def test() -> None:
-        taken = await _heard_after(_Platform(), seconds)
+        taken = await _seconds_until_noticed(_Platform(), seconds)
         assert taken < IN_FORCE_SECONDS - SPREAD_SECONDS
 
     loops.run(test())
 
 
-def test_calm_watch_costs_a_check_now_and_then() -> None:
+def test_idle_watch_calls_only_for_checks() -> None:
     """A watch without changes calls the platform only for its checks.
 
     The platform's rate limit is shared by all readers: 36 watches in a
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -13,8 +13,8 @@
 from sassafrasstair.runtime import _transfers
 
 Reason = outcomes.Reason
-WHOLE = _attempts.new_digest(b"whole").digest()
-ALL = _attempts.new_digest(b"wholerest").digest()
+BODY_DIGEST = _attempts.new_digest(b"whole").digest()
+LONG_BODY_DIGEST = _attempts.new_digest(b"wholerest").digest()
 
 
 def answer(
@@ -28,7 +28,7 @@
         status=200,
         body=body,
         more=more,
-        digest=WHOLE,
+        digest=BODY_DIGEST,
     )
 
 
@@ -40,7 +40,7 @@
         ("9.1", b"whole", Reason.PEER_LOST),
     ],
 )
-def test_only_the_whole_answer_of_the_own_attempt_is_passed_on(
+def test_truncated_or_foreign_answer_is_rejected(
     attempt_id: str, body: bytes, reason: outcomes.Reason
 ) -> None:
     """A truncated answer or one to another attempt is not passed on.
@@ -57,8 +57,8 @@
 @pytest.mark.parametrize(
     ("parts", "is_whole"),
     [
-        ([daemons.AnswerPart(b"rest", True, ALL)], True),
-        ([daemons.AnswerPart(b"re", True, ALL)], False),
+        ([daemons.AnswerPart(b"rest", True, LONG_BODY_DIGEST)], True),
+        ([daemons.AnswerPart(b"re", True, LONG_BODY_DIGEST)], False),
         (
             [daemons.AnswerPart(b"re"), daemons.AnswerPart(b"", gone=True)],
             False,
@@ -66,7 +66,7 @@
         ([daemons.NoContent()], False),
     ],
 )
-def test_a_long_answer_that_is_cut_short_raises(
+def test_incomplete_long_answer_raises(
     parts: list[daemons.Message], is_whole: bool
 ) -> None:
     """A long answer that is damaged or cut short raises an error."""
@@ -83,14 +83,14 @@
     entry = typing.cast("typing.Any", types.SimpleNamespace())
     entry.exchange, entry.clock = exchange, clock
 
-    async def story() -> bytes:
+    async def scenario() -> bytes:
         deadline = clock.monotonic() + 10.0
         begun = answer("1.1", b"whole", more=True)
         rest = _transfers._answer_parts(entry, "vm-2", begun, deadline)
         return b"".join([part async for part in rest])
 
     if is_whole:
-        assert asyncio.run(story()) == b"rest"
+        assert asyncio.run(scenario()) == b"rest"
         return
     with pytest.raises(_transfers.AnswerBroken):
-        asyncio.run(story())
+        asyncio.run(scenario())
