--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -79,7 +79,7 @@
 ) -> daemons.Message:
     """Return the reply; raise at once an error in sending the body."""
     timeout = message.remaining_ms / 1000
-    if not request.more:
+    if not request.has_more_parts:
         return await entry.exchange(transfer.vm, message, timeout)
     request_task = asyncio.ensure_future(
         entry.exchange(transfer.vm, message, timeout)
@@ -141,10 +141,10 @@
     if not await _send_part(entry, transfer, part_zero, timeout):
         return
     transfer.body_consumed = True
-    digest = _attempts.new_digest(request.body)
-    length = len(request.body)
+    digest = _attempts.new_digest(request.first_part)
+    length = len(request.first_part)
     sequence = 0
-    async for data in _chunked(request.parts):
+    async for data in _chunked(request.remaining_parts):
         sequence += 1
         length += len(data)
         if length > transfer.max_body:
