--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -84,8 +84,8 @@
     if not attempt.request_parts.full():
         attempt.request_parts.put_nowait(part)
         return daemons.PartReply(True)
-    putting = asyncio.ensure_future(attempt.request_parts.put(part))
-    return daemons.PartReply(await _wait_unless_ended(attempt, putting))
+    put_task = asyncio.ensure_future(attempt.request_parts.put(part))
+    return daemons.PartReply(await _wait_unless_ended(attempt, put_task))
 
 
 async def read_answer_part(
@@ -129,16 +129,16 @@
     read runs in a task of its own, so that cancelling the attempt cancels
     it and the upstream's connection closes at once, not at the deadline.
     """
-    reading = asyncio.ensure_future(_next_chunk(chunks))
-    attempt.pending_read = reading
+    read_task = asyncio.ensure_future(_next_chunk(chunks))
+    attempt.pending_read = read_task
     seconds_left = max(0.0, _slots.remaining(callee, attempt))
     try:
-        await asyncio.wait({reading}, timeout=seconds_left)
+        await asyncio.wait({read_task}, timeout=seconds_left)
     finally:
-        reading.cancel()
-    if not reading.done() or reading.cancelled():
+        read_task.cancel()
+    if not read_task.done() or read_task.cancelled():
         raise TimeoutError
-    return reading.result()
+    return read_task.result()
 
 
 async def _next_chunk(chunks: abc.AsyncIterator[bytes]) -> bytes:
@@ -198,14 +198,14 @@
 
     If the attempt ends first, cancel ``work``.
     """
-    ending = asyncio.ensure_future(attempt.ended.wait())
-    futures: set[asyncio.Future[typing.Any]] = {work, ending}
+    ended_task = asyncio.ensure_future(attempt.ended.wait())
+    futures: set[asyncio.Future[typing.Any]] = {work, ended_task}
     try:
         await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
         return work.done()
     finally:
         work.cancel()
-        ending.cancel()
+        ended_task.cancel()
 
 
 def _last_part(
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -56,7 +56,7 @@
 
 async def attach_child_ticket(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
 ) -> _entries.PreparedCall | callers.Refusal:
     """Return a once-only child call with its ticket attached.
@@ -64,9 +64,9 @@
     This daemon owns the parent's ticket and stores the child's ticket with
     it, so that a repeat of the call by the upstream carries the same one.
     """
-    assert ready.parent is not None
-    parent_ticket = ready.parent.message.ticket
-    service = ready.call.service
+    assert prepared.parent is not None
+    parent_ticket = prepared.parent.message.ticket
+    service = prepared.call.service
     key = request.fields.child_key
     owner = entry.callee.owner
     child = once.find_child(owner, parent_ticket, service, key)
@@ -74,11 +74,11 @@
     if child is None:
         ticket_request = daemons.TicketRequest(
             service,
-            ready.call.request_class,
-            ready.call.caller,
-            ready.call.tenant,
+            prepared.call.request_class,
+            prepared.call.caller,
+            prepared.call.tenant,
         )
-        reply = await _request_ticket(entry, ready.bundle, ticket_request)
+        reply = await _request_ticket(entry, prepared.bundle, ticket_request)
         if isinstance(reply, callers.Refusal):
             return reply
         child = once.adopt_child(
@@ -87,7 +87,7 @@
         first_use = child == reply.ticket
     if isinstance(child, once.Refused):
         return callers.Refusal(child.outcome, child.reason)
-    return _entries.with_child_ticket(ready, child, first_use)
+    return _entries.with_child_ticket(prepared, child, first_use)
 
 
 async def _request_ticket(
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -137,8 +137,8 @@
     now = control.clock.monotonic()
     reasons = control.node.refusal_reasons
     control.refused_bundles = {
-        digest: finding
-        for digest, finding in control.refused_bundles.items()
+        digest: source_and_time
+        for digest, source_and_time in control.refused_bundles.items()
         if digest in reasons
     }
     control.refused_bundles[fields["digest"]] = (fields["source"], now)
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -147,7 +147,7 @@
         service=settings_.service,
         incarnation=daemon.incarnation,
     )
-    periodic = _start_periodic(daemon)
+    periodic = _start_periodic_tasks(daemon)
     await daemon.stopping.wait()
     await _leave(daemon)
     await _http.stop(http)
@@ -158,7 +158,7 @@
     logs.event(_LOG, logging.INFO, "stopped", vm=settings_.vm)
 
 
-def _start_periodic(daemon: Daemon) -> list[asyncio.Task[None]]:
+def _start_periodic_tasks(daemon: Daemon) -> list[asyncio.Task[None]]:
     steps: tuple[tuple[abc.Callable[[], None], float], ...] = (
         (functools.partial(_heartbeat, daemon), calls.HEARTBEAT_SECONDS),
         (functools.partial(_tick, daemon), _control.TICK_SECONDS),
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -58,20 +58,20 @@
     started_at = entry.clock.monotonic()
     entry.in_flight += 1
     try:
-        ready = await _prepare(entry, request)
-        if isinstance(ready, callers.Refusal):
-            refusal = _entries.correct_refusal(request.fields, ready)
-            return _record_and_return(
+        prepared = await _prepare(entry, request)
+        if isinstance(prepared, callers.Refusal):
+            refusal = _entries.correct_refusal(request.fields, prepared)
+            return _record_refusal(
                 entry, request.fields.request_class, refusal
             )
-        reply = await _run_attempts(entry, ready, request)
+        reply = await _run_attempts(entry, prepared, request)
     finally:
         entry.in_flight -= 1
     if isinstance(reply, callers.Refusal):
-        return _record_and_return(entry, ready.call.request_class, reply)
+        return _record_refusal(entry, prepared.call.request_class, reply)
     elapsed = entry.clock.monotonic() - started_at
     entry.counts.count_answer(
-        ready.call.request_class, ready.call.tenant, elapsed
+        prepared.call.request_class, prepared.call.tenant, elapsed
     )
     return reply
 
@@ -79,90 +79,96 @@
 async def _prepare(
     entry: _entries.Entry, request: callers.Request
 ) -> _entries.PreparedCall | callers.Refusal:
-    ready = _entries.prepare(entry, request)
-    if isinstance(ready, _entries.PreparedCall) and _needs_child_ticket(ready):
-        return await _children.attach_child_ticket(entry, ready, request)
-    return ready
+    prepared = _entries.prepare(entry, request)
+    if isinstance(prepared, _entries.PreparedCall) and _needs_child_ticket(
+        prepared
+    ):
+        return await _children.attach_child_ticket(entry, prepared, request)
+    return prepared
 
 
-def _record_and_return(
+def _record_refusal(
     entry: _entries.Entry, request_class: str, refusal: callers.Refusal
 ) -> callers.Refusal:
     _entries.record_refusal(entry, request_class, refusal)
     return refusal
 
 
-def _needs_child_ticket(ready: _entries.PreparedCall) -> bool:
-    rules = ready.bundle.classes[ready.call.request_class]
-    return rules.once and ready.parent is not None
+def _needs_child_ticket(prepared: _entries.PreparedCall) -> bool:
+    rules = prepared.bundle.classes[prepared.call.request_class]
+    return rules.once and prepared.parent is not None
 
 
 def targets(
-    entry: _entries.Entry, ready: _entries.PreparedCall
+    entry: _entries.Entry, prepared: _entries.PreparedCall
 ) -> abc.Sequence[calls.Target]:
     """Return the instances that may run the call.
 
     Once-only work may run only at the instance that issued its ticket.
     """
-    if ready.owner is None:
+    if prepared.owner is None:
         now = entry.clock.monotonic()
-        return fleet.targets(entry.node, ready.call.service, now)
-    return _owner_target(entry, ready.owner)
+        return fleet.targets(entry.node, prepared.call.service, now)
+    return _owner_target(entry, prepared.owner)
 
 
 async def _run_attempts(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
 ) -> callers.Reply | callers.Refusal:
     key, effect = calls.begin_call(
         entry.entrance,
-        ready.bundle,
-        ready.call,
-        targets(entry, ready),
+        prepared.bundle,
+        prepared.call,
+        targets(entry, prepared),
         entry.clock.monotonic(),
         entry.rng,
     )
     progress = _CallProgress(key)
     try:
         while isinstance(effect, calls.Send):
-            effect = await _attempt(entry, ready, request, effect, progress)
+            effect = await _run_attempt(
+                entry, prepared, request, effect, progress
+            )
     except BaseException:
         # The caller disconnected, or an internal error occurred. In both
         # cases nobody waits for the call any more.
         _abandon(entry, progress)
         raise
-    return _finish(entry, ready, effect, progress)
+    return _finish(entry, prepared, effect, progress)
 
 
-async def _attempt(
+async def _run_attempt(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
     progress: _CallProgress,
 ) -> calls.Effect:
     if progress.attempt_id:
-        entry.counts.count_retry(ready.call.service)
+        entry.counts.count_retry(prepared.call.service)
     progress.attempt_id = send.attempt_id
     progress.vm = send.target.vm
-    max_body = ready.bundle.classes[ready.call.request_class].max_body_bytes
+    max_body = prepared.bundle.classes[
+        prepared.call.request_class
+    ].max_body_bytes
     transfer = _transfers.Transfer(send.attempt_id, send.target.vm, max_body)
-    message = _to_run(entry, ready, request, send)
+    message = _to_run(entry, prepared, request, send)
     answer, upstream_answer = await _transfers.send(
         entry, transfer, message, request
     )
     progress.answer = upstream_answer
     now = entry.clock.monotonic()
     _report_reachability(entry, send.target.vm, answer, now)
-    targets_left = targets(entry, ready)
+    targets_left = targets(entry, prepared)
     if transfer.body_consumed:
         # The rest of the body was sent once and is not stored, so no other
         # instance could receive the whole body.
         targets_left = ()
     effect = calls.apply_answer(
         entry.entrance,
-        ready.bundle,
+        prepared.bundle,
         progress.key,
         send.attempt_id,
         answer,
@@ -178,11 +184,11 @@
 
 def _to_run(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
 ) -> daemons.Run:
-    prepared_call = ready.call
+    prepared_call = prepared.call
     seconds_left = send.deadline - entry.clock.monotonic()
     return daemons.Run(
         attempt_id=send.attempt_id,
@@ -206,28 +212,28 @@
 
 def _finish(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     effect: calls.Effect,
     progress: _CallProgress,
 ) -> callers.Reply | callers.Refusal:
     assert not isinstance(effect, calls.Send)
-    if ready.parent is not None:
-        _update_parent(ready.parent, effect)
+    if prepared.parent is not None:
+        _update_parent(prepared.parent, effect)
     if isinstance(effect, calls.Deliver):
         assert progress.answer is not None
         return _transfers.to_reply(
-            entry, progress.vm, progress.answer, ready.call.deadline
+            entry, progress.vm, progress.answer, prepared.call.deadline
         )
     reason = effect.reason
-    if ready.owner is not None and reason is _Reason.NO_INSTANCE:
+    if prepared.owner is not None and reason is _Reason.NO_INSTANCE:
         reason = _Reason.OWNER_GONE
-    after = _retry_after(entry, ready, reason, effect.retry_after)
+    after = _retry_after(entry, prepared, reason, effect.retry_after)
     return callers.Refusal(effect.outcome, reason, after)
 
 
 def _retry_after(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     reason: outcomes.Reason,
     after: float,
 ) -> float:
@@ -241,7 +247,7 @@
         return 0.0
     if after > 0:
         return after
-    rules = ready.bundle.classes[ready.call.request_class].refusal
+    rules = prepared.bundle.classes[prepared.call.request_class].refusal
     shortest = rules.retry_after_min_ms / 1000
     longest = max(shortest, rules.retry_after_max_ms / 1000)
     return entry.rng.uniform(shortest, longest)
--- a/src/sassafrasstair/runtime/_entries.py
+++ b/src/sassafrasstair/runtime/_entries.py
@@ -171,7 +171,7 @@
     )
     if not rules.once:
         return PreparedCall(call, bundle, None, None)
-    return _with_owner(call, bundle, None)
+    return _attach_owner(call, bundle, None)
 
 
 def _prepare_child(
@@ -208,7 +208,7 @@
 
 
 def with_child_ticket(
-    ready: PreparedCall, ticket: str, first_use: bool
+    prepared: PreparedCall, ticket: str, first_use: bool
 ) -> PreparedCall | callers.Refusal:
     """Return a once-only child call with its own ticket.
 
@@ -217,11 +217,11 @@
     owner says so.
     """
     repeat = int(not first_use)
-    call = dataclasses.replace(ready.call, ticket=ticket, repeat=repeat)
-    return _with_owner(call, ready.bundle, ready.parent)
+    call = dataclasses.replace(prepared.call, ticket=ticket, repeat=repeat)
+    return _attach_owner(call, prepared.bundle, prepared.parent)
 
 
-def _with_owner(
+def _attach_owner(
     call: calls.Call,
     bundle: bundles.Bundle,
     parent: _attempts.Attempt | None,
--- a/src/sassafrasstair/runtime/_http.py
+++ b/src/sassafrasstair/runtime/_http.py
@@ -17,7 +17,7 @@
 
 LISTEN_BACKLOG = 2_048
 KEEPALIVE_SECONDS = 75
-POLL_SECONDS = 0.01
+POLL_INTERVAL_SECONDS = 0.01
 FLUSH_SECONDS = 30.0
 
 
@@ -52,7 +52,7 @@
         tasks.append(asyncio.create_task(server.serve([listening])))
     while not all(server.started for server in servers):
         _raise_failure(tasks)
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     return Http(tuple(servers), tuple(tasks))
 
 
@@ -60,9 +60,9 @@
     """Stop listening and finish the requests in flight."""
     for server in http.servers:
         server.should_exit = True
-    flushing = asyncio.ensure_future(_force_exit_when_answered(http))
+    force_exit_task = asyncio.ensure_future(_force_exit_when_answered(http))
     await asyncio.gather(*http.tasks)
-    flushing.cancel()
+    force_exit_task.cancel()
 
 
 async def _force_exit_when_answered(http: Http) -> None:
@@ -71,7 +71,7 @@
     # every request has been answered, such connections are closed after
     # ``FLUSH_SECONDS``.
     while any(server.server_state.tasks for server in http.servers):
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     await asyncio.sleep(FLUSH_SECONDS)
     for server in http.servers:
         server.force_exit = True
@@ -90,12 +90,12 @@
 def _listen(address: str) -> socket.socket:
     host, port = settings.parse_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    listening = socket.socket(family, socket.SOCK_STREAM)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.bind((host, port))
-    listening.listen(LISTEN_BACKLOG)
-    listening.setblocking(False)
-    return listening
+    listening_socket = socket.socket(family, socket.SOCK_STREAM)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind((host, port))
+    listening_socket.listen(LISTEN_BACKLOG)
+    listening_socket.setblocking(False)
+    return listening_socket
 
 
 def _config(app: typing.Any) -> uvicorn.Config:
--- a/tests/runtime/meshes.py
+++ b/tests/runtime/meshes.py
@@ -189,11 +189,11 @@
 
 
 async def _build(
-    service: str, own: list[int], ports: list[int], upstream: str
+    service: str, own_ports: list[int], ports: list[int], upstream: str
 ) -> runtime.Daemon:
-    callers, peers, operators = (f"127.0.0.1:{port}" for port in own)
+    callers, peers, operators = (f"127.0.0.1:{port}" for port in own_ports)
     key = settings.Key("ops-1", _base64(PUBLIC))
-    chosen = settings.Settings(
+    settings_ = settings.Settings(
         vm=f"{service}-1",
         service=service,
         failure_domain="a",
@@ -205,7 +205,7 @@
         platform=settings.Platform(("http://127.0.0.1:1",)),
         keys=(key,),
     )
-    daemon = runtime.build(chosen, clocks.SystemClock())
+    daemon = runtime.build(settings_, clocks.SystemClock())
     # Skip the search for a newer bundle at the peers, which takes seconds.
     daemon.control.node.settled = True
     await daemon.control.client.close()
@@ -216,11 +216,11 @@
 
 async def _send_platform_state(control: _control.Control) -> None:
     """Pass the platform's state at once: daemons spread their reads."""
-    for prefix, took in (
+    for prefix, handle in (
         (configservice.VMS_KEY, _control._handle_vm_list),
         (configservice.BUNDLES_PREFIX, _control._handle_bundles),
     ):
-        took(control, await control.client.read(prefix))
+        handle(control, await control.client.read(prefix))
 
 
 def _base64(raw: bytes) -> str:
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -18,7 +18,7 @@
 
 
 class Upstream:
-    """Holds each request until ``go``; counts requests begun and cut off."""
+    """Holds requests until ``release``; counts begun and cancelled ones."""
 
     def __init__(self) -> None:
         self.release = asyncio.Event()
@@ -224,7 +224,7 @@
 
 
 @pytest.mark.parametrize(
-    ("repeat", "headers", "told"),
+    ("repeat", "headers", "expected"),
     [
         (0, {}, (409, "not-run", "owner_gone")),
         (1, {}, (409, "unknown", "owner_gone")),
@@ -234,7 +234,7 @@
     ],
 )
 def test_entrance_reports_not_run_only_for_a_first_use(
-    repeat: int, headers: dict[str, str], told: tuple[int, str, str]
+    repeat: int, headers: dict[str, str], expected: tuple[int, str, str]
 ) -> None:
     """The entrance reports "not run" only for the first use of a ticket.
 
@@ -253,7 +253,7 @@
                 "sassafras-repeat": str(repeat),
             }
             request = mesh.call("back", headers=fields | headers)
-            assert await _status_and_refusal(request) == told
+            assert await _status_and_refusal(request) == expected
 
     run(scenario())
 
--- a/tests/runtime/test_child_repeat.py
+++ b/tests/runtime/test_child_repeat.py
@@ -29,13 +29,13 @@
         message=types.SimpleNamespace(ticket=parent.ticket)
     )
     call = calls.Call("1", "ledger", "write-down", "t", "c", 9.0)
-    ready = _entries.PreparedCall(
+    prepared = _entries.PreparedCall(
         call, typing.cast("typing.Any", None), _any(attempt), None
     )
     entry = types.SimpleNamespace(callee=types.SimpleNamespace(owner=owner))
     request = types.SimpleNamespace(fields=types.SimpleNamespace(child_key=""))
     used = asyncio.run(
-        _children.attach_child_ticket(_any(entry), ready, _any(request))
+        _children.attach_child_ticket(_any(entry), prepared, _any(request))
     )
     assert isinstance(used, _entries.PreparedCall)
     assert (used.call.ticket, used.call.repeat) == (child.ticket, 1)
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -71,7 +71,7 @@
 
     async def scenario() -> None:
         callee = _new_callee()
-        early = asyncio.create_task(
+        part_task = asyncio.create_task(
             _bodies.receive_part(callee, daemons.BodyPart("a.1", 0, b""))
         )
         await asyncio.sleep(0)
@@ -80,7 +80,7 @@
         )
         _slots.add_attempt(callee, attempt)
         attempt.admission.set_result(load.Start("a.1"))
-        assert await early == daemons.PartReply(True)
+        assert await part_task == daemons.PartReply(True)
         assert callee.arrival_events == {}
 
     asyncio.run(scenario())
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -63,8 +63,8 @@
 async def start_request(
     callee: _slots.Callee, ticket: str, attempt_id: str
 ) -> asyncio.Task[daemons.RunAnswer]:
-    run = new_request(callee, ticket, attempt_id)
-    task = asyncio.create_task(_execution.run(callee, run))
+    request = new_request(callee, ticket, attempt_id)
+    task = asyncio.create_task(_execution.run(callee, request))
     for _ in range(3):
         await asyncio.sleep(0)
     return task
@@ -143,7 +143,7 @@
 
 
 @pytest.mark.parametrize(
-    ("ticket", "repeat", "reason", "told"),
+    ("ticket", "repeat", "reason", "expected"),
     [
         ("t", 0, Reason.NO_BUNDLE, outcomes.Outcome.NOT_RUN),
         ("t", 1, Reason.NO_BUNDLE, outcomes.Outcome.UNKNOWN),
@@ -155,8 +155,8 @@
     ticket: str,
     repeat: int,
     reason: outcomes.Reason,
-    told: outcomes.Outcome,
+    expected: outcomes.Outcome,
 ) -> None:
     fields = callers.Fields("c", "t", "c", 0.0, repeat, ticket, "", "")
     refusal = callers.Refusal(outcomes.Outcome.NOT_RUN, reason)
-    assert _entries.correct_refusal(fields, refusal).outcome is told
+    assert _entries.correct_refusal(fields, refusal).outcome is expected
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -51,14 +51,14 @@
     ) -> configservice.Snapshot:
         self.calls += 1
         timeout = wait * (1 + _client.JITTER_SHARE) + _client.READ_SECONDS
-        absences = self.outages
+        outages = self.outages
         try:
             async with asyncio.timeout(wait):
                 while self.index <= index:
                     await self.changed.wait()
         except TimeoutError:
             pass
-        if self.away or self.outages != absences:
+        if self.away or self.outages != outages:
             await asyncio.sleep(timeout)
             raise configservice.PlatformError(
                 configservice.Reason.TIMEOUT, "watch"
@@ -73,9 +73,9 @@
         await self._answer(_client.INDEX_SECONDS)
         return self.index
 
-    async def _answer(self, longest: float) -> None:
+    async def _answer(self, timeout: float) -> None:
         self.calls += 1
-        await asyncio.sleep(longest if self.away else ANSWER_SECONDS)
+        await asyncio.sleep(timeout if self.away else ANSWER_SECONDS)
         if self.away:
             raise configservice.PlatformError(
                 configservice.Reason.TIMEOUT, "read"
@@ -85,7 +85,7 @@
 def _watch(
     platform: _Platform, noticed_at: dict[int, float]
 ) -> asyncio.Future[None]:
-    """Start a watch; ``heard`` receives the time of each new index."""
+    """Start a watch; ``noticed_at`` receives the time of each new index."""
     loop = asyncio.get_running_loop()
 
     def handle_snapshot(_: object, snapshot: configservice.Snapshot) -> None:
@@ -133,15 +133,15 @@
     """A bundle written when the platform is back is noticed in time.
 
     A watch that was waiting when the platform went away is never answered.
-    It was waited for as long as a watch without changes, 40 s and 7.5 s for
-    its answer, by all daemons that watched since the same change. Requests
-    were then served under a bundle superseded 47 s before.
+    All daemons that watched since the same change waited for it as long as
+    for a watch without changes: 40 s, and 7.5 s for its answer. Requests
+    were then served under a bundle that was superseded 47 s before.
     """
     monkeypatch.setattr(_control, "_retry_delay", lambda *_: 1.0)
 
     async def test() -> None:
-        taken = await _seconds_until_noticed(_Platform(), seconds)
-        assert taken < IN_FORCE_SECONDS - SPREAD_SECONDS
+        elapsed = await _seconds_until_noticed(_Platform(), seconds)
+        assert elapsed < IN_FORCE_SECONDS - SPREAD_SECONDS
 
     loops.run(test())
 
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -49,9 +49,11 @@
     attempt may arrive in place of this one's.
     """
     transfer = _transfers.Transfer("1.1", "vm-2", 1_000)
-    told, raw = _transfers._check_reply(transfer, answer(attempt_id, body))
-    assert told.reason is reason
-    assert (raw is None) is (reason is not Reason.NONE)
+    result, upstream_answer = _transfers._check_reply(
+        transfer, answer(attempt_id, body)
+    )
+    assert result.reason is reason
+    assert (upstream_answer is None) is (reason is not Reason.NONE)
 
 
 @pytest.mark.parametrize(
