--- a/src/sassafrasstair/daemons/_messages.py
+++ b/src/sassafrasstair/daemons/_messages.py
@@ -24,8 +24,8 @@
     ``depth`` the number of calls above this one. ``ticket`` is empty unless
     the work is once-only. ``body`` is the beginning of the body and
     ``body_length`` the length of the whole body, -1 if the caller did not
-    state it. ``more`` means that the body continues in ``BodyPart``
-    messages.
+    state it. ``has_more_parts`` means that the body continues in
+    ``BodyPart`` messages.
     """
 
     attempt_id: str
@@ -43,7 +43,7 @@
     headers: tuple[tuple[str, str], ...]
     body: bytes
     body_length: int
-    more: bool
+    has_more_parts: bool
 
 
 class RunAnswer(msgspec.Struct, frozen=True, tag="answer", array_like=True):
@@ -54,10 +54,10 @@
     the chain. ``busy`` is the share of the concurrency limit ``limit`` that
     is in use, queue included. ``floor`` is the shed floor: requests of a
     lower rank are shed. ``service_seconds`` is the usual service time.
-    ``status`` is 0 when there is no answer of an upstream. ``more`` means
-    that the body continues; its parts are read with ``AnswerFetch``.
-    ``digest`` is the BLAKE2b digest of the body so far, which is that of
-    the whole body unless ``more`` is set.
+    ``status`` is 0 when there is no answer of an upstream.
+    ``has_more_parts`` means that the body continues; its parts are read
+    with ``AnswerFetch``. ``digest`` is the BLAKE2b digest of the body so
+    far, which is that of the whole body unless ``has_more_parts`` is set.
     """
 
     attempt_id: str
@@ -71,7 +71,7 @@
     status: int = 0
     headers: tuple[tuple[str, str], ...] = ()
     body: bytes = b""
-    more: bool = False
+    has_more_parts: bool = False
     digest: bytes = b""
     limit: float = 0.0
     service_seconds: float = 0.0
@@ -107,14 +107,14 @@
 class AnswerPart(msgspec.Struct, frozen=True, tag="anext", array_like=True):
     """One part of an answer's body.
 
-    ``gone`` means that the rest of the body is lost. The part with ``last``
+    ``is_lost`` means that the rest of the body is lost. The part with ``last``
     set carries the digest of the whole body.
     """
 
     data: bytes
     last: bool = False
     digest: bytes = b""
-    gone: bool = False
+    is_lost: bool = False
 
 
 class Cancel(msgspec.Struct, frozen=True, tag="cancel", array_like=True):
--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -23,9 +23,12 @@
     response: upstreams.Response,
     body: bytes,
     *,
-    more: bool,
+    has_more_parts: bool,
 ) -> daemons.RunAnswer:
-    """Return the upstream's answer, or its beginning if ``more`` is set."""
+    """Return the upstream's answer.
+
+    If ``has_more_parts`` is set, ``body`` is only the beginning of its body.
+    """
     return daemons.RunAnswer(
         attempt_id=attempt.message.attempt_id,
         incarnation=callee.incarnation,
@@ -41,7 +44,7 @@
         status=response.status,
         headers=response.headers,
         body=body,
-        more=more,
+        has_more_parts=has_more_parts,
         digest=attempt.answer_digest.digest(),
     )
 
--- a/src/sassafrasstair/runtime/_attempts.py
+++ b/src/sassafrasstair/runtime/_attempts.py
@@ -69,7 +69,7 @@
     @property
     def body_is_complete(self) -> bool:
         """Whether the whole request body has arrived at this daemon."""
-        return self.body_received or not self.message.more
+        return self.body_received or not self.message.has_more_parts
 
     def unblock_body_reader(self) -> None:
         """Wake the reader of the request body: no further part will come."""
--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -29,7 +29,7 @@
 
 ATTEMPT_WAIT_SECONDS = 1.0
 
-_LOST_PART = daemons.AnswerPart(b"", gone=True)
+_LOST_PART = daemons.AnswerPart(b"", is_lost=True)
 
 
 class BodyBroken(Exception):
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -206,7 +206,7 @@
         headers=request.headers,
         body=request.first_part,
         body_length=request.body_length,
-        more=request.has_more_parts,
+        has_more_parts=request.has_more_parts,
     )
 
 
--- a/src/sassafrasstair/runtime/_execution.py
+++ b/src/sassafrasstair/runtime/_execution.py
@@ -70,7 +70,7 @@
     if message.attempt_id in callee.cancelled_early:
         del callee.cancelled_early[message.attempt_id]
         return _Reason.CANCELLED
-    if message.more and callee.large_bodies >= MAX_LARGE_BODIES:
+    if message.has_more_parts and callee.large_bodies >= MAX_LARGE_BODIES:
         return _Reason.BODY_MEMORY
     return _Reason.NONE
 
@@ -137,7 +137,7 @@
     deadline = now + message.remaining_ms / 1000 - max_age
     attempt = _attempts.new_attempt(message, deadline)
     _slots.add_attempt(callee, attempt)
-    callee.large_bodies += message.more
+    callee.large_bodies += message.has_more_parts
     # The attempt runs in a task of its own, so that the guard can abort it
     # and a caller that disconnects does not end it while others have joined
     # the same ticket.
@@ -217,10 +217,10 @@
     if len(first) >= daemons.CHUNK_BYTES:
         attempt.answer_chunks = chunks
         return _answers.upstream_answer(
-            callee, attempt, response, first, more=True
+            callee, attempt, response, first, has_more_parts=True
         )
     answer = _answers.upstream_answer(
-        callee, attempt, response, first, more=False
+        callee, attempt, response, first, has_more_parts=False
     )
     headers = tuple(
         (name.encode("latin-1"), value.encode("latin-1"))
@@ -237,7 +237,7 @@
 ) -> upstreams.Request:
     message = attempt.message
     body: bytes | abc.AsyncIterator[bytes] = message.body
-    if message.more:
+    if message.has_more_parts:
         body = _bodies.request_body(attempt)
     headers = message.headers + _context_headers(message, remaining)
     return upstreams.Request(message.method, message.path, headers, body)
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -141,9 +141,9 @@
     known = callee.attempts.pop(attempt.message.attempt_id, None)
     if known is None:
         return False
-    callee.large_bodies -= attempt.message.more
+    callee.large_bodies -= attempt.message.has_more_parts
     attempt.ended.set()
-    if attempt.message.more:
+    if attempt.message.has_more_parts:
         attempt.unblock_body_reader()
     if attempt.pending_read is not None:
         attempt.pending_read.cancel()
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -110,7 +110,7 @@
         return _unknown_answer(_Reason.PEER_LOST), None
     outcome = _Outcome(reply.outcome)
     reason = _Reason(reply.reason)
-    is_complete = reply.more or _matches_digest(reply)
+    is_complete = reply.has_more_parts or _matches_digest(reply)
     if outcome is _Outcome.DONE and reply.status and not is_complete:
         return _unknown_answer(_Reason.ANSWER_CUT_SHORT), None
     answer = calls.Answer(
@@ -205,7 +205,7 @@
         if not name.startswith("sassafras-")
     )
     headers += (("sassafras-outcome", _Outcome.DONE.value),)
-    if not answer.more:
+    if not answer.has_more_parts:
         return callers.Reply(answer.status, headers, answer.body)
     parts = _answer_parts(entry, vm, answer, deadline)
     seconds_left = max(0.0, deadline - entry.clock.monotonic())
@@ -229,7 +229,7 @@
             fetch = daemons.AnswerFetch(answer.attempt_id, sequence)
             seconds_left = max(0.0, deadline - entry.clock.monotonic())
             part = await entry.exchange(vm, fetch, seconds_left)
-            if not isinstance(part, daemons.AnswerPart) or part.gone:
+            if not isinstance(part, daemons.AnswerPart) or part.is_lost:
                 raise AnswerBroken("a part is gone")
             digest.update(part.data)
             if part.last and part.digest != digest.digest():
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -35,14 +35,14 @@
     headers=(),
     body=b"first",
     body_length=200_000,
-    more=True,
+    has_more_parts=True,
 )
 SHORT_REQUEST = msgspec.structs.replace(
     LONG_REQUEST,
     service="back",
     request_class="look",
     body_length=5,
-    more=False,
+    has_more_parts=False,
 )
 
 
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -49,7 +49,7 @@
         ticket=ticket,
         attempt_id=attempt_id,
         remaining_ms=30_000,
-        more=False,
+        has_more_parts=False,
     )
 
 
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -18,7 +18,7 @@
 
 
 def answer(
-    attempt_id: str, body: bytes, *, more: bool = False
+    attempt_id: str, body: bytes, *, has_more_parts: bool = False
 ) -> daemons.RunAnswer:
     return daemons.RunAnswer(
         attempt_id=attempt_id,
@@ -27,7 +27,7 @@
         reason=Reason.NONE.value,
         status=200,
         body=body,
-        more=more,
+        has_more_parts=has_more_parts,
         digest=BODY_DIGEST,
     )
 
@@ -62,7 +62,7 @@
         ([daemons.AnswerPart(b"rest", True, LONG_BODY_DIGEST)], True),
         ([daemons.AnswerPart(b"re", True, LONG_BODY_DIGEST)], False),
         (
-            [daemons.AnswerPart(b"re"), daemons.AnswerPart(b"", gone=True)],
+            [daemons.AnswerPart(b"re"), daemons.AnswerPart(b"", is_lost=True)],
             False,
         ),
         ([daemons.NoContent()], False),
@@ -87,7 +87,7 @@
 
     async def scenario() -> bytes:
         deadline = clock.monotonic() + 10.0
-        begun = answer("1.1", b"whole", more=True)
+        begun = answer("1.1", b"whole", has_more_parts=True)
         rest = _transfers._answer_parts(entry, "vm-2", begun, deadline)
         return b"".join([part async for part in rest])
 
