--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -1,7 +1,7 @@
-"""The daemon's part in the fleet: gossip, and the platform's watches.
+"""Gossip between daemons and watches of the platform.
 
-It drives ``decisions.fleet`` with real time, the link to the other
-daemons and the platform's client.
+Runs ``decisions.fleet`` with real time, the links to the other daemons and
+the client of the platform.
 """
 
 from __future__ import annotations
@@ -26,21 +26,24 @@
     from sassafrasstair import metrics
 
 TICK_SECONDS = 0.25
-WATCH_FAULT_SECONDS = 5.0
+WATCH_RESTART_SECONDS = 5.0
 
 _LOG = logging.getLogger(__name__)
-_FINDINGS = frozenset({"bundle_refused", "bundle_conflict"})
-"""Events that operators must look into."""
+_WARNING_EVENTS = frozenset({"bundle_refused", "bundle_conflict"})
+"""Events that are logged as warnings, since operators must act on them."""
 
 
 @dataclasses.dataclass(slots=True)
 class Control:
-    """State of the control side. ``adopted`` is told each new bundle.
-
-    ``heard`` is when this daemon itself last heard of the platform,
-    ``adopted_at`` when the bundle in force came into force here.
-    ``approvals`` names who approved an envelope, ``refused`` whence and when
-    one came that was refused, ``kept`` the winner of a version's conflict.
+    """State of the control side of a daemon.
+
+    ``on_adopted`` is called with each bundle that comes into force.
+    ``platform_heard_at`` is when this daemon itself last got an answer of
+    the platform, ``bundle_adopted_at`` when the current bundle came into
+    force here. ``approvals`` maps the SHA-256 of an envelope to the names
+    of its approvers. ``refused_bundles`` maps the digest of a refused
+    bundle to its source and the time of the refusal. ``conflict_winners``
+    maps a version of which two bundles exist to the digest that was kept.
     """
 
     clock: clocks.Clock
@@ -52,7 +55,7 @@
     counts: metrics.Metrics
     approvals: dict[bytes, tuple[str, ...]]
     platform_heard_at: float | None = None
-    adopted_at: float = 0.0
+    bundle_adopted_at: float = 0.0
     refused_bundles: dict[str, tuple[str, float]] = dataclasses.field(
         default_factory=dict
     )
@@ -62,19 +65,19 @@
 
 
 def tick(control: Control) -> None:
-    """Let the fleet decisions do what is due."""
+    """Run the fleet work that is due."""
     now = control.clock.monotonic()
     apply_effects(control, fleet.tick(control.node, now, control.rng))
 
 
 def leave(control: Control) -> None:
-    """Tell the others that this VM takes no new work."""
+    """Announce to the other daemons that this VM takes no new work."""
     now = control.clock.monotonic()
     apply_effects(control, fleet.set_leaving(control.node, now, control.rng))
 
 
 def handle(control: Control, message: daemons.Control) -> daemons.Message:
-    """Answer one control message of a peer."""
+    """Handle one control message of a peer and return the reply."""
     try:
         decoded = fleet.decode(message.body)
     except fleet.BadMessage as error:
@@ -91,7 +94,7 @@
 
 
 async def close(control: Control) -> None:
-    """End all tasks and the platform's connections."""
+    """Cancel all tasks and close the connections to the platform."""
     tasks = [*control.watches, *control.tasks]
     for task in tasks:
         task.cancel()
@@ -100,17 +103,17 @@
 
 
 def apply_effects(control: Control, effects: list[fleet.Effect]) -> None:
-    """Carry out what the fleet decisions ask."""
+    """Carry out the effects of fleet decisions."""
     for effect in effects:
         if isinstance(effect, fleet.Exchange):
-            _start(control, _exchange(control, effect))
+            _start_task(control, _exchange(control, effect))
         elif isinstance(effect, fleet.Watch):
             _set_watch(control, effect.enabled)
         elif isinstance(effect, fleet.ReadPlatform):
             if not control.watches:
-                _start(control, _read(control, effect.delay))
+                _start_task(control, _read_platform(control, effect.delay))
         elif isinstance(effect, fleet.InForce):
-            control.adopted_at = control.clock.monotonic()
+            control.bundle_adopted_at = control.clock.monotonic()
             control.on_adopted(effect.bundle)
         else:
             _report(control, effect)
@@ -118,10 +121,10 @@
 
 def _report(control: Control, effect: fleet.ReportEvent) -> None:
     level = logging.INFO
-    if effect.event in _FINDINGS:
+    if effect.event in _WARNING_EVENTS:
         level = logging.WARNING
     if effect.event == "bundle_refused":
-        _note_refused(control, effect.fields)
+        _record_refused_bundle(control, effect.fields)
     elif effect.event == "bundle_conflict":
         control.conflict_winners[effect.fields["version"]] = effect.fields[
             "kept"
@@ -129,20 +132,20 @@
     logs.event(_LOG, level, effect.event, **effect.fields)
 
 
-def _note_refused(control: Control, fields: dict[str, str]) -> None:
-    control.counts.count_refused_bundle(_defect(fields["reason"]))
+def _record_refused_bundle(control: Control, fields: dict[str, str]) -> None:
+    control.counts.count_refused_bundle(_defect_of(fields["reason"]))
     now = control.clock.monotonic()
-    shown = control.node.refusal_reasons
+    reasons = control.node.refusal_reasons
     control.refused_bundles = {
-        digest: finding
-        for digest, finding in control.refused_bundles.items()
-        if digest in shown
+        digest: source_and_time
+        for digest, source_and_time in control.refused_bundles.items()
+        if digest in reasons
     }
     control.refused_bundles[fields["digest"]] = (fields["source"], now)
 
 
-def _defect(reason: str) -> bundles.Defect:
-    """Return the sentinel that a refusal's text begins with."""
+def _defect_of(reason: str) -> bundles.Defect:
+    """Return the defect that the text of a refusal begins with."""
     name = reason.partition(":")[0].replace(" ", "_")
     known = {defect.value for defect in bundles.Defect}
     if name in known:
@@ -150,7 +153,7 @@
     return bundles.Defect.BAD_VALUE
 
 
-def _start(
+def _start_task(
     control: Control, work: abc.Coroutine[typing.Any, typing.Any, None]
 ) -> None:
     task = asyncio.get_running_loop().create_task(work)
@@ -164,7 +167,7 @@
         reply = await daemons.exchange(
             control.links, effect.address, message, effect.timeout
         )
-        decoded = _decoded(reply)
+        decoded = _decode_reply(reply)
     except (daemons.PeerError, fleet.BadMessage):
         effects = fleet.update_after_failed_exchange(
             control.node,
@@ -183,25 +186,25 @@
     apply_effects(control, effects)
 
 
-def _decoded(reply: daemons.Message) -> fleet.Message:
+def _decode_reply(reply: daemons.Message) -> fleet.Message:
     if not isinstance(reply, daemons.Control):
         raise fleet.BadMessage("not a control message")
     return fleet.decode(reply.body)
 
 
-def _set_watch(control: Control, on: bool) -> None:
+def _set_watch(control: Control, enabled: bool) -> None:
     for task in control.watches:
         task.cancel()
     control.watches.clear()
-    logs.event(_LOG, logging.INFO, "watch", on=on)
-    if on:
+    logs.event(_LOG, logging.INFO, "watch", on=enabled)
+    if enabled:
         loop = asyncio.get_running_loop()
         control.watches += [
             loop.create_task(
-                _watch(control, configservice.BUNDLES_PREFIX, _took_bundles)
+                _watch(control, configservice.BUNDLES_PREFIX, _handle_bundles)
             ),
             loop.create_task(
-                _watch(control, configservice.VMS_KEY, _took_vms)
+                _watch(control, configservice.VMS_KEY, _handle_vm_list)
             ),
         ]
 
@@ -209,7 +212,7 @@
 async def _watch(
     control: Control,
     prefix: str,
-    took: abc.Callable[[Control, configservice.Snapshot], None],
+    handle_snapshot: abc.Callable[[Control, configservice.Snapshot], None],
 ) -> None:
     index = 0
     while True:
@@ -221,41 +224,43 @@
                 control.counts.count_platform_read,
             )
             if snapshot.index != index:
-                took(control, snapshot)
+                handle_snapshot(control, snapshot)
         except configservice.PlatformError as error:
-            # What changed while the watch was lost is unknown: index 0
-            # makes the next one a read of the whole, after a spread delay.
+            # Changes may have been missed while the watch was lost. Index 0
+            # makes the next watch read everything, after a random delay.
             index = 0
-            await asyncio.sleep(_failed(control, error))
+            await asyncio.sleep(_retry_delay(control, error))
             continue
         except Exception:
-            # A fault of ours must not end the watch for good: new bundles
+            # An internal error must not end the watch for good: new bundles
             # would never again come into force in this failure domain.
             _LOG.exception("event=watch_fault prefix=%s", prefix)
             index = 0
-            await asyncio.sleep(WATCH_FAULT_SECONDS)
+            await asyncio.sleep(WATCH_RESTART_SECONDS)
             continue
         control.platform_heard_at = control.clock.monotonic()
         index = snapshot.index
 
 
-async def _read(control: Control, delay: float) -> None:
+async def _read_platform(control: Control, delay: float) -> None:
     await asyncio.sleep(delay)
     try:
         control.counts.count_platform_read()
-        held = await control.client.read(configservice.BUNDLES_PREFIX)
+        bundles_read = await control.client.read(configservice.BUNDLES_PREFIX)
         control.counts.count_platform_read()
         vms = await control.client.read(configservice.VMS_KEY)
     except configservice.PlatformError as error:
-        effects = _failure(control, error)
+        effects = _process_failure(control, error)
         apply_effects(control, effects)
         return
     control.platform_heard_at = control.clock.monotonic()
-    _took_vms(control, vms)
-    _took_bundles(control, held)
+    _handle_vm_list(control, vms)
+    _handle_bundles(control, bundles_read)
 
 
-def _took_bundles(control: Control, snapshot: configservice.Snapshot) -> None:
+def _handle_bundles(
+    control: Control, snapshot: configservice.Snapshot
+) -> None:
     envelopes = list(snapshot.values.values())
     now = control.clock.monotonic()
     apply_effects(
@@ -266,12 +271,14 @@
     )
 
 
-def _took_vms(control: Control, snapshot: configservice.Snapshot) -> None:
-    raw = snapshot.values.get(configservice.VMS_KEY)
-    if raw is None:
+def _handle_vm_list(
+    control: Control, snapshot: configservice.Snapshot
+) -> None:
+    encoded = snapshot.values.get(configservice.VMS_KEY)
+    if encoded is None:
         return
     try:
-        entries = configservice.decode_vms(raw)
+        entries = configservice.decode_vms(encoded)
     except configservice.PlatformError as error:
         logs.event(_LOG, logging.WARNING, "vm_list_refused", detail=str(error))
         return
@@ -295,7 +302,7 @@
     )
 
 
-def _failure(
+def _process_failure(
     control: Control, error: configservice.PlatformError
 ) -> list[fleet.Effect]:
     logs.event(_LOG, logging.WARNING, "platform_failed", detail=str(error))
@@ -303,10 +310,12 @@
     return fleet.process_platform_failure(control.node, now, control.rng)
 
 
-def _failed(control: Control, error: configservice.PlatformError) -> float:
-    """Report a lost watch; return the seconds until the next one."""
+def _retry_delay(
+    control: Control, error: configservice.PlatformError
+) -> float:
+    """Process a lost watch and return the seconds until the next one."""
     delay = TICK_SECONDS
-    for effect in _failure(control, error):
+    for effect in _process_failure(control, error):
         if isinstance(effect, fleet.ReadPlatform):
             delay = max(delay, effect.delay)
         else:
--- a/src/sassafrasstair/runtime/_http.py
+++ b/src/sassafrasstair/runtime/_http.py
@@ -1,4 +1,4 @@
-"""The daemon's HTTP servers: uvicorn on the daemon's own loop."""
+"""The daemon's HTTP servers: uvicorn on the daemon's event loop."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-BACKLOG = 2_048
+LISTEN_BACKLOG = 2_048
 KEEPALIVE_SECONDS = 75
-POLL_SECONDS = 0.01
+POLL_INTERVAL_SECONDS = 0.01
 FLUSH_SECONDS = 30.0
 
 
 class _Server(uvicorn.Server):
-    """A server that leaves the process's signals to the daemon."""
+    """A server that leaves signal handling to the daemon."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> abc.Generator[None, None, None]:
-        """Capture none: a planned stop is the daemon's to carry out."""
+        """Capture no signals, since the daemon handles the planned stop."""
         yield
 
 
@@ -39,9 +39,9 @@
 
 
 async def start(apps: abc.Iterable[tuple[str, typing.Any]]) -> Http:
-    """Serve each (address, application); return once all listen.
+    """Serve each (address, application) and return once all listen.
 
-    Raises ``OSError`` when an address can't be bound.
+    Raises ``OSError`` if an address can't be bound.
     """
     servers = []
     tasks = []
@@ -52,48 +52,50 @@
         tasks.append(asyncio.create_task(server.serve([listening])))
     while not all(server.started for server in servers):
         _raise_failure(tasks)
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     return Http(tuple(servers), tuple(tasks))
 
 
 async def stop(http: Http) -> None:
-    """Stop listening, finish the requests in flight, and return."""
+    """Stop listening and finish the requests in flight."""
     for server in http.servers:
         server.should_exit = True
-    flushing = asyncio.ensure_future(_force_when_answered(http))
+    force_exit_task = asyncio.ensure_future(_force_exit_when_answered(http))
     await asyncio.gather(*http.tasks)
-    flushing.cancel()
+    force_exit_task.cancel()
 
 
-async def _force_when_answered(http: Http) -> None:
-    # Failure: a caller that reads nothing more keeps its connection open,
-    # with an answer that was written, and the stop never ends. Once every
-    # request has been answered, such a connection gets a bounded time.
+async def _force_exit_when_answered(http: Http) -> None:
+    # A caller that has stopped reading keeps its connection open with an
+    # answer that is already written, and the stop would never end. Once
+    # every request has been answered, such connections are closed after
+    # ``FLUSH_SECONDS``.
     while any(server.server_state.tasks for server in http.servers):
-        await asyncio.sleep(POLL_SECONDS)
+        await asyncio.sleep(POLL_INTERVAL_SECONDS)
     await asyncio.sleep(FLUSH_SECONDS)
     for server in http.servers:
         server.force_exit = True
 
 
 def _raise_failure(tasks: abc.Iterable[asyncio.Task[None]]) -> None:
-    # Failure: a server's task ends before it serves, and the daemon waits
-    # for it for ever: it answers its peers but serves no caller.
+    # Without this check, the daemon would wait for ever for a server whose
+    # task has ended before it listens: it would answer its peers but serve
+    # no callers.
     for task in tasks:
         if task.done():
             task.result()
-            raise OSError("a server ended before it served")
+            raise OSError("an HTTP server ended before it was listening")
 
 
 def _listen(address: str) -> socket.socket:
     host, port = settings.parse_address(address)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    listening = socket.socket(family, socket.SOCK_STREAM)
-    listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    listening.bind((host, port))
-    listening.listen(BACKLOG)
-    listening.setblocking(False)
-    return listening
+    listening_socket = socket.socket(family, socket.SOCK_STREAM)
+    listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    listening_socket.bind((host, port))
+    listening_socket.listen(LISTEN_BACKLOG)
+    listening_socket.setblocking(False)
+    return listening_socket
 
 
 def _config(app: typing.Any) -> uvicorn.Config:
@@ -106,7 +108,7 @@
         log_config=None,
         access_log=False,
         server_header=False,
-        # The upstream's own Date is passed on; two would differ.
+        # The upstream's Date header is passed on; a second one would differ.
         date_header=False,
         proxy_headers=False,
         timeout_keep_alive=KEEPALIVE_SECONDS,
--- a/src/sassafrasstair/runtime/_slots.py
+++ b/src/sassafrasstair/runtime/_slots.py
@@ -1,4 +1,4 @@
-"""State of the callee's side of a daemon, and the guard's effects on it."""
+"""State of the callee's side of a daemon, and effects of its guard."""
 
 from __future__ import annotations
 
@@ -23,18 +23,24 @@
 
 MAX_CANCELLED = 256
 
-_closing: set[asyncio.Future[None]] = set()
+_closing_tasks: set[asyncio.Future[None]] = set()
 
 
 @dataclasses.dataclass(slots=True)
-class Slot:
+class Callee:
     """State of the callee's side of one daemon.
 
-    ``floor_below`` gives, for a class and a tenant, the greatest shed floor
-    that this VM's own calls have met further down the chain. ``joins`` maps a
-    running ticket to the event of its end, ``arrivals`` an attempt whose
-    body came first to the event of its own arrival. ``cancelled`` holds the
-    last attempts of which a cancellation came and no request.
+    ``max_callee_floor`` returns, for a class and a tenant, the greatest
+    shed floor reported to this VM's own calls further down the chain.
+    ``ticket_end_events`` maps a ticket in use to the event that is set when
+    its execution ends, and ``ticket_joiners`` to the number of requests
+    that wait for this event. ``arrival_events`` maps an attempt whose body
+    arrived first to the event that is set when its request arrives.
+    ``cancelled_early`` holds the last ``MAX_CANCELLED`` attempts that were
+    cancelled before their request arrived. ``large_bodies`` counts attempts
+    whose body is longer than one message, and ``duplicate_requests`` the
+    requests that were delivered twice. ``guard_sized`` is set once a bundle
+    has given the guard its number of slots.
     """
 
     service: str
@@ -63,10 +69,10 @@
     duplicate_requests: int = 0
 
 
-def apply_effects(slot: Slot, effects: list[load.Effect]) -> None:
-    """Carry out what the guard decided."""
+def apply_effects(callee: Callee, effects: list[load.Effect]) -> None:
+    """Carry out the effects of the guard's decisions."""
     for effect in effects:
-        attempt = slot.attempts.get(effect.attempt_id)
+        attempt = callee.attempts.get(effect.attempt_id)
         if attempt is None:
             continue
         if isinstance(effect, load.Abort):
@@ -75,63 +81,69 @@
             attempt.admission.set_result(effect)
 
 
-def add_attempt(slot: Slot, attempt: _attempts.Attempt) -> None:
-    """Make the attempt known, also to a body that came before it."""
-    attempt_id = attempt.run.attempt_id
-    slot.attempts[attempt_id] = attempt
-    waiting = slot.arrival_events.get(attempt_id)
+def add_attempt(callee: Callee, attempt: _attempts.Attempt) -> None:
+    """Register the attempt and wake a body part that arrived before it."""
+    attempt_id = attempt.message.attempt_id
+    callee.attempts[attempt_id] = attempt
+    waiting = callee.arrival_events.get(attempt_id)
     if waiting is not None:
         waiting.set()
 
 
-def cancel_attempt(slot: Slot, attempt_id: str) -> None:
-    """Drop an attempt that nobody waits for any more."""
-    attempt = slot.attempts.get(attempt_id)
+def cancel_attempt(callee: Callee, attempt_id: str) -> None:
+    """Cancel an attempt that nobody waits for any more."""
+    attempt = callee.attempts.get(attempt_id)
     if attempt is None:
-        _note_cancelled(slot, attempt_id)
+        _record_early_cancel(callee, attempt_id)
     elif attempt.answer_chunks is not None:
-        fail_answer(slot, attempt, outcomes.Reason.CANCELLED)
-    elif not _must_go_on(slot, attempt):
-        _drop(slot, attempt)
+        fail_answer(callee, attempt, outcomes.Reason.CANCELLED)
+    elif not _must_finish(callee, attempt):
+        _drop_attempt(callee, attempt)
 
 
-def check_deadlines(slot: Slot) -> None:
-    """Look again at every deadline; called at each beat of the loop."""
-    now = slot.clock.monotonic()
-    apply_effects(slot, load.tick(slot.guard, now))
-    once.expire(slot.owner, now)
-    for attempt in list(slot.attempts.values()):
+def check_deadlines(callee: Callee) -> None:
+    """Expire what has passed its deadline; called at each heartbeat."""
+    now = callee.clock.monotonic()
+    apply_effects(callee, load.tick(callee.guard, now))
+    once.expire(callee.owner, now)
+    for attempt in list(callee.attempts.values()):
         if attempt.answer_chunks is not None and now >= attempt.deadline:
-            fail_answer(slot, attempt, outcomes.Reason.DEADLINE_PASSED)
+            fail_answer(callee, attempt, outcomes.Reason.DEADLINE_PASSED)
 
 
 def fail_answer(
-    slot: Slot, attempt: _attempts.Attempt, reason: outcomes.Reason
+    callee: Callee, attempt: _attempts.Attempt, reason: outcomes.Reason
 ) -> None:
-    """Give up on an answer whose body has not been passed on whole."""
-    if attempt.run.attempt_id in slot.attempts:
-        end_ticket(slot, attempt, once.Unknown(reason))
-        end_attempt(slot, attempt, load.End.FAILED)
+    """End an attempt whose answer could not be passed on completely."""
+    if attempt.message.attempt_id in callee.attempts:
+        end_ticket(callee, attempt, once.Unknown(reason))
+        end_attempt(callee, attempt, load.End.FAILED)
 
 
-def end_attempt(slot: Slot, attempt: _attempts.Attempt, how: load.End) -> None:
-    """Forget the attempt and tell the guard how it ended."""
-    if forget_attempt(slot, attempt):
-        now = slot.clock.monotonic()
-        attempt_id = attempt.run.attempt_id
-        started = slot.guard.running.get(attempt_id, now)
-        slot.counts.count_attempt(attempt.run.request_class, now - started)
-        apply_effects(slot, load.finish(slot.guard, attempt_id, how, now))
-
-
-def forget_attempt(slot: Slot, attempt: _attempts.Attempt) -> bool:
-    """Forget the attempt; False if that was done before."""
-    known = slot.attempts.pop(attempt.run.attempt_id, None)
+def end_attempt(
+    callee: Callee, attempt: _attempts.Attempt, ending: load.End
+) -> None:
+    """Remove the attempt and tell the guard how it ended."""
+    if forget_attempt(callee, attempt):
+        now = callee.clock.monotonic()
+        attempt_id = attempt.message.attempt_id
+        started = callee.guard.running.get(attempt_id, now)
+        callee.counts.count_attempt(
+            attempt.message.request_class, now - started
+        )
+        apply_effects(
+            callee, load.finish(callee.guard, attempt_id, ending, now)
+        )
+
+
+def forget_attempt(callee: Callee, attempt: _attempts.Attempt) -> bool:
+    """Remove the attempt; return False if it was removed before."""
+    known = callee.attempts.pop(attempt.message.attempt_id, None)
     if known is None:
         return False
-    slot.large_bodies -= attempt.run.more
+    callee.large_bodies -= attempt.message.has_more_parts
     attempt.ended.set()
-    if attempt.run.more:
+    if attempt.message.has_more_parts:
         attempt.unblock_body_reader()
     if attempt.pending_read is not None:
         attempt.pending_read.cancel()
@@ -141,62 +153,64 @@
 
 
 def end_ticket(
-    slot: Slot, attempt: _attempts.Attempt, result: once.Result
+    callee: Callee, attempt: _attempts.Attempt, result: once.Result
 ) -> once.Result:
-    """Record a ticket's end; return what its callers must be told."""
-    ticket = attempt.run.ticket
+    """Record the result of a ticket; return the result for its callers."""
+    ticket = attempt.message.ticket
     if not ticket:
         return result
-    told = once.finish_execution(
-        slot.owner, ticket, result, slot.clock.monotonic()
+    recorded = once.finish_execution(
+        callee.owner, ticket, result, callee.clock.monotonic()
     )
-    event = slot.ticket_end_events.pop(ticket, None)
+    event = callee.ticket_end_events.pop(ticket, None)
     if event is not None:
         event.set()
-    return told
+    return recorded
 
 
-def shed_floor(slot: Slot, request_class: str, tenant: str) -> float:
-    """Return the shed floor that answers for the class carry now."""
-    own = load.floor(slot.guard, slot.clock.monotonic(), tenant)
-    return max(own, slot.max_callee_floor(request_class, tenant))
+def shed_floor(callee: Callee, request_class: str, tenant: str) -> float:
+    """Return the shed floor to report in answers for the class."""
+    own_floor = load.floor(callee.guard, callee.clock.monotonic(), tenant)
+    return max(own_floor, callee.max_callee_floor(request_class, tenant))
 
 
-def remaining(slot: Slot, attempt: _attempts.Attempt) -> float:
-    """Return the seconds until the attempt's deadline, maybe negative."""
-    return attempt.deadline - slot.clock.monotonic()
+def remaining(callee: Callee, attempt: _attempts.Attempt) -> float:
+    """Return the seconds until the deadline, negative once it has passed."""
+    return attempt.deadline - callee.clock.monotonic()
 
 
-def _note_cancelled(slot: Slot, attempt_id: str) -> None:
-    # Failure: each message has an exchange of its own, so a cancellation may
-    # be handled before its request, which then runs with nobody waiting.
-    slot.cancelled_early[attempt_id] = None
-    if len(slot.cancelled_early) > MAX_CANCELLED:
-        del slot.cancelled_early[next(iter(slot.cancelled_early))]
+def _record_early_cancel(callee: Callee, attempt_id: str) -> None:
+    # Each message has an exchange of its own, so a cancellation may be
+    # handled before the request, which would then run although nobody
+    # waits for it.
+    callee.cancelled_early[attempt_id] = None
+    if len(callee.cancelled_early) > MAX_CANCELLED:
+        del callee.cancelled_early[next(iter(callee.cancelled_early))]
 
 
-def _must_go_on(slot: Slot, attempt: _attempts.Attempt) -> bool:
-    """Return whether once-only work goes on without its caller.
+def _must_finish(callee: Callee, attempt: _attempts.Attempt) -> bool:
+    """Return whether once-only work continues without its caller.
 
-    Cancelled at the upstream it would be unknown for ever; let end, it
-    gives the caller's repeat, which carries the same ticket, a true answer.
-    A body that has not come whole can't end, so it is cancelled.
+    If it were cancelled at the upstream, its outcome would stay unknown.
+    If it finishes, a repeat with the same ticket gets the true answer. An
+    attempt whose body has not arrived completely can't finish, so it is
+    cancelled.
     """
-    ticket = attempt.run.ticket
+    ticket = attempt.message.ticket
     if not ticket or not attempt.body_is_complete:
         return False
-    started = attempt.run.attempt_id in slot.guard.running
-    return started or slot.ticket_joiners.get(ticket, 0) > 0
-
-
-def _drop(slot: Slot, attempt: _attempts.Attempt) -> None:
-    attempt_id = attempt.run.attempt_id
-    now = slot.clock.monotonic()
-    apply_effects(slot, load.cancel(slot.guard, attempt_id, now))
-    if attempt_id not in slot.guard.running and not attempt.admission.done():
-        # Failure: a cancelled attempt waits for the guard's verdict, which
-        # has forgotten it: it stays here for ever, a planned stop waits for
-        # it without end, and so do the callers that joined its ticket.
+    started = attempt.message.attempt_id in callee.guard.running
+    return started or callee.ticket_joiners.get(ticket, 0) > 0
+
+
+def _drop_attempt(callee: Callee, attempt: _attempts.Attempt) -> None:
+    attempt_id = attempt.message.attempt_id
+    now = callee.clock.monotonic()
+    apply_effects(callee, load.cancel(callee.guard, attempt_id, now))
+    if attempt_id not in callee.guard.running and not attempt.admission.done():
+        # The guard has removed the attempt and makes no decision on it any
+        # more. Without this result the attempt would wait for ever, and
+        # with it a planned stop and the callers that joined its ticket.
         reason = outcomes.Reason.CANCELLED
         attempt.admission.set_result(load.TurnAway(attempt_id, reason, 0.0))
 
@@ -206,14 +220,15 @@
         attempt.task.cancel()
 
 
-def _close(rest: abc.AsyncGenerator[bytes, None]) -> None:
-    task = asyncio.ensure_future(_aclose(rest))
-    _closing.add(task)
-    task.add_done_callback(_closing.discard)
+def _close(chunks: abc.AsyncGenerator[bytes, None]) -> None:
+    task = asyncio.ensure_future(_aclose(chunks))
+    _closing_tasks.add(task)
+    task.add_done_callback(_closing_tasks.discard)
 
 
-async def _aclose(rest: abc.AsyncGenerator[bytes, None]) -> None:
-    # The generator is in use when an answer's part is being read: reading
-    # it ends with the upstream's connection, so nothing is left open.
+async def _aclose(chunks: abc.AsyncGenerator[bytes, None]) -> None:
+    # ``aclose`` raises RuntimeError while a part of the answer is being
+    # read. That read ends with the upstream's connection, so nothing is
+    # left open.
     with contextlib.suppress(RuntimeError):
-        await rest.aclose()
+        await chunks.aclose()
--- a/src/sassafrasstair/runtime/_transfers.py
+++ b/src/sassafrasstair/runtime/_transfers.py
@@ -1,4 +1,4 @@
-"""One attempt's bodies on their way between two daemons."""
+"""Transfer of request and answer bodies between two daemons."""
 
 from __future__ import annotations
 
@@ -22,22 +22,22 @@
 
 _Outcome = outcomes.Outcome
 _Reason = outcomes.Reason
-_background: set[asyncio.Future[typing.Any]] = set()
+_background_tasks: set[asyncio.Future[typing.Any]] = set()
 
 
 class BodyTooLarge(Exception):
-    """The caller sent more than the class allows, after it began."""
+    """The caller's body has grown beyond the limit of its class."""
 
 
 class AnswerBroken(Exception):
-    """The rest of an answer is lost, or it does not match its digest."""
+    """The rest of an answer is lost or does not match its digest."""
 
 
 @dataclasses.dataclass(slots=True)
 class Transfer:
-    """One attempt at ``vm``, whose body is at most ``max_body`` bytes.
+    """One attempt at ``vm`` with a body of at most ``max_body`` bytes.
 
-    ``body_used`` says whether the caller's later parts were read.
+    ``body_consumed`` is set once reading the caller's later parts began.
     """
 
     attempt_id: str
@@ -52,7 +52,7 @@
     message: daemons.Run,
     request: callers.Request,
 ) -> tuple[calls.Answer, daemons.RunAnswer | None]:
-    """Send the attempt and its body; return how it ended.
+    """Send the attempt and its body and return its result.
 
     The second value is the upstream's answer when there is one.
     """
@@ -60,15 +60,15 @@
         reply = await _exchange(entry, transfer, message, request)
     except BodyTooLarge:
         cancel(entry, transfer.vm, transfer.attempt_id)
-        return _lost(_Reason.BODY_TOO_LARGE), None
+        return _unknown_answer(_Reason.BODY_TOO_LARGE), None
     except daemons.PeerTimeout:
         cancel(entry, transfer.vm, transfer.attempt_id)
-        return _lost(_Reason.DEADLINE_PASSED), None
+        return _unknown_answer(_Reason.DEADLINE_PASSED), None
     except daemons.PeerUnreachable:
-        return _unreachable(), None
+        return _not_run_answer(), None
     except daemons.PeerLost:
-        return _lost(_Reason.PEER_LOST), None
-    return _read(transfer, reply)
+        return _unknown_answer(_Reason.PEER_LOST), None
+    return _check_reply(transfer, reply)
 
 
 async def _exchange(
@@ -77,38 +77,42 @@
     message: daemons.Run,
     request: callers.Request,
 ) -> daemons.Message:
-    """Return the reply; raise at once what ends the body's passing on."""
+    """Return the reply; raise at once an error in sending the body."""
     timeout = message.remaining_ms / 1000
     if not request.has_more_parts:
-        return await entry.ask(transfer.vm, message, timeout)
-    asking = asyncio.ensure_future(entry.ask(transfer.vm, message, timeout))
-    pump = asyncio.ensure_future(_pump(entry, transfer, request, timeout))
-    both: set[asyncio.Future[typing.Any]] = {asking, pump}
+        return await entry.exchange(transfer.vm, message, timeout)
+    request_task = asyncio.ensure_future(
+        entry.exchange(transfer.vm, message, timeout)
+    )
+    body_task = asyncio.ensure_future(
+        _send_body(entry, transfer, request, timeout)
+    )
+    futures: set[asyncio.Future[typing.Any]] = {request_task, body_task}
     try:
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
-        if pump.done():
-            pump.result()
-        return await asking
+        await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
+        if body_task.done():
+            body_task.result()
+        return await request_task
     finally:
-        asking.cancel()
-        pump.cancel()
+        request_task.cancel()
+        body_task.cancel()
 
 
-def _read(
+def _check_reply(
     transfer: Transfer, reply: daemons.Message
 ) -> tuple[calls.Answer, daemons.RunAnswer | None]:
-    # Failure: an answer to another attempt is taken for this one's, and a
-    # caller gets another caller's answer. Attempts are named by the
-    # entrance's incarnation and a serial, so the names never meet again.
+    # An answer to another attempt must not be used, or a caller would get
+    # another caller's answer. The identifier of an attempt consists of the
+    # entrance's incarnation and a serial number, so it is never reused.
     if not isinstance(reply, daemons.RunAnswer):
-        return _lost(_Reason.PEER_LOST), None
+        return _unknown_answer(_Reason.PEER_LOST), None
     if reply.attempt_id != transfer.attempt_id:
-        return _lost(_Reason.PEER_LOST), None
+        return _unknown_answer(_Reason.PEER_LOST), None
     outcome = _Outcome(reply.outcome)
     reason = _Reason(reply.reason)
-    whole = reply.more or _matches(reply)
-    if outcome is _Outcome.DONE and reply.status and not whole:
-        return _lost(_Reason.ANSWER_CUT_SHORT), None
+    is_complete = reply.has_more_parts or _matches_digest(reply)
+    if outcome is _Outcome.DONE and reply.status and not is_complete:
+        return _unknown_answer(_Reason.ANSWER_CUT_SHORT), None
     answer = calls.Answer(
         outcome=outcome,
         reason=reason,
@@ -122,19 +126,19 @@
     return answer, reply
 
 
-def _matches(reply: daemons.RunAnswer) -> bool:
+def _matches_digest(reply: daemons.RunAnswer) -> bool:
     return _attempts.new_digest(reply.body).digest() == reply.digest
 
 
-async def _pump(
+async def _send_body(
     entry: _entries.Entry,
     transfer: Transfer,
     request: callers.Request,
     timeout: float,
 ) -> None:
-    """Pass on the body's later parts, once the attempt has started."""
-    begin = daemons.BodyPart(transfer.attempt_id, 0, b"")
-    if not await _wanted(entry, transfer, begin, timeout):
+    """Send the later parts of the body once the attempt has started."""
+    part_zero = daemons.BodyPart(transfer.attempt_id, 0, b"")
+    if not await _send_part(entry, transfer, part_zero, timeout):
         return
     transfer.body_consumed = True
     digest = _attempts.new_digest(request.first_part)
@@ -147,35 +151,35 @@
             raise BodyTooLarge
         digest.update(data)
         part = daemons.BodyPart(transfer.attempt_id, sequence, data)
-        if not await _wanted(entry, transfer, part, timeout):
+        if not await _send_part(entry, transfer, part, timeout):
             return
     last = daemons.BodyPart(
         transfer.attempt_id, sequence + 1, b"", True, digest.digest()
     )
-    await _wanted(entry, transfer, last, timeout)
+    await _send_part(entry, transfer, last, timeout)
 
 
 async def _chunked(
     parts: abc.AsyncIterator[bytes],
 ) -> abc.AsyncIterator[bytes]:
-    held = bytearray()
+    buffer = bytearray()
     async for part in parts:
-        held += part
-        if len(held) >= daemons.CHUNK_BYTES:
-            yield bytes(held)
-            held.clear()
-    if held:
-        yield bytes(held)
+        buffer += part
+        if len(buffer) >= daemons.CHUNK_BYTES:
+            yield bytes(buffer)
+            buffer.clear()
+    if buffer:
+        yield bytes(buffer)
 
 
-async def _wanted(
+async def _send_part(
     entry: _entries.Entry,
     transfer: Transfer,
     part: daemons.BodyPart,
     timeout: float,
 ) -> bool:
     try:
-        reply = await entry.ask(transfer.vm, part, timeout)
+        reply = await entry.exchange(transfer.vm, part, timeout)
     except daemons.PeerError:
         return False
     return isinstance(reply, daemons.PartReply) and reply.wanted
@@ -187,7 +191,7 @@
     answer: daemons.RunAnswer,
     deadline: float,
 ) -> callers.Reply | callers.Refusal:
-    """Return the upstream's answer as the caller gets it."""
+    """Return the upstream's answer in the form sent to the caller."""
     if not answer.status:
         return callers.Refusal(
             _Outcome.DONE,
@@ -201,14 +205,16 @@
         if not name.startswith("sassafras-")
     )
     headers += (("sassafras-outcome", _Outcome.DONE.value),)
-    if not answer.more:
+    if not answer.has_more_parts:
         return callers.Reply(answer.status, headers, answer.body)
-    parts = _rest(entry, vm, answer, deadline)
-    left = max(0.0, deadline - entry.clock.monotonic())
-    return callers.Reply(answer.status, headers, answer.body, parts, left)
+    parts = _answer_parts(entry, vm, answer, deadline)
+    seconds_left = max(0.0, deadline - entry.clock.monotonic())
+    return callers.Reply(
+        answer.status, headers, answer.body, parts, seconds_left
+    )
 
 
-async def _rest(
+async def _answer_parts(
     entry: _entries.Entry,
     vm: str,
     answer: daemons.RunAnswer,
@@ -216,42 +222,42 @@
 ) -> abc.AsyncGenerator[bytes, None]:
     digest = _attempts.new_digest(answer.body)
     sequence = 0
-    whole = False
+    complete = False
     try:
-        while not whole:
+        while not complete:
             sequence += 1
-            ask = daemons.AnswerFetch(answer.attempt_id, sequence)
-            left = max(0.0, deadline - entry.clock.monotonic())
-            part = await entry.ask(vm, ask, left)
-            if not isinstance(part, daemons.AnswerPart) or part.gone:
+            fetch = daemons.AnswerFetch(answer.attempt_id, sequence)
+            seconds_left = max(0.0, deadline - entry.clock.monotonic())
+            part = await entry.exchange(vm, fetch, seconds_left)
+            if not isinstance(part, daemons.AnswerPart) or part.is_lost:
                 raise AnswerBroken("a part is gone")
             digest.update(part.data)
             if part.last and part.digest != digest.digest():
                 raise AnswerBroken("digest differs")
-            whole = part.last
+            complete = part.last
             if part.data:
                 yield part.data
     finally:
-        if not whole:
+        if not complete:
             cancel(entry, vm, answer.attempt_id)
 
 
 def cancel(entry: _entries.Entry, vm: str, attempt_id: str) -> None:
-    """Tell the callee, without waiting, that nobody waits any more."""
+    """Tell the callee that nobody waits; do not wait for its reply."""
     task = asyncio.ensure_future(_cancel(entry, vm, attempt_id))
-    _background.add(task)
-    task.add_done_callback(_background.discard)
+    _background_tasks.add(task)
+    task.add_done_callback(_background_tasks.discard)
 
 
 async def _cancel(entry: _entries.Entry, vm: str, attempt_id: str) -> None:
     message = daemons.Cancel(attempt_id)
     with contextlib.suppress(daemons.PeerError):
-        await entry.ask(vm, message, CANCEL_TIMEOUT)
+        await entry.exchange(vm, message, CANCEL_TIMEOUT)
 
 
-def _unreachable() -> calls.Answer:
+def _not_run_answer() -> calls.Answer:
     return calls.Answer(_Outcome.NOT_RUN, _Reason.PEER_UNREACHABLE)
 
 
-def _lost(reason: outcomes.Reason) -> calls.Answer:
+def _unknown_answer(reason: outcomes.Reason) -> calls.Answer:
     return calls.Answer(_Outcome.UNKNOWN, reason)
--- a/tests/runtime/test_nested_refusals.py
+++ b/tests/runtime/test_nested_refusals.py
@@ -14,30 +14,31 @@
 
 @pytest.mark.parametrize("nested", [True, False])
 def test_only_own_refusals_reduce_the_limit(nested: bool) -> None:
-    """Goodput stays low though only the deepest service is overloaded.
+    """Refusals passed on from a deeper service do not cut the limit.
 
-    The ledger refuses; each poster passes the refusal on. The posters'
-    guards take it for overload of their own upstream, cut their limits
-    to an eighth, and refuse work that needs no ledger.
+    The ledger is overloaded and refuses, and each poster passes the refusal
+    on. The guards of the posters took this for overload of their own
+    upstream, cut their limits to an eighth, and refused work that needs no
+    ledger.
     """
 
-    async def story() -> tuple[float, float]:
-        slot = test_tickets_in_use.busy_slot()
-        now = slot.clock.monotonic()
-        slot.guard = load.new_guard(16, now - 9)
-        run = test_tickets_in_use.run_of(slot, "", "1.1")
+    async def scenario() -> tuple[float, float]:
+        callee = test_tickets_in_use.busy_callee()
+        now = callee.clock.monotonic()
+        callee.guard = load.new_guard(16, now - 9)
+        run = test_tickets_in_use.new_request(callee, "", "1.1")
         attempt = _attempts.new_attempt(run, now + 9)
         attempt.child_refused = nested
-        slot.attempts["1.1"] = attempt
-        work = _execution._to_work(slot, attempt)
-        assert load.offer(slot.guard, work, now) == [load.Start("1.1")]
-        before = slot.guard.limit
+        callee.attempts["1.1"] = attempt
+        work = _execution._to_work(callee, attempt)
+        assert load.offer(callee.guard, work, now) == [load.Start("1.1")]
+        before = callee.guard.limit
         error = upstreams.UpstreamError(
             outcomes.Outcome.NOT_RUN, outcomes.Reason.UPSTREAM_REFUSED
         )
-        answer = _execution._failed(slot, attempt, error)
+        answer = _execution._finish_failed(callee, attempt, error)
         assert answer.outcome == "not run"
-        return before, slot.guard.limit
+        return before, callee.guard.limit
 
-    before, after = asyncio.run(story())
+    before, after = asyncio.run(scenario())
     assert (after == before) is nested
--- a/tests/runtime/test_tickets_in_use.py
+++ b/tests/runtime/test_tickets_in_use.py
@@ -22,124 +22,128 @@
 WAIT = 5.0
 
 
-def busy_slot() -> _slots.Slot:
-    """Return a slot whose only place is taken: what comes waits."""
+def busy_callee() -> _slots.Callee:
+    """Return a callee whose guard is full, so that new attempts wait."""
     bundle = worlds.verify(worlds.envelope(1))
-    slot = test_early_part._new_slot()
-    now = slot.clock.monotonic()
-    slot = dataclasses.replace(
-        slot,
+    callee = test_early_part._new_callee()
+    now = callee.clock.monotonic()
+    callee = dataclasses.replace(
+        callee,
         service="poster",
         owner=once.new_owner("poster-1", "i", bytes(32), 4),
         bundle=lambda: bundle,
         pauses=calls.Pauses(now),
     )
     work = load.Work("other", "report", "shop", 9.0, now + 60, 60.0)
-    assert load.offer(slot.guard, work, now) == [load.Start("other")]
-    return slot
+    assert load.offer(callee.guard, work, now) == [load.Start("other")]
+    return callee
 
 
-def run_of(slot: _slots.Slot, ticket: str, attempt_id: str) -> daemons.Run:
+def new_request(
+    callee: _slots.Callee, ticket: str, attempt_id: str
+) -> daemons.Run:
     return msgspec.structs.replace(
-        test_early_part.RUN,
+        test_early_part.LONG_REQUEST,
         service="poster",
         request_class="write-down" if ticket else "lookup",
         ticket=ticket,
         attempt_id=attempt_id,
         remaining_ms=30_000,
-        more=False,
+        has_more_parts=False,
     )
 
 
-def ticket_of(slot: _slots.Slot) -> str:
-    now = slot.clock.monotonic()
-    issued = once.issue_ticket(slot.owner, "poster", "write-down", 60.0, now)
+def issue_ticket(callee: _slots.Callee) -> str:
+    now = callee.clock.monotonic()
+    issued = once.issue_ticket(callee.owner, "poster", "write-down", 60.0, now)
     assert isinstance(issued, once.Issued)
     return issued.ticket
 
 
-async def arrived(
-    slot: _slots.Slot, ticket: str, attempt_id: str
+async def start_request(
+    callee: _slots.Callee, ticket: str, attempt_id: str
 ) -> asyncio.Task[daemons.RunAnswer]:
-    run = run_of(slot, ticket, attempt_id)
-    task = asyncio.create_task(_execution.run(slot, run))
+    request = new_request(callee, ticket, attempt_id)
+    task = asyncio.create_task(_execution.run(callee, request))
     for _ in range(3):
         await asyncio.sleep(0)
     return task
 
 
 def test_duplicate_request_is_not_refused_while_waiting() -> None:
-    """A lookup is delivered twice and its caller hears "not run".
+    """A request delivered twice is not refused while it waits.
 
-    The second copy finds the first one waiting and is refused; its
-    refusal overtakes the answer of the first, which runs.
+    The second copy was refused because the first one was waiting, and the
+    refusal could arrive before the answer to the first copy.
     """
 
-    async def story() -> None:
-        slot = busy_slot()
-        first = await arrived(slot, "", "1.1")
-        second = await arrived(slot, "", "1.1")
+    async def scenario() -> None:
+        callee = busy_callee()
+        first = await start_request(callee, "", "1.1")
+        second = await start_request(callee, "", "1.1")
         assert not second.done()
-        _slots.cancel_attempt(slot, "1.1")
+        _slots.cancel_attempt(callee, "1.1")
         assert (await first).reason == Reason.CANCELLED.value
         assert (await second) == (await first)
-        assert slot.duplicate_requests == 1
+        assert callee.duplicate_requests == 1
 
-    asyncio.run(asyncio.wait_for(story(), WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), WAIT))
 
 
 def test_refused_ticket_use_joins_or_voids() -> None:
-    """A write-down is repeated while the owner has no bundle or memory.
+    """A refused use of a ticket joins a running use or voids the ticket.
 
-    The owner refuses the repeat as "not run", though the first use waits
-    in its queue and runs; the shopkeeper then posts it again.
+    The owner has no bundle when a repeat arrives. If it refused the repeat
+    as "not run" while the first use waits in its queue, the caller would
+    start the work again and it would run twice.
     """
 
-    async def story() -> None:
-        slot = busy_slot()
-        running, unused = ticket_of(slot), ticket_of(slot)
-        first = await arrived(slot, running, "1.1")
-        slot.bundle = lambda: None
-        again = await arrived(slot, running, "1.2")
+    async def scenario() -> None:
+        callee = busy_callee()
+        running, unused = issue_ticket(callee), issue_ticket(callee)
+        first = await start_request(callee, running, "1.1")
+        callee.bundle = lambda: None
+        again = await start_request(callee, running, "1.2")
         assert not again.done()
-        refused = await (await arrived(slot, unused, "2.1"))
+        refused = await (await start_request(callee, unused, "2.1"))
         assert refused.outcome == "not run"
-        slot.bundle = busy_slot().bundle
-        late = await (await arrived(slot, unused, "2.2"))
+        callee.bundle = busy_callee().bundle
+        late = await (await start_request(callee, unused, "2.2"))
         assert late.reason == Reason.TICKET_VOID.value
         turn = load.TurnAway("1.1", Reason.QUEUE_FULL, 1.0)
-        slot.attempts["1.1"].admission.set_result(turn)
+        callee.attempts["1.1"].admission.set_result(turn)
         assert (await first).outcome == (await again).outcome == "not run"
 
-    asyncio.run(asyncio.wait_for(story(), WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), WAIT))
 
 
 def test_cancelled_use_does_not_end_a_joined_repeat() -> None:
-    """A shopkeeper gives up on a slow write-down and asks again.
+    """Cancelling the first use of a ticket does not end a joined repeat.
 
-    The repeat joins the first use's execution. The cancellation of the
-    first use arrives after it, and both end as not run.
+    The caller gives up and repeats the request, which joins the execution
+    of the first use. The cancellation of the first use arrives after that
+    and must not end both.
     """
 
-    async def story() -> None:
-        slot = busy_slot()
-        ticket = ticket_of(slot)
-        first = await arrived(slot, ticket, "1.1")
-        again = await arrived(slot, ticket, "1.2")
-        _slots.cancel_attempt(slot, "1.1")
+    async def scenario() -> None:
+        callee = busy_callee()
+        ticket = issue_ticket(callee)
+        first = await start_request(callee, ticket, "1.1")
+        again = await start_request(callee, ticket, "1.2")
+        _slots.cancel_attempt(callee, "1.1")
         await asyncio.wait({first}, timeout=0.01)
         assert not first.done()
         again.cancel()
         await asyncio.wait({again})
-        _slots.cancel_attempt(slot, "1.1")
+        _slots.cancel_attempt(callee, "1.1")
         assert (await first).outcome == "not run"
-        assert not slot.ticket_joiners
+        assert not callee.ticket_joiners
 
-    asyncio.run(asyncio.wait_for(story(), WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), WAIT))
 
 
 @pytest.mark.parametrize(
-    ("ticket", "repeat", "reason", "told"),
+    ("ticket", "repeat", "reason", "expected"),
     [
         ("t", 0, Reason.NO_BUNDLE, outcomes.Outcome.NOT_RUN),
         ("t", 1, Reason.NO_BUNDLE, outcomes.Outcome.UNKNOWN),
@@ -151,8 +155,8 @@
     ticket: str,
     repeat: int,
     reason: outcomes.Reason,
-    told: outcomes.Outcome,
+    expected: outcomes.Outcome,
 ) -> None:
     fields = callers.Fields("c", "t", "c", 0.0, repeat, ticket, "", "")
     refusal = callers.Refusal(outcomes.Outcome.NOT_RUN, reason)
-    assert _entries.correct_refusal(fields, refusal).outcome is told
+    assert _entries.correct_refusal(fields, refusal).outcome is expected
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -1,4 +1,4 @@
-"""A bundle is heard of in time after the platform was away."""
+"""Watches notice a new bundle in time after the platform was away."""
 
 from __future__ import annotations
 
@@ -17,21 +17,23 @@
 
 IN_FORCE_SECONDS = 6.0
 SPREAD_SECONDS = 2.1
-"""A bundle is in force everywhere within the first; the second of it is what
-it takes from the daemons that watch to all others, at its worst."""
+"""A bundle must be in force everywhere within ``IN_FORCE_SECONDS``, of which
+distribution from the watching daemons to all others takes at most
+``SPREAD_SECONDS``."""
 ANSWER_SECONDS = 0.005
 
 
 @dataclasses.dataclass
 class _Platform:
-    """A service of one prefix, as one client sees it.
+    """A platform with one prefix, as one client sees it.
 
-    What waits when it goes away gets no answer, also when it is back.
+    A watch that waits when the platform goes away is never answered, not
+    even when the platform is back.
     """
 
     index: int = 1
     away: bool = False
-    absences: int = 0
+    outages: int = 0
     calls: int = 0
     changed: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
@@ -42,22 +44,22 @@
 
     def leave(self) -> None:
         self.away = True
-        self.absences += 1
+        self.outages += 1
 
     async def watch(
         self, prefix: str, index: int, wait: float
     ) -> configservice.Snapshot:
         self.calls += 1
-        longest = wait * (1 + _client.JITTER_SHARE) + _client.READ_SECONDS
-        absences = self.absences
+        timeout = wait * (1 + _client.JITTER_SHARE) + _client.READ_SECONDS
+        outages = self.outages
         try:
             async with asyncio.timeout(wait):
                 while self.index <= index:
                     await self.changed.wait()
         except TimeoutError:
             pass
-        if self.away or self.absences != absences:
-            await asyncio.sleep(longest)
+        if self.away or self.outages != outages:
+            await asyncio.sleep(timeout)
             raise configservice.PlatformError(
                 configservice.Reason.TIMEOUT, "watch"
             )
@@ -71,9 +73,9 @@
         await self._answer(_client.INDEX_SECONDS)
         return self.index
 
-    async def _answer(self, longest: float) -> None:
+    async def _answer(self, timeout: float) -> None:
         self.calls += 1
-        await asyncio.sleep(longest if self.away else ANSWER_SECONDS)
+        await asyncio.sleep(timeout if self.away else ANSWER_SECONDS)
         if self.away:
             raise configservice.PlatformError(
                 configservice.Reason.TIMEOUT, "read"
@@ -81,31 +83,35 @@
 
 
 def _watch(
-    platform: _Platform, heard: dict[int, float]
+    platform: _Platform, noticed_at: dict[int, float]
 ) -> asyncio.Future[None]:
-    """Begin to watch; ``heard`` gets when each index came."""
+    """Start a watch; ``noticed_at`` receives the time of each new index."""
     loop = asyncio.get_running_loop()
 
-    def took(_: object, snapshot: configservice.Snapshot) -> None:
-        heard.setdefault(snapshot.index, loop.time())
+    def handle_snapshot(_: object, snapshot: configservice.Snapshot) -> None:
+        noticed_at.setdefault(snapshot.index, loop.time())
 
     control = types.SimpleNamespace(
         client=platform,
-        counts=types.SimpleNamespace(platform_read=lambda: None),
+        counts=types.SimpleNamespace(count_platform_read=lambda: None),
         clock=types.SimpleNamespace(monotonic=loop.time),
-        heard=None,
+        platform_heard_at=None,
     )
-    watched = _control._watch(
-        typing.cast("_control.Control", control), "bundles/", took
+    watching = _control._watch(
+        typing.cast("_control.Control", control), "bundles/", handle_snapshot
     )
-    return asyncio.ensure_future(watched)
+    return asyncio.ensure_future(watching)
 
 
-async def _heard_after(platform: _Platform, seconds: float) -> float:
-    """Return when a bundle is heard of that is written at the return."""
+async def _seconds_until_noticed(platform: _Platform, seconds: float) -> float:
+    """Return the seconds until a bundle is noticed.
+
+    The platform is away for ``seconds``, and the bundle is written when it
+    is back.
+    """
     loop = asyncio.get_running_loop()
-    heard: dict[int, float] = {}
-    watch = _watch(platform, heard)
+    noticed_at: dict[int, float] = {}
+    watch = _watch(platform, noticed_at)
     await asyncio.sleep(3.0)
     platform.put()
     await asyncio.sleep(0.1)
@@ -114,7 +120,7 @@
     platform.away = False
     platform.put()
     begun = loop.time()
-    while platform.index not in heard and loop.time() < begun + 60.0:
+    while platform.index not in noticed_at and loop.time() < begun + 60.0:
         await asyncio.sleep(0.01)
     watch.cancel()
     return loop.time() - begun
@@ -124,23 +130,28 @@
 def test_bundle_after_an_outage_is_noticed_in_time(
     seconds: float, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Requests are served by a bundle that was superseded 47 s before.
+    """A bundle written when the platform is back is noticed in time.
 
-    The platform gave no answer for a while. What waited there then is never
-    answered, and was waited for as long as one that just has no news: 40 s
-    and 7.5 s for its answer, at all that watch since the same change.
+    A watch that was waiting when the platform went away is never answered.
+    All daemons that watched since the same change waited for it as long as
+    for a watch without changes: 40 s, and 7.5 s for its answer. Requests
+    were then served under a bundle that was superseded 47 s before.
     """
-    monkeypatch.setattr(_control, "_failed", lambda *_: 1.0)
+    monkeypatch.setattr(_control, "_retry_delay", lambda *_: 1.0)
 
     async def test() -> None:
-        taken = await _heard_after(_Platform(), seconds)
-        assert taken < IN_FORCE_SECONDS - SPREAD_SECONDS
+        elapsed = await _seconds_until_noticed(_Platform(), seconds)
+        assert elapsed < IN_FORCE_SECONDS - SPREAD_SECONDS
 
     loops.run(test())
 
 
 def test_idle_watch_calls_only_for_checks() -> None:
-    """The platform's rate is for all readers: 36 watches in 1,300 daemons."""
+    """A watch without changes calls the platform only for its checks.
+
+    The platform's rate limit is shared by all readers: 36 watches in a
+    fleet of 1,300 daemons.
+    """
 
     async def test() -> None:
         platform = _Platform()
--- a/tests/runtime/test_whole_answers.py
+++ b/tests/runtime/test_whole_answers.py
@@ -13,12 +13,12 @@
 from sassafrasstair.runtime import _transfers
 
 Reason = outcomes.Reason
-WHOLE = _attempts.new_digest(b"whole").digest()
-ALL = _attempts.new_digest(b"wholerest").digest()
+BODY_DIGEST = _attempts.new_digest(b"whole").digest()
+LONG_BODY_DIGEST = _attempts.new_digest(b"wholerest").digest()
 
 
 def answer(
-    attempt_id: str, body: bytes, *, more: bool = False
+    attempt_id: str, body: bytes, *, has_more_parts: bool = False
 ) -> daemons.RunAnswer:
     return daemons.RunAnswer(
         attempt_id=attempt_id,
@@ -27,8 +27,8 @@
         reason=Reason.NONE.value,
         status=200,
         body=body,
-        more=more,
-        digest=WHOLE,
+        has_more_parts=has_more_parts,
+        digest=BODY_DIGEST,
     )
 
 
@@ -43,24 +43,26 @@
 def test_truncated_or_foreign_answer_is_rejected(
     attempt_id: str, body: bytes, reason: outcomes.Reason
 ) -> None:
-    """A shopkeeper sees half a valuation, or another shop's.
+    """A truncated answer or one to another attempt is not passed on.
 
-    A body was cut on its way between two daemons, or the answer to an
-    earlier attempt came where this one's was waited for.
+    A body may be cut short between two daemons, or the answer to an earlier
+    attempt may arrive in place of this one's.
     """
     transfer = _transfers.Transfer("1.1", "vm-2", 1_000)
-    told, raw = _transfers._read(transfer, answer(attempt_id, body))
-    assert told.reason is reason
-    assert (raw is None) is (reason is not Reason.NONE)
+    result, upstream_answer = _transfers._check_reply(
+        transfer, answer(attempt_id, body)
+    )
+    assert result.reason is reason
+    assert (upstream_answer is None) is (reason is not Reason.NONE)
 
 
 @pytest.mark.parametrize(
     ("parts", "is_whole"),
     [
-        ([daemons.AnswerPart(b"rest", True, ALL)], True),
-        ([daemons.AnswerPart(b"re", True, ALL)], False),
+        ([daemons.AnswerPart(b"rest", True, LONG_BODY_DIGEST)], True),
+        ([daemons.AnswerPart(b"re", True, LONG_BODY_DIGEST)], False),
         (
-            [daemons.AnswerPart(b"re"), daemons.AnswerPart(b"", gone=True)],
+            [daemons.AnswerPart(b"re"), daemons.AnswerPart(b"", is_lost=True)],
             False,
         ),
         ([daemons.NoContent()], False),
@@ -69,26 +71,28 @@
 def test_incomplete_long_answer_raises(
     parts: list[daemons.Message], is_whole: bool
 ) -> None:
-    """A large survey photo arrives damaged and is taken for whole."""
+    """A long answer that is damaged or cut short raises an error."""
     left = list(parts)
 
-    async def ask(vm: str, message: daemons.Message, _: float) -> typing.Any:
+    async def exchange(
+        vm: str, message: daemons.Message, _: float
+    ) -> typing.Any:
         if isinstance(message, daemons.AnswerFetch):
             return left.pop(0)
         return daemons.NoContent()
 
     clock = clocks.SystemClock()
     entry = typing.cast("typing.Any", types.SimpleNamespace())
-    entry.ask, entry.clock = ask, clock
+    entry.exchange, entry.clock = exchange, clock
 
-    async def story() -> bytes:
+    async def scenario() -> bytes:
         deadline = clock.monotonic() + 10.0
-        begun = answer("1.1", b"whole", more=True)
-        rest = _transfers._rest(entry, "vm-2", begun, deadline)
+        begun = answer("1.1", b"whole", has_more_parts=True)
+        rest = _transfers._answer_parts(entry, "vm-2", begun, deadline)
         return b"".join([part async for part in rest])
 
     if is_whole:
-        assert asyncio.run(story()) == b"rest"
+        assert asyncio.run(scenario()) == b"rest"
         return
     with pytest.raises(_transfers.AnswerBroken):
-        asyncio.run(story())
+        asyncio.run(scenario())
