--- a/src/sassafrasstair/httpio/__init__.py
+++ b/src/sassafrasstair/httpio/__init__.py
@@ -1,8 +1,9 @@
-"""HTTP/1.1 connections on ``httptools``: small state, no decisions.
+"""HTTP/1.1 connections, parsed by ``httptools``.
 
-The parser is the library's; here are a connection's states towards a client
-(``Listener``) and towards a server (``Pool``). Bodies are held whole, so
-that an answer that ends early is known before any of it is passed on.
+``Listener`` holds the state of connections from clients, ``Pool`` that of
+connections to a server. Neither decides how a request is routed. Bodies are
+buffered whole, so that a truncated response is detected before any part of
+it is forwarded.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/httpio/_bodies.py
+++ b/src/sassafrasstair/httpio/_bodies.py
@@ -1,4 +1,4 @@
-"""How much body memory a process may hold at once."""
+"""Limit on the request bodies that a process holds in memory."""
 
 from __future__ import annotations
 
@@ -7,22 +7,23 @@
 
 @dataclasses.dataclass(slots=True)
 class MemoryBudget:
-    """Bytes of request bodies held, against a bound of the process.
+    """Bytes of request bodies held by the process, and their limit.
 
-    Without the bound a few hundred slow uploads would grow the process
-    past its memory limit, and all of its requests would end with it.
+    Without the limit, a few hundred slow uploads would grow the process
+    past its memory limit. It would be killed, and all of its requests
+    would fail.
     """
 
     limit: int
     held_bytes: int = 0
 
     def reserve(self, size: int) -> bool:
-        """Count ``size`` bytes more; False when they do not fit."""
+        """Reserve ``size`` bytes; return False if they exceed the limit."""
         if self.held_bytes + size > self.limit:
             return False
         self.held_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        """Count ``size`` bytes less."""
+        """Release ``size`` reserved bytes."""
         self.held_bytes -= size
--- a/src/sassafrasstair/httpio/_listeners.py
+++ b/src/sassafrasstair/httpio/_listeners.py
@@ -1,4 +1,4 @@
-"""Connections from clients: one request at a time, in order."""
+"""Connections from clients; each handles its requests one by one."""
 
 from __future__ import annotations
 
@@ -18,28 +18,29 @@
     from sassafrasstair.httpio import _bodies
 
 BACKLOG = 1024
-"""Connections that wait to be accepted: a burst opens hundreds at once."""
+"""Connections waiting to be accepted; a burst opens hundreds at once."""
 PIPELINED_MAX = 16
-"""Requests read ahead on one connection before reading pauses."""
+"""Pipelined requests queued on one connection before reading pauses."""
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 _PARSE_ERRORS = (httptools.HttpParserError, httptools.HttpParserUpgrade)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send, and how long it may take; bytes, seconds."""
+    """Limits on the size of a client's request and the time it may take."""
 
     head_bytes: int = 16_384
     body_bytes: int = 64 * 1024 * 1024
     head_seconds: float = 5.0
     body_seconds: float = 60.0
-    """From the first byte of the head to the last of the body: a client
-    that stops midway would hold its part in memory for ever."""
+    """From the first byte of the head to the last byte of the body. Without
+    this limit, a client that stops midway would keep the part that was read
+    in memory indefinitely."""
     idle_seconds: float = 30.0
 
 
 class Exchange:
-    """One request and the one response that it gets."""
+    """A request and its response."""
 
     __slots__ = ("_connection", "gone", "request")
 
@@ -48,12 +49,12 @@
     ) -> None:
         self.request = request
         self.gone: abc.Callable[[], None] | None = None
-        """Called once if the client leaves before the response."""
+        """Called once if the client disconnects before the response."""
         self._connection = connection
 
     @property
     def peer_host(self) -> str:
-        """The address of the other side, asked of the system only here."""
+        """The client's IP address, looked up when it is read."""
         return self._connection.peer_host
 
     def respond(
@@ -63,7 +64,7 @@
         body: bytes,
         close: bool = False,
     ) -> None:
-        """Send the response; a second one is dropped."""
+        """Send the response; any further response is ignored."""
         self._connection.respond(self, status, fields, body, close)
 
 
@@ -79,36 +80,36 @@
     ) -> None:
         self.handle = handle
         self.refusal_fields = refusal_fields
-        """Returns the fields of a refusal with the given status."""
+        """Returns the header fields of an error response with a status."""
         self.clock = clock
         self.memory = memory
         self.limits = Limits()
         self.closing = False
-        """Set at a planned stop: each response ends its connection."""
+        """Set at shutdown: each response then closes its connection."""
         self.connections: set[_Connection] = set()
         self._server: asyncio.Server | None = None
 
     async def open(self, host: str, port: int) -> None:
-        """Listen; raises ``OSError`` when the address can't be bound."""
+        """Listen; raises ``OSError`` if the address can't be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _Connection(self), host, port, backlog=BACKLOG
         )
 
     def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections stay open."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close_idle(self) -> None:
-        """Close each connection that has no request under way."""
+        """Close each connection that has no request in progress."""
         for connection in list(self.connections):
             if connection.idle:
                 connection.close()
 
     def sweep(self, now: float) -> None:
-        """End what takes longer than the limits; called a few times a s."""
+        """Apply the time limits; called a few times per second."""
         for connection in list(self.connections):
             connection.check(now)
 
@@ -117,20 +118,20 @@
     """One connection; ``httptools`` calls the ``on_`` methods."""
 
     __slots__ = (
+        "_active_at",
+        "_body_parts",
+        "_body_size",
+        "_closing",
         "_current",
-        "_ending",
         "_head_size",
         "_listener",
         "_parser",
-        "_parts",
         "_paused",
+        "_queued",
         "_reading",
-        "_refused",
-        "_since",
-        "_size",
+        "_rejected",
         "_transport",
-        "_unread",
-        "_waiting",
+        "_unsent_bytes",
     )
 
     def __init__(self, listener: Listener) -> None:
@@ -138,136 +139,136 @@
         self._parser: typing.Any = httptools.HttpRequestParser(self)
         self._transport: typing.Any = None
         self._current: Exchange | None = None
-        self._waiting: collections.deque[_messages.Request] = (
+        self._queued: collections.deque[_messages.Request] = (
             collections.deque()
         )
         self._reading: _messages.Request | None = None
-        self._parts: list[bytes] = []
-        self._size = 0
+        self._body_parts: list[bytes] = []
+        self._body_size = 0
         self._head_size = 0
-        self._since = listener.clock.monotonic()
+        self._active_at = listener.clock.monotonic()
         self._paused = False
-        self._refused = False
-        self._ending = False
-        self._unread = 0
+        self._rejected = False
+        self._closing = False
+        self._unsent_bytes = 0
 
     @property
     def peer_host(self) -> str:
-        """The address of the other side, '' if it has gone."""
+        """The client's IP address, '' after it has disconnected."""
         name = self._transport.get_extra_info("peername")
         return name[0] if name else ""
 
     @property
     def idle(self) -> bool:
-        """Whether no request is read, waits or is under way."""
+        """Whether no request is being read, queued or handled."""
         return (
             self._current is None
-            and not self._waiting
+            and not self._queued
             and self._reading is None
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the new connection."""
+        """Register the new connection."""
         self._transport = transport
         self._listener.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell whoever works for the client that it has left."""
+        """Release the memory and report that the client has disconnected."""
         self._listener.connections.discard(self)
-        self._leave()
+        self._disconnected()
 
     def eof_received(self) -> bool:
-        """Treat the end of the client's bytes as its leaving."""
-        self._leave()
+        """Treat the end of the client's data as a disconnect."""
+        self._disconnected()
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come."""
-        if self._refused:
+        """Parse received data and start the next request."""
+        if self._rejected:
             return
         if self._reading is None:
-            self._since = self._listener.clock.monotonic()
+            self._active_at = self._listener.clock.monotonic()
         if self._head_size >= 0:
             self._head_size += len(data)
         try:
             self._parser.feed_data(data)
         except _PARSE_ERRORS:
-            if not self._refused:
-                self._refuse(400)
+            if not self._rejected:
+                self._reject(400)
             return
-        # Outside the parser's calls: it would take a fault in the handler
-        # for a malformed request.
-        if self._current is None and self._waiting:
-            self._next()
+        # The handler is not called from the parser's callbacks: the parser
+        # would report an error in the handler as a malformed request.
+        if self._current is None and self._queued:
+            self._handle_next()
         if self._reading is not None and self._head_size >= 0:
             if self._head_size > self._listener.limits.head_bytes:
-                self._refuse(431)
+                self._reject(431)
         elif self._reading is None:
             self._head_size = 0
 
     def on_message_begin(self) -> None:
-        """Start a request."""
-        self._reading = _messages.Request(self._since)
-        self._parts = []
-        self._size = 0
+        """Start reading a request."""
+        self._reading = _messages.Request(self._active_at)
+        self._body_parts = []
+        self._body_size = 0
 
     def on_url(self, url: bytes) -> None:
-        """Take the target, which may come in pieces."""
+        """Append to the target, which may arrive in pieces."""
         if self._reading is not None:
             self._reading.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one field."""
+        """Add a header field."""
         request = self._reading
         if request is None:
             return
-        lower = name.lower()
-        request.fields.append((lower, name, value))
-        if lower in request.headers:
-            if lower in (b"host", b"content-length"):
-                # Two of these are how a request is smuggled past a proxy
-                # that reads one and a server that reads the other.
-                self._refuse(400)
+        lower_name = name.lower()
+        request.fields.append((lower_name, name, value))
+        if lower_name in request.headers:
+            if lower_name in (b"host", b"content-length"):
+                # Request smuggling: a proxy may use the first of two such
+                # fields and the server behind it the second.
+                self._reject(400)
         else:
-            request.headers[lower] = value
+            request.headers[lower_name] = value
 
     def on_headers_complete(self) -> None:
         """Check the head against the limits."""
         request = self._reading
-        if request is None or self._refused:
+        if request is None or self._rejected:
             return
         self._head_size = -1
         request.method = self._parser.get_method()
         request.keep_alive = self._parser.should_keep_alive()
-        length = request.headers.get(b"content-length", b"0")
-        if int(length or b"0") > self._listener.limits.body_bytes:
-            self._refuse(413)
+        content_length = request.headers.get(b"content-length", b"0")
+        if int(content_length or b"0") > self._listener.limits.body_bytes:
+            self._reject(413)
         elif request.headers.get(b"expect", b"").lower() == b"100-continue":
             self._transport.write(_CONTINUE)
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
-        if self._refused:
+        """Store a piece of the body if the limits allow it."""
+        if self._rejected:
             return
-        if self._size + len(body) > self._listener.limits.body_bytes:
-            self._refuse(413)
+        if self._body_size + len(body) > self._listener.limits.body_bytes:
+            self._reject(413)
         elif not self._listener.memory.reserve(len(body)):
-            self._refuse(503)
+            self._reject(503)
         else:
-            self._size += len(body)
-            self._parts.append(body)
+            self._body_size += len(body)
+            self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the request on, or keep it until its turn."""
+        """Queue the complete request."""
         request = self._reading
-        if request is None or self._refused:
+        if request is None or self._rejected:
             return
         self._reading = None
         self._head_size = 0
-        request.body = b"".join(self._parts)
-        self._parts = []
-        self._waiting.append(request)
-        if len(self._waiting) >= PIPELINED_MAX and not self._paused:
+        request.body = b"".join(self._body_parts)
+        self._body_parts = []
+        self._queued.append(request)
+        if len(self._queued) >= PIPELINED_MAX and not self._paused:
             self._paused = True
             self._transport.pause_reading()
 
@@ -279,74 +280,77 @@
         body: bytes,
         close: bool,
     ) -> None:
-        """Send the response of the exchange under way."""
+        """Send the response of the current exchange."""
         if exchange is not self._current:
             return
         request = exchange.request
         self._current = None
         self._listener.memory.release(len(request.body))
         close = close or self._listener.closing or not request.keep_alive
-        bare = request.method == b"HEAD"
+        omit_body = request.method == b"HEAD"
         self._transport.write(
-            _messages.render_response(status, fields, body, close, bare)
+            _messages.render_response(status, fields, body, close, omit_body)
         )
-        self._since = self._listener.clock.monotonic()
+        self._active_at = self._listener.clock.monotonic()
         if close:
             self.close()
-        elif self._waiting:
-            asyncio.get_running_loop().call_soon(self._next)
+        elif self._queued:
+            asyncio.get_running_loop().call_soon(self._handle_next)
 
     def check(self, now: float) -> None:
-        """End a connection that is idle, or a head that is slow."""
+        """Close the connection if a time limit has passed."""
         limits = self._listener.limits
         if self._current is not None:
             return
-        self._note_unread(now)
-        if self._ending or self._unread:
-            # Failure: a client stops reading and its answer would be held
-            # in memory for as long as it stays.
-            if now - self._since > limits.idle_seconds:
+        self._note_progress(now)
+        if self._closing or self._unsent_bytes:
+            # If the client stops reading, its response would stay in memory
+            # for as long as the connection is open.
+            if now - self._active_at > limits.idle_seconds:
                 self._transport.abort()
         elif self._reading is not None:
             in_head = self._head_size >= 0
-            allowed = limits.head_seconds if in_head else limits.body_seconds
-            if now - self._reading.received_at > allowed:
-                self._refuse(408)
-        elif now - self._since > limits.idle_seconds:
+            time_limit = (
+                limits.head_seconds if in_head else limits.body_seconds
+            )
+            if now - self._reading.received_at > time_limit:
+                self._reject(408)
+        elif now - self._active_at > limits.idle_seconds:
             self.close()
 
     def close(self) -> None:
-        """Close once what was written has been sent."""
-        self._ending = True
-        for request in self._waiting:
+        """Close the connection once all written data has been sent."""
+        self._closing = True
+        for request in self._queued:
             self._listener.memory.release(len(request.body))
-        self._waiting.clear()
+        self._queued.clear()
         self._transport.close()
 
-    def _note_unread(self, now: float) -> None:
-        """Count from now if the client has read some of its answer."""
-        unread = self._transport.get_write_buffer_size()
-        if unread < self._unread:
-            self._since = now
-        self._unread = unread
+    def _note_progress(self, now: float) -> None:
+        """Restart the idle time if the client has read more data."""
+        unsent_bytes = self._transport.get_write_buffer_size()
+        if unsent_bytes < self._unsent_bytes:
+            self._active_at = now
+        self._unsent_bytes = unsent_bytes
 
-    def _next(self) -> None:
-        if self._current is not None or not self._waiting:
+    def _handle_next(self) -> None:
+        if self._current is not None or not self._queued:
             return
         if self._paused:
             self._paused = False
             self._transport.resume_reading()
-        exchange = Exchange(self, self._waiting.popleft())
+        exchange = Exchange(self, self._queued.popleft())
         self._current = exchange
         self._listener.handle(exchange)
 
-    def _refuse(self, status: int) -> None:
-        """Answer a request that was not read whole, and close."""
-        self._refused = True
-        self._drop_parts()
+    def _reject(self, status: int) -> None:
+        """Reject a request that was not read completely, and close."""
+        self._rejected = True
+        self._discard_body()
         self._reading = None
         if self._current is not None:
-            # Its answer goes first; the bytes behind it are dropped.
+            # The current request is answered first. Its response closes the
+            # connection; data received after it is discarded.
             self._current.request.keep_alive = False
             return
         fields = self._listener.refusal_fields(status)
@@ -355,18 +359,18 @@
         )
         self.close()
 
-    def _drop_parts(self) -> None:
-        self._listener.memory.release(self._size)
-        self._size = 0
-        self._parts = []
+    def _discard_body(self) -> None:
+        self._listener.memory.release(self._body_size)
+        self._body_size = 0
+        self._body_parts = []
 
-    def _leave(self) -> None:
+    def _disconnected(self) -> None:
         if self._reading is not None:
-            self._drop_parts()
+            self._discard_body()
             self._reading = None
-        for request in self._waiting:
+        for request in self._queued:
             self._listener.memory.release(len(request.body))
-        self._waiting.clear()
+        self._queued.clear()
         exchange = self._current
         if exchange is None:
             return
--- a/src/sassafrasstair/httpio/_messages.py
+++ b/src/sassafrasstair/httpio/_messages.py
@@ -1,4 +1,4 @@
-"""Requests and responses as they were parsed, and heads as bytes."""
+"""Parsed requests and responses, and the encoding of message heads."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
     from collections import abc
 
 Fields = list[tuple[bytes, bytes]]
-"""Header fields in their order, names as sent."""
+"""Header fields in order, with their names as sent."""
 ParsedFields = list[tuple[bytes, bytes, bytes]]
-"""The same as parsed, each behind its lower-cased name: made once, since it
-is looked at several times on the way of each request."""
+"""Header fields in order, each as lower-cased name, name as sent and value.
+The name is lower-cased once since each request looks it up several times."""
 
 _HOP_BY_HOP = frozenset(
     {
@@ -30,8 +30,8 @@
         b"expect",
     }
 )
-"""Fields of one connection (RFC 9110, 7.6.1), and those that frame a body,
-which is sent whole with a length of our own."""
+"""Fields that apply to one connection only (RFC 9110, 7.6.1), and fields that
+frame a body: a forwarded body is sent whole, with its own Content-Length."""
 
 _REASONS = {status.value: status.phrase.encode() for status in http.HTTPStatus}
 _NO_BODY = frozenset({204, 304})
@@ -39,9 +39,11 @@
 
 @dataclasses.dataclass(slots=True)
 class Request:
-    """One request; ``found`` has the first value of each lower-cased name.
+    """A parsed request.
 
-    ``began`` is when its first byte was read, in seconds of the clock.
+    ``headers`` maps each lower-cased field name to its first value.
+    ``received_at`` is the clock's time, in seconds, at which the first byte
+    was read.
     """
 
     received_at: float
@@ -55,7 +57,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Response:
-    """One whole response."""
+    """A whole response.
+
+    ``headers`` maps each lower-cased field name to its first value.
+    """
 
     status: int = 0
     fields: ParsedFields = dataclasses.field(default_factory=list)
@@ -64,7 +69,7 @@
 
 
 def non_forwarded_names(own_names: abc.Set[bytes]) -> frozenset[bytes]:
-    """Return the names of fields that don't pass on, ``own`` among them."""
+    """Return hop-by-hop names and ``own_names``, which are not forwarded."""
     return _HOP_BY_HOP | own_names
 
 
@@ -73,25 +78,29 @@
     headers: abc.Mapping[bytes, bytes],
     excluded: abc.Set[bytes],
 ) -> Fields:
-    """Return the fields that pass on: neither named nor ``kept_back``."""
-    listed_names = headers.get(b"connection")
-    if listed_names is not None and b"," not in listed_names:
-        listed_names = listed_names.strip().lower()
-        if listed_names in (b"close", b"keep-alive"):
-            listed_names = None
-    if listed_names is None:
+    """Return the fields to forward.
+
+    Left out are the names in ``excluded`` (see ``non_forwarded_names``) and
+    those that the ``Connection`` field lists.
+    """
+    connection_options = headers.get(b"connection")
+    if connection_options is not None and b"," not in connection_options:
+        connection_options = connection_options.strip().lower()
+        if connection_options in (b"close", b"keep-alive"):
+            connection_options = None
+    if connection_options is None:
         return [
             (name, value)
             for lower, name, value in fields
             if lower not in excluded
         ]
-    excluded_by_sender = {
-        part.strip().lower() for part in listed_names.split(b",")
+    listed_names = {
+        part.strip().lower() for part in connection_options.split(b",")
     }
     return [
         (name, value)
         for lower, name, value in fields
-        if lower not in excluded and lower not in excluded_by_sender
+        if lower not in excluded and lower not in listed_names
     ]
 
 
@@ -125,6 +134,6 @@
 def render_response(
     status: int, fields: Fields, body: bytes, close: bool, omit_body: bool
 ) -> bytes:
-    """Return a whole response; ``bare`` leaves out the body, as for HEAD."""
+    """Return the bytes of a response; for HEAD, ``omit_body`` is true."""
     head = response_head(status, fields, len(body), close)
     return head if omit_body or status in _NO_BODY else head + body
--- a/src/sassafrasstair/httpio/_pools.py
+++ b/src/sassafrasstair/httpio/_pools.py
@@ -1,4 +1,4 @@
-"""Kept connections to one address, each with one request at a time."""
+"""Connection pools; a connection carries one request at a time."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
     from sassafrasstair import clocks
 
 CONNECT_SECONDS = 0.4
-"""A connection within one region is made in a few ms; the address of a VM
-that is gone never answers."""
+"""Connecting within a region takes a few ms; the address of a VM that no
+longer exists never answers."""
 RESPONSE_BYTES_MAX = 64 * 1024 * 1024
-"""An answer that is longer is given up on: it is held whole."""
+"""Longer responses are aborted, since a response is buffered whole."""
 _KEEP_ALIVE_MARGIN = 1.0
-"""Seconds before the time told by the server at which a connection is no
-longer used: the request must arrive before the server closes."""
+"""A connection is no longer used from this many seconds before the server's
+keep-alive time-out: a request must arrive before the server closes it."""
 _USER_TIMEOUT_MS = 1_500
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
@@ -32,10 +32,12 @@
 
 
 class Failure(enum.Enum):
-    """Why a job has no answer.
+    """Why a job got no response.
 
-    After ``NOT_SENT`` no byte of the request has left; after all others
-    the server may have run it.
+    With ``NOT_SENT`` no byte of the request was sent; with all others the
+    server may have run the request. ``LOST`` means that the connection ended
+    before any response, ``CUT_SHORT`` that the response was truncated or too
+    long, ``GARBLED`` that it was malformed.
     """
 
     NOT_SENT = "not_sent"
@@ -45,11 +47,11 @@
 
 
 class Job:
-    """One request on its way and what became of it."""
+    """A request to send and the callback for its result."""
 
     __slots__ = (
         "_connection",
-        "_done",
+        "_on_done",
         "body_omitted",
         "data",
         "expected_field",
@@ -64,41 +66,42 @@
     ) -> None:
         self.data = data
         self.expected_field = expected_field
-        """Field, lower-cased, and value that name the answer's request: an
-        answer with another value belongs to an earlier one."""
+        """Header field (name in lower case, value) that identifies the request
+        in the response. A response with another value belongs to an earlier
+        request."""
         self.body_omitted = body_omitted
-        """Whether the answer has no body, as for HEAD."""
-        self._done: (
+        """Whether the response has no body, as for HEAD."""
+        self._on_done: (
             abc.Callable[[_messages.Response | Failure], None] | None
         ) = on_done
         self._connection: _Connection | None = None
 
     def abort(self) -> None:
-        """Give up: the connection is cut so that the server notices."""
-        self._done = None
+        """Cancel; the connection is closed so that the server notices."""
+        self._on_done = None
         if self._connection is not None:
             self._connection.abort()
 
     def end(self, result: _messages.Response | Failure) -> None:
-        """Report the end, once."""
-        done, self._done = self._done, None
+        """Report the result; only the first one counts."""
+        done, self._on_done = self._on_done, None
         self._connection = None
         if done is not None:
             done(result)
 
     @property
     def may_have_been_sent(self) -> bool:
-        """Whether any of it may have left, so that the server has it."""
+        """Whether the server may have received any part of the request."""
         return self._connection is not None
 
     @property
     def awaited(self) -> bool:
-        """Whether somebody still waits for the answer."""
-        return self._done is not None
+        """Whether the result is still to be reported."""
+        return self._on_done is not None
 
 
 class Pool:
-    """Connections to one address, the last used first."""
+    """Connections to one address; the last used is reused first."""
 
     def __init__(
         self, host: str, port: int, clock: clocks.Clock, idle_seconds: float
@@ -107,14 +110,14 @@
         self.port = port
         self.clock = clock
         self.idle_seconds = idle_seconds
-        """For how long a connection is kept when the server tells none."""
+        """How long a connection is kept if the server states no time-out."""
         self.connections_opened = 0
         self._idle: list[_Connection] = []
         self._busy: set[_Connection] = set()
         self._connecting: set[asyncio.Task[None]] = set()
 
     def send(self, job: Job) -> None:
-        """Send a job on a kept connection, or on a new one."""
+        """Send a job on an idle connection, or else on a new one."""
         now = self.clock.monotonic()
         while self._idle:
             connection = self._idle.pop()
@@ -125,27 +128,27 @@
         self.send_on_new(job)
 
     def send_on_new(self, job: Job) -> None:
-        """Send a job on a connection of its own making."""
+        """Send a job on a new connection."""
         loop = asyncio.get_running_loop()
         task = loop.create_task(self._connect(job))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
     def try_connect(self, on_done: abc.Callable[[bool], None]) -> None:
-        """Make a connection to keep, and say whether it could be made."""
+        """Open an idle connection and report whether that succeeded."""
         loop = asyncio.get_running_loop()
         task = loop.create_task(self._try_connect(on_done))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
     def drop_idle(self) -> None:
-        """Close what no request uses, as after a link was silent."""
+        """Close all idle connections, as when the server has timed out."""
         for connection in self._idle:
             connection.abort()
         self._idle.clear()
 
     def sweep(self, now: float) -> None:
-        """Close what was idle for too long."""
+        """Close connections that were idle for too long."""
         kept = []
         for connection in self._idle:
             if connection.usable(now):
@@ -155,7 +158,7 @@
         self._idle = kept
 
     def close(self) -> None:
-        """Close all connections and stop those being made."""
+        """Close all connections and cancel those being opened."""
         self.drop_idle()
         for connection in list(self._busy):
             connection.abort()
@@ -163,12 +166,12 @@
             task.cancel()
 
     def release(self, connection: _Connection) -> None:
-        """Take back a connection whose answer is whole."""
+        """Make a connection idle after its response is complete."""
         self._busy.discard(connection)
         self._idle.append(connection)
 
     def forget(self, connection: _Connection) -> None:
-        """Drop a connection that has closed."""
+        """Remove a connection that has closed."""
         self._busy.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -193,7 +196,7 @@
         on_done(connection is not None)
 
     async def _open(self) -> _Connection | None:
-        """Return a new connection, None if it could not be made in time."""
+        """Return a new connection, or None on failure or time-out."""
         loop = asyncio.get_running_loop()
         try:
             _, connection = await asyncio.wait_for(
@@ -212,19 +215,19 @@
     """One connection; ``httptools`` calls the ``on_`` methods."""
 
     __slots__ = (
-        "_answer",
+        "_body_parts",
+        "_body_size",
         "_closed",
-        "_dirty",
-        "_finished",
-        "_framed",
+        "_complete_response",
+        "_has_extra_data",
+        "_has_length",
         "_idle_until",
+        "_is_late",
         "_job",
-        "_keep",
+        "_keep_alive",
         "_parser",
-        "_parts",
         "_pool",
-        "_size",
-        "_skip",
+        "_response",
         "_transport",
     )
 
@@ -233,20 +236,24 @@
         self._transport: typing.Any = None
         self._parser: typing.Any = httptools.HttpResponseParser(self)
         self._job: Job | None = None
-        self._answer: _messages.Response | None = None
-        self._finished: _messages.Response | None = None
-        self._parts: list[bytes] = []
-        self._size = 0
-        self._skip = False
-        self._framed = True
-        self._keep = True
-        self._dirty = False
+        self._response: _messages.Response | None = None
+        self._complete_response: _messages.Response | None = None
+        self._body_parts: list[bytes] = []
+        self._body_size = 0
+        self._is_late = False
+        self._has_length = True
+        self._keep_alive = True
+        self._has_extra_data = False
         self._closed = False
         self._idle_until = pool.clock.monotonic() + pool.idle_seconds
 
     def usable(self, now: float) -> bool:
-        """Return whether a request may be sent here."""
-        return not self._closed and not self._dirty and now < self._idle_until
+        """Return whether a request may be sent on this connection."""
+        return (
+            not self._closed
+            and not self._has_extra_data
+            and now < self._idle_until
+        )
 
     def start(self, job: Job) -> None:
         """Send the job's request."""
@@ -255,20 +262,20 @@
         self._transport.write(job.data)
 
     def abort(self) -> None:
-        """Cut the connection at once."""
+        """Close the connection immediately."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Set the socket so that a silent link is noticed."""
+        """Set socket options that detect a dead peer or network link."""
         self._transport = transport
         sock = transport.get_extra_info("socket")
         if sock is None:
             return
         tcp = socket.IPPROTO_TCP
-        # A VM without power and a cut link send no reset: without these a
-        # request would wait for its deadline on a connection that is dead.
+        # A powered-off VM or a broken link sends no reset: without these
+        # options a request would wait on a dead connection until its deadline.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(tcp, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S)
         sock.setsockopt(tcp, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S)
@@ -276,110 +283,110 @@
         sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the job: an answer without a length ends here if clean."""
+        """End the job; a clean close ends a response without a length."""
         self._closed = True
         self._pool.forget(self)
         job, self._job = self._job, None
         if job is None:
             return
-        answer = self._answer
-        if answer is None:
+        response = self._response
+        if response is None:
             job.end(Failure.LOST)
-        elif exc is None and not self._framed and not self._skip:
-            job.end(self._whole(answer))
+        elif exc is None and not self._has_length and not self._is_late:
+            job.end(self._with_body(response))
         else:
             job.end(Failure.CUT_SHORT)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; what nobody asked for makes it unusable."""
+        """Parse received data; abort the connection if none is expected."""
         if self._job is None:
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            # Bytes behind a whole answer do not change that answer.
-            self._dirty = True
-            if self._finished is None:
+            # Extra bytes after a complete response leave it valid.
+            self._has_extra_data = True
+            if self._complete_response is None:
                 self._fail(Failure.GARBLED)
                 return
-        if self._finished is not None:
-            self._finish(self._finished)
+        if self._complete_response is not None:
+            self._finish(self._complete_response)
 
     def on_message_begin(self) -> None:
-        """Start an answer; one more behind a whole one is an extra."""
-        if self._finished is not None:
-            self._answer = None
-            self._dirty = True
+        """Start a response; one after a complete response is ignored."""
+        if self._complete_response is not None:
+            self._response = None
+            self._has_extra_data = True
             return
-        self._answer = _messages.Response()
-        self._parts = []
-        self._size = 0
-        self._skip = False
+        self._response = _messages.Response()
+        self._body_parts = []
+        self._body_size = 0
+        self._is_late = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one field."""
-        answer = self._answer
-        if answer is None:
+        """Add a header field."""
+        response = self._response
+        if response is None:
             return
         lower = name.lower()
-        answer.fields.append((lower, name, value))
-        answer.headers.setdefault(lower, value)
+        response.fields.append((lower, name, value))
+        response.headers.setdefault(lower, value)
 
     def on_headers_complete(self) -> None:
-        """Check whose answer this is and how its body ends."""
-        answer, job = self._answer, self._job
-        if answer is None or job is None:
+        """Check which request is answered and how the body ends."""
+        response, job = self._response, self._job
+        if response is None or job is None:
             return
-        answer.status = self._parser.get_status_code()
-        self._keep = self._parser.should_keep_alive()
-        self._framed = (
-            b"content-length" in answer.headers
-            or b"transfer-encoding" in answer.headers
-            or answer.status in _NO_BODY
-            or answer.status < 200
+        response.status = self._parser.get_status_code()
+        self._keep_alive = self._parser.should_keep_alive()
+        self._has_length = (
+            b"content-length" in response.headers
+            or b"transfer-encoding" in response.headers
+            or response.status in _NO_BODY
+            or response.status < 200
         )
         if job.expected_field is not None:
             name, value = job.expected_field
-            told = answer.headers.get(name)
-            # An answer that comes late, to a request that was given up on
-            # or answered before, names that request and is passed over.
-            self._skip = told is not None and told != value
-        if job.body_omitted and not self._skip and answer.status >= 200:
-            # httptools would wait for the body that a HEAD never gets.
-            self._keep = False
-            self._finished = answer
+            received = response.headers.get(name)
+            # A late response, to a request that was cancelled or answered
+            # before, carries the value of that request and is ignored.
+            self._is_late = received is not None and received != value
+        if job.body_omitted and not self._is_late and response.status >= 200:
+            # httptools would wait for a body, which a HEAD response lacks.
+            self._keep_alive = False
+            self._complete_response = response
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
-        if self._answer is None or self._skip:
+        """Store a piece of the body."""
+        if self._response is None or self._is_late:
             return
-        self._size += len(body)
-        if self._size > RESPONSE_BYTES_MAX:
+        self._body_size += len(body)
+        if self._body_size > RESPONSE_BYTES_MAX:
             self._fail(Failure.CUT_SHORT)
             return
-        self._parts.append(body)
+        self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the answer over unless it is another request's."""
-        answer = self._answer
-        if answer is None or self._finished is not None:
+        """Mark the response as complete unless it is interim or late."""
+        response = self._response
+        if response is None or self._complete_response is not None:
             return
-        if answer.status < 200 or self._skip:
-            self._answer = None
-            self._framed = True
+        if response.status < 200 or self._is_late:
+            self._response = None
+            self._has_length = True
             return
-        if self._framed:
-            self._finished = answer
+        if self._has_length:
+            self._complete_response = response
 
-    def _finish(self, answer: _messages.Response) -> None:
+    def _finish(self, response: _messages.Response) -> None:
         job, self._job = self._job, None
-        self._answer = self._finished = None
-        whole = self._whole(answer)
+        self._response = self._complete_response = None
+        whole = self._with_body(response)
         unsent = self._transport.get_write_buffer_size()
-        if self._keep and not self._dirty and not unsent:
+        if self._keep_alive and not self._has_extra_data and not unsent:
             self._idle_until = self._pool.clock.monotonic() + _idle_seconds(
-                answer, self._pool.idle_seconds
+                response, self._pool.idle_seconds
             )
             self._pool.release(self)
         else:
@@ -388,10 +395,10 @@
         if job is not None:
             job.end(whole)
 
-    def _whole(self, answer: _messages.Response) -> _messages.Response:
-        answer.body = b"".join(self._parts)
-        self._parts = []
-        return answer
+    def _with_body(self, response: _messages.Response) -> _messages.Response:
+        response.body = b"".join(self._body_parts)
+        self._body_parts = []
+        return response
 
     def _fail(self, failure: Failure) -> None:
         job, self._job = self._job, None
@@ -400,11 +407,11 @@
             job.end(failure)
 
 
-def _idle_seconds(answer: _messages.Response, usual: float) -> float:
-    """Return for how long the server keeps the connection, less a margin."""
-    told = answer.headers.get(b"keep-alive", b"")
-    for part in told.split(b","):
+def _idle_seconds(response: _messages.Response, default: float) -> float:
+    """Return how long the connection may stay idle, less a margin."""
+    keep_alive = response.headers.get(b"keep-alive", b"")
+    for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
             return max(0.0, int(value) - _KEEP_ALIVE_MARGIN)
-    return usual
+    return default
