--- a/src/sassafrasstair/platform/__init__.py
+++ b/src/sassafrasstair/platform/__init__.py
@@ -1,7 +1,7 @@
-"""Adapter to the users' platform: its names, formats and calls.
+"""Adapter to the users' platform: its header names, formats and calls.
 
-It decodes what the platform says into the product's own types and decides
-nothing; no other code knows the platform's names.
+It decodes the platform's data into the types of the other packages and makes
+no decisions. No other code knows the platform's names.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/platform/_checks.py
+++ b/src/sassafrasstair/platform/_checks.py
@@ -1,4 +1,4 @@
-"""Checks that all of the platform's texts need."""
+"""Checks shared by the decoders of the platform's data."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class JsonObjectError(Exception):
-    """Bytes that are no JSON object; ``reason`` says what they are not."""
+    """Data that is not a JSON object; ``reason`` is a word for the log."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -20,16 +20,16 @@
 def decode_object(data: bytes | msgspec.Raw) -> dict[str, typing.Any]:
     """Return the JSON object in ``data``; raises ``ObjectError``."""
     try:
-        found = msgspec.json.decode(data)
+        decoded = msgspec.json.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise JsonObjectError("not_json") from error
-    if not isinstance(found, dict):
+    if not isinstance(decoded, dict):
         raise JsonObjectError("not_an_object")
-    return found
+    return decoded
 
 
 def parse_port(text: str) -> int | None:
-    """Return the port that a text names, None if it names none."""
+    """Return the port number in ``text``, or None if it is not valid."""
     if not (text.isascii() and text.isdigit() and len(text) <= 5):
         return None
     port = int(text)
--- a/src/sassafrasstair/platform/_dialect.py
+++ b/src/sassafrasstair/platform/_dialect.py
@@ -1,4 +1,4 @@
-"""The platform's header names, and the parts of the adapter together."""
+"""The platform's header names, and the entry point of the adapter."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 SETTINGS_VARIABLE = "SASSAFRASSTAIR_BOOT"
 SETTINGS_PATH = "/etc/sassafrasstair/boot.conf"
 
-NAMES = forwarding.HeaderNames(
+HEADER_NAMES = forwarding.HeaderNames(
     request_id=b"Sassafrasstair-Request-Id",
     deadline_ms=b"Sassafrasstair-Deadline-Ms",
     target=b"Sassafrasstair-Target-Instance",
@@ -30,9 +30,9 @@
 
 
 class _PlatformDialect:
-    """The platform as the daemon meets it."""
+    """The names, settings and store of the platform."""
 
-    names = NAMES
+    names = HEADER_NAMES
     ready_path = b"/-/readyz"
 
     def __init__(self, path: str) -> None:
@@ -48,12 +48,12 @@
         return _settings.decode_settings(text)
 
     def settings_mark(self) -> object:
-        """Return the file's time, size and inode, or None without one."""
+        """Return the file's time, size and inode, or None without a file."""
         try:
-            found = os.stat(self._path)
+            status = os.stat(self._path)
         except OSError:
             return None
-        return found.st_mtime_ns, found.st_size, found.st_ino
+        return status.st_mtime_ns, status.st_size, status.st_ino
 
     def source(
         self, settings: forwarding.Settings, clock: clocks.Clock
@@ -63,6 +63,6 @@
 
 
 def open_dialect(environment: abc.Mapping[str, str]) -> forwarding.Dialect:
-    """Return the platform as described by the process's environment."""
+    """Return the platform's dialect; the environment may name the file."""
     path = environment.get(SETTINGS_VARIABLE, SETTINGS_PATH)
     return _PlatformDialect(path)
--- a/src/sassafrasstair/platform/_documents.py
+++ b/src/sassafrasstair/platform/_documents.py
@@ -1,4 +1,4 @@
-"""The policy that lies in the store, decoded and checked."""
+"""Decoding and checking of the policy in the store."""
 
 from __future__ import annotations
 
@@ -13,20 +13,24 @@
     from collections import abc
 
 POLICY_KEY = "op/config"
-_IDEMPOTENT = "safe"
-_KINDS = frozenset({_IDEMPOTENT, "unsafe", "upload"})
+_IDEMPOTENT_KIND = "safe"
+_ROUTE_KINDS = frozenset({_IDEMPOTENT_KIND, "unsafe", "upload"})
 
 
 class PolicyError(Exception):
-    """A policy that can't be used; says what is wrong."""
+    """A policy that can't be used; the message states the fault."""
 
 
 class _Share(msgspec.Struct, frozen=True):
+    """The weight of a service in a route's traffic split."""
+
     service: str
     weight: float
 
 
 class _Route(msgspec.Struct, frozen=True):
+    """A route in the platform's format; ``kind`` is one of _ROUTE_KINDS."""
+
     host: str
     prefix: str
     kind: str = msgspec.field(name="type")
@@ -40,6 +44,8 @@
 
 
 class _Tenant(msgspec.Struct, frozen=True):
+    """A customer in the platform's format."""
+
     api_keys: tuple[str, ...] = ()
     rate_per_s: float = 0.0
     burst: float = 0.0
@@ -61,26 +67,28 @@
     tenants: dict[str, _Tenant] | None = None
 
 
-_CONFIG = msgspec.json.Decoder(_Config)
+_CONFIG_DECODER = msgspec.json.Decoder(_Config)
 
 
 def decode_policy(value: bytes) -> policies.Policy:
-    """Return the policy that is written; raises ``DocumentError``."""
+    """Decode and check a policy; raises ``PolicyError``."""
     try:
-        policy = _policy(_CONFIG.decode(value))
+        policy = _build_policy(_CONFIG_DECODER.decode(value))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise PolicyError(f"policy: {error}") from error
-    wrong = policies.find_fault(policy)
-    if wrong:
-        raise PolicyError(f"policy: {wrong}")
+    fault = policies.find_fault(policy)
+    if fault:
+        raise PolicyError(f"policy: {fault}")
     return policy
 
 
-def _policy(config: _Config) -> policies.Policy:
+def _build_policy(config: _Config) -> policies.Policy:
     limits = config.limits
     return policies.Policy(
         int(config.version.removeprefix("r")),
-        tuple(_route(name, route) for name, route in config.routes.items()),
+        tuple(
+            _build_route(name, route) for name, route in config.routes.items()
+        ),
         policies.ClientLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
@@ -88,11 +96,11 @@
             limits.idle_timeout_ms / 1000,
         ),
         tuple(config.services),
-        _customers(config.tenants),
+        _build_customers(config.tenants),
     )
 
 
-def _customers(
+def _build_customers(
     tenants: abc.Mapping[str, _Tenant] | None,
 ) -> tuple[policies.Customer, ...] | None:
     if tenants is None:
@@ -101,18 +109,21 @@
         policies.Customer(
             name,
             tuple(
-                policies.digest_key(_key(name, key)) for key in tenant.api_keys
+                policies.digest_key(_encode_key(name, key))
+                for key in tenant.api_keys
             ),
             tenant.rate_per_s,
             tenant.burst,
-            None if tenant.priority is None else _importance(tenant.priority),
+            None
+            if tenant.priority is None
+            else _to_importance(tenant.priority),
         )
         for name, tenant in tenants.items()
     )
 
 
-def _key(customer: str, key: str) -> bytes:
-    """Return a key as a header field carries it; raises ``DocumentError``."""
+def _encode_key(customer: str, key: str) -> bytes:
+    """Return a key as sent in a header field; raises ``PolicyError``."""
     if not (
         key and key.isascii() and key.isprintable() and key == key.strip()
     ):
@@ -120,8 +131,8 @@
     return key.encode()
 
 
-def _route(name: str, route: _Route) -> policies.Route:
-    if route.kind not in _KINDS:
+def _build_route(name: str, route: _Route) -> policies.Route:
+    if route.kind not in _ROUTE_KINDS:
         raise PolicyError(f"policy: {name}: type {route.kind[:40]!r}")
     shares = tuple(
         policies.Share(share.service, share.weight)
@@ -131,17 +142,18 @@
         name,
         route.host,
         route.prefix,
-        route.kind == _IDEMPOTENT,
+        route.kind == _IDEMPOTENT_KIND,
         route.timeout_ms / 1000,
         route.target_latency_ms / 1000,
-        _importance(route.priority),
+        _to_importance(route.priority),
         route.max_attempts,
         shares or (policies.Share(route.service, 1.0),),
         route.allow_anonymous,
     )
 
 
-def _importance(priority: int) -> int:
-    # Their priority counts down to 0 for what matters most, ours up.
+def _to_importance(priority: int) -> int:
+    # The platform's priority 0 is the most important one; here the most
+    # important requests have the greatest number.
     importance = bundles.IMPORTANCE_MAX - priority
     return min(max(importance, 0), bundles.IMPORTANCE_MAX)
--- a/src/sassafrasstair/platform/_items.py
+++ b/src/sassafrasstair/platform/_items.py
@@ -1,7 +1,7 @@
-"""Items of the store, each decoded by itself.
+"""Decoding of the store's items, one by one.
 
-One item that can't be read must not take with it the others that came in
-the same answer: the daemon would then learn nothing more at all.
+An item that can't be decoded must not prevent the decoding of the others in
+the same response: the daemon would then receive no more updates.
 """
 
 from __future__ import annotations
@@ -27,7 +27,9 @@
 class Item:
     """One item as it was written, or its removal.
 
-    ``value`` is None when it is not bytes in base64.
+    ``revision`` is the store's revision of this write, ``created_revision``
+    that of the first write to the key. ``value`` is None if it is not valid
+    base64.
     """
 
     key: str
@@ -38,53 +40,55 @@
 
 
 class ItemError(Exception):
-    """An item of which not even the key can be told."""
+    """An item that has no valid key or revision."""
 
 
 def decode_item(raw: msgspec.Raw) -> Item:
-    """Return one item; raises ``ItemError``."""
+    """Decode one item; raises ``ItemError``."""
     try:
-        found = _checks.decode_object(raw)
+        fields = _checks.decode_object(raw)
     except _checks.JsonObjectError as error:
         raise ItemError(error.reason) from error
-    key, revision = found.get("key"), _revision(found.get("revision"))
+    key, revision = fields.get("key"), _check_revision(fields.get("revision"))
     if not isinstance(key, str) or not key:
         raise ItemError("key")
     if revision is None:
         raise ItemError("revision")
-    created = _revision(found.get("created"))
+    created = _check_revision(fields.get("created"))
     return Item(
         key,
         revision,
         revision if created is None else created,
-        _value(found.get("value")),
-        found.get("removed") is True,
+        _decode_value(fields.get("value")),
+        fields.get("removed") is True,
     )
 
 
 def decode_changes(
     items: abc.Iterable[Item], regions: abc.Mapping[str, str]
 ) -> tuple[tuple[views.Change, ...], tuple[forwarding.RefusedItem, ...]]:
-    """Return what the items change, and which were refused, with why."""
-    told: list[views.Change] = []
+    """Return the items' changes, and the refused items with the reasons."""
+    decoded: list[views.Change] = []
     refused: list[forwarding.RefusedItem] = []
     for item in items:
         try:
-            change = _change(item, regions)
+            change = _decode_change(item, regions)
         except _entries.EntryError as error:
-            # What stood there before is out of date, whatever this says.
-            told.append(views.Unusable(_id(item.key)))
-            refused.append(_refusal(item, error.reason))
+            # The entry before this one is out of date in any case.
+            decoded.append(views.Unusable(_instance_id(item.key)))
+            refused.append(_refused_item(item, error.reason))
         except _documents.PolicyError as error:
-            # A policy that can't be read leaves the one before in force.
-            refused.append(_refusal(item, str(error)))
+            # An invalid policy leaves the previous one in force.
+            refused.append(_refused_item(item, str(error)))
         else:
             if change is not None:
-                told.append(change)
-    return tuple(told), tuple(refused)
+                decoded.append(change)
+    return tuple(decoded), tuple(refused)
 
 
-def _change(item: Item, regions: abc.Mapping[str, str]) -> views.Change | None:
+def _decode_change(
+    item: Item, regions: abc.Mapping[str, str]
+) -> views.Change | None:
     if item.key == _documents.POLICY_KEY and not item.removed:
         if item.value is None:
             raise _documents.PolicyError("value")
@@ -92,7 +96,7 @@
     if not item.key.startswith(_entries.INSTANCES_PREFIX):
         return None
     if item.removed:
-        return views.Removed(_id(item.key))
+        return views.Removed(_instance_id(item.key))
     if item.value is None:
         raise _entries.EntryError("value")
     return _entries.decode_instance(
@@ -100,21 +104,21 @@
     )
 
 
-def _id(key: str) -> str:
+def _instance_id(key: str) -> str:
     return key.removeprefix(_entries.INSTANCES_PREFIX)
 
 
-def _refusal(item: Item, reason: str) -> forwarding.RefusedItem:
+def _refused_item(item: Item, reason: str) -> forwarding.RefusedItem:
     return forwarding.RefusedItem(item.key, item.revision, reason)
 
 
-def _revision(value: object) -> int | None:
+def _check_revision(value: object) -> int | None:
     if isinstance(value, bool) or not isinstance(value, int) or value < 0:
         return None
     return value
 
 
-def _value(value: object) -> bytes | None:
+def _decode_value(value: object) -> bytes | None:
     if not isinstance(value, str):
         return None
     try:
--- a/src/sassafrasstair/platform/_settings.py
+++ b/src/sassafrasstair/platform/_settings.py
@@ -1,4 +1,4 @@
-"""The settings file: lines of ``key=value``, lists joined by commas."""
+"""The settings file: lines of ``key=value``; lists use commas."""
 
 from __future__ import annotations
 
@@ -13,38 +13,40 @@
     from collections import abc
 
 METRICS_PORT = 9464
-"""Where ``deploy/system.toml`` says that the metrics are."""
-_ZONE = "zones."
+"""The port of the metrics in ``deploy/system.toml``."""
+_ZONE_PREFIX = "zones."
 _MEGABYTE = 1_000_000
 NUMBER_MAX = 1e9
-"""No duration, size or share of the settings comes near."""
+"""Far above any duration, size or ratio in the settings."""
 
 
 def decode_settings(text: str) -> forwarding.Settings:
     """Return the settings; raises ``SettingsError`` naming the key."""
-    values = _lines(text)
+    values = _parse_lines(text)
     bounds = dict(
         part.split("=", 1)
         for part in values.get("bounds", "").split(",")
         if "=" in part
     )
-    host = _text(values, "ip")
-    control = values.get("listen.control", "")
+    host = _required_text(values, "ip")
+    control_address = values.get("listen.control", "")
     return forwarding.Settings(
-        vm=_text(values, "node_id"),
+        vm=_required_text(values, "node_id"),
         host=host,
-        service=_text(values, "service"),
-        failure_domain=_text(values, "zone"),
+        service=_required_text(values, "service"),
+        failure_domain=_required_text(values, "zone"),
         regions={
-            key.removeprefix(_ZONE): value
+            key.removeprefix(_ZONE_PREFIX): value
             for key, value in values.items()
-            if key.startswith(_ZONE)
+            if key.startswith(_ZONE_PREFIX)
         },
         callers=_address(values, "listen.outbound"),
         daemons=_address(values, "listen.inbound"),
         operators=_address(values, "listen.readiness"),
         metrics=forwarding.Address(host, METRICS_PORT),
-        seeding=_address(values, "listen.control") if control else None,
+        seeding=_address(values, "listen.control")
+        if control_address
+        else None,
         seeds=tuple(
             _parse_address("seeds", part)
             for part in values.get("seeds", "").split(",")
@@ -82,7 +84,7 @@
     return _number(bounds, "revoke_ms", 5000.0) / 1000
 
 
-def _lines(text: str) -> dict[str, str]:
+def _parse_lines(text: str) -> dict[str, str]:
     values = {}
     for line in text.splitlines():
         key, equals, value = line.strip().partition("=")
@@ -91,17 +93,17 @@
     return values
 
 
-def _text(values: abc.Mapping[str, str], key: str) -> str:
+def _required_text(values: abc.Mapping[str, str], key: str) -> str:
     value = values.get(key, "")
     if not value:
         raise forwarding.SettingsError(f"{key}: is missing")
     return value
 
 
-def _number(values: abc.Mapping[str, str], key: str, usual: float) -> float:
+def _number(values: abc.Mapping[str, str], key: str, default: float) -> float:
     value = values.get(key, "")
     if not value:
-        return usual
+        return default
     try:
         number = float(value)
     except ValueError as error:
@@ -112,12 +114,12 @@
 
 
 def _address(values: abc.Mapping[str, str], key: str) -> forwarding.Address:
-    return _parse_address(key, _text(values, key))
+    return _parse_address(key, _required_text(values, key))
 
 
 def _parse_address(key: str, value: str) -> forwarding.Address:
-    host, _, digits = value.rpartition(":")
-    port = _checks.parse_port(digits)
+    host, _, port_text = value.rpartition(":")
+    port = _checks.parse_port(port_text)
     if not host or port is None:
         raise forwarding.SettingsError(f"{key}: not IP:PORT: {value}")
     return forwarding.Address(host, port)
--- a/src/sassafrasstair/platform/_store.py
+++ b/src/sassafrasstair/platform/_store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's metadata store, which can only be read."""
+"""Read-only client of the platform's metadata store."""
 
 from __future__ import annotations
 
@@ -20,51 +20,57 @@
 
     from sassafrasstair import clocks
 
-CALL_SECONDS = 2.0
-"""For an answer of the store, beside the time that a watch waits. It takes
-milliseconds; in a slowdown up to some hundred."""
+CALL_TIMEOUT_SECONDS = 2.0
+"""Time-out of a call; for a watch, added to the time that it waits. A response
+takes a few milliseconds, and up to some hundred when the store is slow."""
 UNUSED_PREFIX = "no-key-begins-so/"
-"""A prefix without items: its reading brings the store's revision alone."""
-IDLE_SECONDS = 30.0
+"""A prefix without items; reading it returns the store's revision only."""
+IDLE_TIMEOUT_SECONDS = 30.0
 PAGES_MAX = 1_000
 
 
 ERA_HEADER = b"store-era"
-"""Counts how often the store has come back from an older copy."""
+"""Header that counts how often the store was restored from an older copy."""
 _ERA_MAX = 1_000_000
 
 
 class _Range(msgspec.Struct, frozen=True):
+    """One page of items, in the order of their keys."""
+
     items: tuple[msgspec.Raw, ...]
     store_revision: int
     has_more: bool = False
 
 
 class _Key(msgspec.Struct, frozen=True):
+    """The store's revision in the response for a single item."""
+
     store_revision: int
 
 
 class _Watch(msgspec.Struct, frozen=True):
+    """The items that changed after the watched revision."""
+
     store_revision: int
     events: tuple[msgspec.Raw, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Answer:
-    """The body of an answer, and the era that the store was in."""
+class _StoreResponse:
+    """The body of a response, and the era that the store was in."""
 
     era: int
     body: bytes
 
 
-_RANGE = msgspec.json.Decoder(_Range)
-_WATCH = msgspec.json.Decoder(_Watch)
-_KEY = msgspec.json.Decoder(_Key)
+_RANGE_DECODER = msgspec.json.Decoder(_Range)
+_WATCH_DECODER = msgspec.json.Decoder(_Watch)
+_KEY_DECODER = msgspec.json.Decoder(_Key)
 T = typing.TypeVar("T")
 
 
-class _Store:
-    """Connections to the store; one prefix holds all that concerns us."""
+class _StoreClient:
+    """Client of the store; the empty prefix covers all items."""
 
     def __init__(
         self, pool: httpio.Pool, regions: abc.Mapping[str, str]
@@ -75,43 +81,46 @@
     async def read(self, stale: bool) -> forwarding.Reading:
         """Read all items, page by page; raises ``SourceError``.
 
-        The pages are no snapshot: changes after the first are told again
-        by a watch that starts at the first page's revision.
+        The pages are not a snapshot. A watch that starts at the first page's
+        revision returns all changes made since then.
         """
         after = ""
         first: _Range | None = None
         era = 0
-        read: list[_items.Item] = []
-        unread: list[forwarding.RefusedItem] = []
+        all_items: list[_items.Item] = []
+        undecodable: list[forwarding.RefusedItem] = []
         for _ in range(PAGES_MAX):
             query = {"prefix": ""} | ({"after": after} if after else {})
             if stale:
                 query["allow_stale"] = "1"
-            answer = await self._call("range", query, CALL_SECONDS)
-            page = _decoded(_RANGE, answer.body)
+            response = await self._call("range", query, CALL_TIMEOUT_SECONDS)
+            page = _decode(_RANGE_DECODER, response.body)
             if first is None:
-                first, era = page, answer.era
-            elif answer.era != era:
+                first, era = page, response.era
+            elif response.era != era:
                 raise forwarding.SourceError(
-                    forwarding.SourceReason.HISTORY_GONE, "range: another era"
+                    forwarding.SourceReason.HISTORY_GONE,
+                    "range: the era changed between two pages",
                 )
-            items = _read_items(page.items, unread)
-            read += items
+            items = _decode_items(page.items, undecodable)
+            all_items += items
             last = max((item.key for item in items), default="")
             if not page.has_more or not page.items:
                 break
             if last <= after:
-                # Taken for the whole, what came so far would remove all that
-                # lies behind a page of which no key can be read.
+                # The page has no key from which to continue. A reading that
+                # ended here would count as complete, and all items after
+                # this page would be removed.
                 raise forwarding.SourceError(
-                    forwarding.SourceReason.MALFORMED, "no key to go on from"
+                    forwarding.SourceReason.MALFORMED,
+                    "page without a key to continue from",
                 )
             after = last
-        number = 0 if first is None else first.store_revision
-        revision = views.pack_revision(era, number)
-        changes, refused = _items.decode_changes(read, self._regions)
+        store_revision = 0 if first is None else first.store_revision
+        revision = views.pack_revision(era, store_revision)
+        changes, refused = _items.decode_changes(all_items, self._regions)
         return forwarding.Reading(
-            changes, revision, revision, True, (*unread, *refused)
+            changes, revision, revision, True, (*undecodable, *refused)
         )
 
     async def watch(self, after: int, wait: float) -> forwarding.Reading:
@@ -121,39 +130,48 @@
             "after": str(views.number_in_era(after)),
             "wait_ms": str(int(wait * 1000)),
         }
-        answer = await self._call("watch", query, wait + CALL_SECONDS)
-        if answer.era != views.era_of(after):
+        response = await self._call(
+            "watch", query, wait + CALL_TIMEOUT_SECONDS
+        )
+        if response.era != views.era_of(after):
             raise forwarding.SourceError(
-                forwarding.SourceReason.HISTORY_GONE, "watch: another era"
+                forwarding.SourceReason.HISTORY_GONE,
+                "watch: the era has changed",
             )
-        told = _decoded(_WATCH, answer.body)
-        unread: list[forwarding.RefusedItem] = []
-        events = _read_items(told.events, unread)
-        content = max((event.revision for event in events), default=-1)
+        watched = _decode(_WATCH_DECODER, response.body)
+        undecodable: list[forwarding.RefusedItem] = []
+        events = _decode_items(watched.events, undecodable)
+        newest_revision = max((event.revision for event in events), default=-1)
         changes, refused = _items.decode_changes(events, self._regions)
         return forwarding.Reading(
             changes,
-            views.pack_revision(answer.era, max(told.store_revision, content)),
-            views.pack_revision(answer.era, content) if events else -1,
+            views.pack_revision(
+                response.era, max(watched.store_revision, newest_revision)
+            ),
+            views.pack_revision(response.era, newest_revision)
+            if events
+            else -1,
             False,
-            (*unread, *refused),
+            (*undecodable, *refused),
         )
 
     async def policy(self) -> forwarding.Reading:
         """Return the latest policy; raises ``SourceError``."""
         query = {"key": _documents.POLICY_KEY}
-        answer = await self._call("key", query, CALL_SECONDS)
-        unread: list[forwarding.RefusedItem] = []
-        items = _read_items([msgspec.Raw(answer.body)], unread)
-        content = max((item.revision for item in items), default=-1)
-        number = _decoded(_KEY, answer.body).store_revision
+        response = await self._call("key", query, CALL_TIMEOUT_SECONDS)
+        undecodable: list[forwarding.RefusedItem] = []
+        items = _decode_items([msgspec.Raw(response.body)], undecodable)
+        newest_revision = max((item.revision for item in items), default=-1)
+        store_revision = _decode(_KEY_DECODER, response.body).store_revision
         changes, refused = _items.decode_changes(items, self._regions)
         return forwarding.Reading(
             changes,
-            views.pack_revision(answer.era, number),
-            views.pack_revision(answer.era, content) if items else -1,
+            views.pack_revision(response.era, store_revision),
+            views.pack_revision(response.era, newest_revision)
+            if items
+            else -1,
             False,
-            (*unread, *refused),
+            (*undecodable, *refused),
         )
 
     async def check(self, fresh: bool, latest: bool) -> int:
@@ -161,9 +179,11 @@
         query = {"prefix": UNUSED_PREFIX}
         if not latest:
             query["allow_stale"] = "1"
-        answer = await self._call("range", query, CALL_SECONDS, fresh)
-        number = _decoded(_RANGE, answer.body).store_revision
-        return views.pack_revision(answer.era, number)
+        response = await self._call(
+            "range", query, CALL_TIMEOUT_SECONDS, fresh
+        )
+        store_revision = _decode(_RANGE_DECODER, response.body).store_revision
+        return views.pack_revision(response.era, store_revision)
 
     def close(self) -> None:
         """Close all connections."""
@@ -175,37 +195,37 @@
         query: abc.Mapping[str, str],
         seconds: float,
         fresh: bool = False,
-    ) -> _Answer:
+    ) -> _StoreResponse:
         target = f"/-/kv-{verb}?{urllib.parse.urlencode(query)}"
         host = f"{self._pool.host}:{self._pool.port}".encode()
         head = httpio.request_head(
             b"GET", target.encode(), [(b"Host", host)], 0
         )
         loop = asyncio.get_running_loop()
-        answer: asyncio.Future[httpio.Response | httpio.Failure] = (
+        future: asyncio.Future[httpio.Response | httpio.Failure] = (
             loop.create_future()
         )
 
         def done(result: httpio.Response | httpio.Failure) -> None:
-            if not answer.done():
-                answer.set_result(result)
+            if not future.done():
+                future.set_result(result)
 
         job = httpio.Job(head, done)
         send = self._pool.send_on_new if fresh else self._pool.send
         send(job)
         try:
-            result = await asyncio.wait_for(answer, seconds)
+            result = await asyncio.wait_for(future, seconds)
         except TimeoutError as error:
-            # The kept ones may have fallen silent with it.
+            # Idle connections to the store may be dead too.
             self._pool.drop_idle()
             raise forwarding.SourceError(
                 forwarding.SourceReason.TIMEOUT, verb
             ) from error
         finally:
-            # A connection whose answer did not come gives none any more.
+            # A connection that got no response can't be used again.
             if job.awaited:
                 job.abort()
-        return _answer(verb, result)
+        return _check_response(verb, result)
 
 
 def open_store(
@@ -213,25 +233,28 @@
     regions: abc.Mapping[str, str],
     clock: clocks.Clock,
 ) -> forwarding.Source:
-    """Return a client; ``regions`` maps failure domains to theirs."""
-    pool = httpio.Pool(address.host, address.port, clock, IDLE_SECONDS)
-    return _Store(pool, regions)
+    """Return a client; ``regions`` maps failure domains to regions."""
+    pool = httpio.Pool(address.host, address.port, clock, IDLE_TIMEOUT_SECONDS)
+    return _StoreClient(pool, regions)
 
 
-def _read_items(
-    found: abc.Iterable[msgspec.Raw], unread: list[forwarding.RefusedItem]
+def _decode_items(
+    raw_items: abc.Iterable[msgspec.Raw],
+    undecodable: list[forwarding.RefusedItem],
 ) -> list[_items.Item]:
-    """Return the items that can be read; ``unread`` gets the others."""
-    read = []
-    for raw in found:
+    """Return the decoded items; add the others to ``undecodable``."""
+    decoded = []
+    for raw in raw_items:
         try:
-            read.append(_items.decode_item(raw))
+            decoded.append(_items.decode_item(raw))
         except _items.ItemError as error:
-            unread.append(forwarding.RefusedItem("", 0, str(error)))
-    return read
+            undecodable.append(forwarding.RefusedItem("", 0, str(error)))
+    return decoded
 
 
-def _answer(verb: str, result: httpio.Response | httpio.Failure) -> _Answer:
+def _check_response(
+    verb: str, result: httpio.Response | httpio.Failure
+) -> _StoreResponse:
     reasons = forwarding.SourceReason
     if result is httpio.Failure.NOT_SENT:
         raise forwarding.SourceError(reasons.UNREACHABLE, verb)
@@ -243,11 +266,13 @@
         raise forwarding.SourceError(
             reasons.REFUSED, f"{verb}: status {result.status}"
         )
-    return _Answer(_era(result.headers.get(ERA_HEADER, b"0")), result.body)
+    return _StoreResponse(
+        _parse_era(result.headers.get(ERA_HEADER, b"0")), result.body
+    )
 
 
-def _era(field: bytes) -> int:
-    """Return the era that an answer names; raises ``SourceError``."""
+def _parse_era(field: bytes) -> int:
+    """Return the era in a header field; raises ``SourceError``."""
     try:
         era = int(field)
     except ValueError:
@@ -259,7 +284,7 @@
     return era
 
 
-def _decoded(decoder: msgspec.json.Decoder[T], body: bytes) -> T:
+def _decode(decoder: msgspec.json.Decoder[T], body: bytes) -> T:
     try:
         return decoder.decode(body)
     except msgspec.MsgspecError as error:
--- a/tests/platform/samples.py
+++ b/tests/platform/samples.py
@@ -1,4 +1,4 @@
-"""Items of the store as the platform writes them, and what they say."""
+"""Sample items of the store, and the values decoded from them."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     views.InstanceState.READY,
     1.5,
 )
-"""What the entry says under the id ``i-1``, first written at 5."""
+"""``ENTRY`` decoded with the id ``i-1``, first written at revision 5."""
 ROUTE: dict[str, object] = {
     "host": "h",
     "prefix": "/a/",
@@ -44,7 +44,7 @@
 
 
 def encoded(value: object) -> str:
-    """Return a value as it stands in an item."""
+    """Return a value as JSON in base64, as an item holds it."""
     return base64.b64encode(json.dumps(value).encode()).decode()
 
 
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Customers in the policy that lies in the store."""
+"""Decoding of the customers in the store's policy."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     return _documents.decode_policy(json.dumps(value).encode())
 
 
-def test_customers_are_decoded_without_their_keys() -> None:
-    """A key stood in what daemons hold, send each other or log."""
+def test_decoded_customers_hold_key_digests_only() -> None:
+    """Daemons would otherwise store, exchange or log API keys in clear."""
     policy = _decode({"pulo780": TENANT, "free": {"api_keys": ["k2"]}})
     assert policy.customers is not None
     one, free = policy.customers
@@ -44,7 +44,7 @@
     assert [route.anonymous for route in policy.routes] == [False, True]
 
 
-def test_policy_without_customers_asks_for_no_keys() -> None:
+def test_policy_without_customers_requires_no_keys() -> None:
     assert _decode(None).customers is None
     assert _decode({}).customers == ()
 
@@ -64,8 +64,8 @@
         [TENANT],
     ],
 )
-def test_policy_with_bad_customers_is_rejected_whole(tenants: object) -> None:
-    """A key of two customers, or a rate without sense, became active."""
+def test_policy_with_an_invalid_customer_is_rejected(tenants: object) -> None:
+    """Otherwise a duplicate key or an invalid rate would take effect."""
     with pytest.raises(_documents.PolicyError) as caught:
         _decode(tenants)
     assert KEY not in str(caught.value)
--- a/tests/platform/test_items.py
+++ b/tests/platform/test_items.py
@@ -1,4 +1,4 @@
-"""Items of the store, good ones among what another writer left there."""
+"""Decoding of the store's items, valid and invalid."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 from sassafrasstair.platform import _items
 from tests.platform import samples
 
-BORN = 1_700_000_000_123
-ENTRY = samples.ENTRY | {"born": BORN}
+BORN_MS = 1_700_000_000_123
+ENTRY = samples.ENTRY | {"born": BORN_MS}
 CONFIG: dict[str, object] = {
     "version": "r12",
     "routes": {"one": samples.ROUTE},
@@ -30,12 +30,14 @@
     return msgspec.Raw(json.dumps(value).encode())
 
 
-def _changed(fields: dict[str, object], **news: object) -> dict[str, object]:
-    changed = fields | news
+def _with_fields(
+    fields: dict[str, object], **overrides: object
+) -> dict[str, object]:
+    changed = fields | overrides
     return {key: value for key, value in changed.items() if value != MISSING}
 
 
-def _changes(
+def _decode_changes(
     *items: object,
 ) -> tuple[tuple[views.Change, ...], list[str]]:
     read, reasons = [], []
@@ -48,10 +50,10 @@
     return changes, [*reasons, *(each.reason for each in refused)]
 
 
-def test_good_entry_is_read_whole() -> None:
-    changes, refused = _changes(samples.item("servers/i-1", ENTRY))
+def test_valid_entry_is_decoded() -> None:
+    changes, refused = _decode_changes(samples.item("servers/i-1", ENTRY))
     assert not refused
-    assert changes == (dataclasses.replace(samples.INSTANCE, born=BORN),)
+    assert changes == (dataclasses.replace(samples.INSTANCE, born=BORN_MS),)
 
 
 @pytest.mark.parametrize(
@@ -93,25 +95,25 @@
         ("born", -5),
     ],
 )
-def test_entry_with_a_bad_field_names_no_instance(
+def test_entry_with_an_invalid_field_is_refused(
     field: str, value: object
 ) -> None:
-    """Another writer leaves an entry that looks like an instance.
+    """Another program writes an invalid entry for an instance.
 
-    Taken, it would draw requests to an address where nobody answers, or
-    spoil the sums over slots and warm-up times.
+    If it were accepted, requests would go to an address without a server, or
+    sums over slots and warm-up times would be wrong.
     """
-    bad = samples.item("servers/bad", _changed(ENTRY, **{field: value}))
+    bad = samples.item("servers/bad", _with_fields(ENTRY, **{field: value}))
     good = samples.item("servers/good", ENTRY)
-    changes, refused = _changes(bad, good)
+    changes, refused = _decode_changes(bad, good)
     assert refused == [field]
     assert changes[0] == views.Unusable("bad")
     assert isinstance(changes[1], views.Instance)
 
 
 @pytest.mark.parametrize("key", ["servers/", "servers/a b", "servers/a\r\nb"])
-def test_id_that_fits_no_header_field_names_no_instance(key: str) -> None:
-    changes, refused = _changes(samples.item(key, ENTRY))
+def test_id_not_valid_in_a_header_field_is_refused(key: str) -> None:
+    changes, refused = _decode_changes(samples.item(key, ENTRY))
     assert refused == ["id"]
     assert not any(isinstance(each, views.Instance) for each in changes)
 
@@ -133,24 +135,26 @@
         ({"revision": MISSING}, "revision"),
     ],
 )
-def test_item_that_cannot_be_read_takes_no_other_with_it(
+def test_malformed_item_does_not_affect_others(
     change: dict[str, object], reason: str
 ) -> None:
-    """One item of a page or watch is broken.
+    """One item of a page or watch is malformed.
 
-    The daemon refused the whole answer, asked again, got it again, and
-    learnt nothing more at all.
+    If the daemon rejected the whole response, it would repeat the request,
+    get the same response, and receive no more updates.
     """
-    bad = _changed(samples.item("servers/bad", ENTRY), **change)
+    bad = _with_fields(samples.item("servers/bad", ENTRY), **change)
     good = samples.item("servers/good", ENTRY)
-    changes, refused = _changes(bad, good)
+    changes, refused = _decode_changes(bad, good)
     assert refused == [reason]
     assert [each.id for each in changes if isinstance(each, views.Instance)]
 
 
 @pytest.mark.parametrize("item", [7, None, "x", [1, 2], True])
-def test_item_of_another_shape_is_passed_over(item: object) -> None:
-    changes, refused = _changes(item, samples.item("servers/good", ENTRY))
+def test_item_that_is_no_object_is_refused(item: object) -> None:
+    changes, refused = _decode_changes(
+        item, samples.item("servers/good", ENTRY)
+    )
     assert refused == ["not_an_object"]
     assert len(changes) == 1
 
@@ -171,19 +175,21 @@
         {"traffic_split": [{"service": "s", "weight": 0}]},
     ],
 )
-def test_policy_that_cannot_be_served_by_is_refused(
+def test_policy_with_an_invalid_route_is_refused(
     change: dict[str, object],
 ) -> None:
-    config = CONFIG | {"routes": {"one": _changed(samples.ROUTE, **change)}}
-    changes, refused = _changes(samples.item("op/config", config))
+    config = CONFIG | {
+        "routes": {"one": _with_fields(samples.ROUTE, **change)}
+    }
+    changes, refused = _decode_changes(samples.item("op/config", config))
     assert not changes
     assert len(refused) == 1
     assert refused[0].startswith("policy: ")
 
 
-def test_policy_tells_its_services() -> None:
+def test_services_of_a_policy_are_decoded() -> None:
     config = CONFIG | {"services": {"s": {}, "t": {}}}
-    changes, _ = _changes(samples.item("op/config", config))
+    changes, _ = _decode_changes(samples.item("op/config", config))
     assert isinstance(changes[0], policies.Policy)
     assert changes[0].services == ("s", "t")
 
@@ -200,14 +206,14 @@
     ),
     max_leaves=6,
 )
-_mutated = st.builds(
-    lambda name, value: _changed(ENTRY, **{name: value}),
+_entry_with_random_field = st.builds(
+    lambda name, value: _with_fields(ENTRY, **{name: value}),
     st.sampled_from(sorted(ENTRY)),
     _json | st.just(MISSING),
 )
 _value = (
     st.binary(max_size=40).map(lambda raw: base64.b64encode(raw).decode())
-    | _mutated.map(samples.encoded)
+    | _entry_with_random_field.map(samples.encoded)
     | _json.map(samples.encoded)
     | _json
 )
@@ -228,7 +234,7 @@
 
 
 @given(st.lists(_item, max_size=4), st.lists(_item, max_size=4))
-def test_good_entries_hold_among_any_others(
+def test_valid_entry_is_kept_among_any_other_items(
     before: list[typing.Any], after: list[typing.Any]
 ) -> None:
     good = samples.item("servers/good", ENTRY)
@@ -238,7 +244,7 @@
         for each in [*before, *after]
         if not (isinstance(each, dict) and each.get("key") == "op/config")
     ]
-    changes, _ = _changes(policy, good, *others)
+    changes, _ = _decode_changes(policy, good, *others)
     view = views.new_view()
     views.replace_all(view, changes, 7, 7, 100.0)
     known = views.targets(view, "s")
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file."""
+"""Decoding of the platform's settings file."""
 
 from __future__ import annotations
 
@@ -59,12 +59,12 @@
         ("10.0.0.3:8310", "10.0.0.3:x", "seeds"),
     ],
 )
-def test_error_names_the_key(old: str, new: str, key: str) -> None:
+def test_error_names_the_invalid_key(old: str, new: str, key: str) -> None:
     with pytest.raises(forwarding.SettingsError, match=key):
         _settings.decode_settings(TEXT.replace(old, new))
 
 
-def test_missing_file_is_named() -> None:
+def test_error_names_the_missing_file() -> None:
     dialect = platform.open_dialect({"SASSAFRASSTAIR_BOOT": "/none/boot"})
     with pytest.raises(forwarding.SettingsError, match="/none/boot"):
         dialect.settings()
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""The client of the store, against one that misbehaves."""
+"""The client of the store, tested with a scripted server."""
 
 from __future__ import annotations
 
@@ -37,22 +37,23 @@
 }
 
 
-def _answer(status: str, body: object, era: str = "") -> bytes:
+def _encode_response(status: str, body: object, era: str = "") -> bytes:
     text = json.dumps(body).encode()
     field = f"Store-Era: {era}\r\n" if era else ""
     head = f"HTTP/1.1 {status}\r\n{field}Content-Length: {len(text)}\r\n\r\n"
     return head.encode() + text
 
 
-async def _store_of(
-    *answers: bytes | None,
+async def _start_store(
+    *responses: bytes | None,
 ) -> tuple[forwarding.Source, list[str]]:
-    """Return a client of a store that gives these answers in turn.
+    """Return a client, and the targets requested from its server.
 
-    None closes the connection instead; without one left it stays silent.
+    The server sends these responses in order. For None it closes the
+    connection; after the last one it does not respond.
     """
-    left = list(answers)
-    asked: list[str] = []
+    remaining = list(responses)
+    targets: list[str] = []
 
     async def serve(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -63,27 +64,27 @@
             except asyncio.IncompleteReadError:
                 writer.close()
                 return
-            asked.append(head.split(b" ")[1].decode())
-            if not left:
+            targets.append(head.split(b" ")[1].decode())
+            if not remaining:
                 continue
-            answer = left.pop(0)
-            if answer is None:
+            response = remaining.pop(0)
+            if response is None:
                 writer.close()
                 return
-            writer.write(answer)
+            writer.write(response)
 
     server = await asyncio.start_server(serve, HOST, 0)
     port = server.sockets[0].getsockname()[1]
     address = forwarding.Address(HOST, port)
     client = _store.open_store(address, samples.REGIONS, clocks.SystemClock())
-    return client, asked
+    return client, targets
 
 
 def _run(test: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
     asyncio.run(asyncio.wait_for(test, 10.0))
 
 
-def test_reading_joins_the_pages() -> None:
+def test_reading_combines_all_pages() -> None:
     async def test() -> None:
         first = {
             "items": [samples.item("op/config", CONFIG, 5)],
@@ -99,8 +100,9 @@
             "has_more": False,
             "store_revision": 9,
         }
-        source, asked = await _store_of(
-            _answer("200 OK", first), _answer("200 OK", second)
+        source, targets = await _start_store(
+            _encode_response("200 OK", first),
+            _encode_response("200 OK", second),
         )
         reading = await source.read(stale=False)
         assert (reading.revision, reading.whole) == (7, True)
@@ -115,21 +117,21 @@
         assert [share.weight for share in two.shares] == [9.0, 1.0]
         assert policy.limits.head_bytes == 1000
         assert instance == samples.INSTANCE
-        assert "after=op%2Fconfig" in asked[1]
+        assert "after=op%2Fconfig" in targets[1]
 
     _run(test())
 
 
-def test_page_without_a_key_to_go_on_from_is_no_whole_reading() -> None:
-    """A whole page can't be read, and more pages follow.
+def test_page_without_a_valid_key_fails_the_reading() -> None:
+    """No item of a page can be decoded, and more pages follow.
 
-    Taken for all that the store holds, the reading would have removed every
-    instance behind that page.
+    If the reading counted as complete, every instance on the later pages
+    would be removed.
     """
 
     async def test() -> None:
         page = {"items": [7, {}], "has_more": True, "store_revision": 9}
-        source, _ = await _store_of(_answer("200 OK", page))
+        source, _ = await _start_store(_encode_response("200 OK", page))
         with pytest.raises(forwarding.SourceError) as caught:
             await source.read(stale=False)
         assert caught.value.reason is forwarding.SourceReason.MALFORMED
@@ -137,7 +139,7 @@
     _run(test())
 
 
-def test_watch_tells_changes_and_removals() -> None:
+def test_watch_returns_changes_and_removals() -> None:
     async def test() -> None:
         body = {
             "events": [
@@ -149,15 +151,15 @@
             ],
             "store_revision": 14,
         }
-        source, asked = await _store_of(_answer("200 OK", body))
+        source, targets = await _start_store(_encode_response("200 OK", body))
         reading = await source.watch(10, 3.0)
         assert (reading.revision, reading.content) == (14, 13)
         leaving, gone = reading.changes
         assert isinstance(leaving, views.Instance)
         assert leaving.state is views.InstanceState.LEAVING
         assert gone == views.Removed("i-2")
-        assert "after=10" in asked[0]
-        assert "wait_ms=3000" in asked[0]
+        assert "after=10" in targets[0]
+        assert "wait_ms=3000" in targets[0]
 
     _run(test())
 
@@ -167,13 +169,16 @@
     return {"items": [item], "has_more": more, "store_revision": revision}
 
 
-def test_reading_of_a_later_era_comes_after_all_of_the_one_before() -> None:
-    """The store came back older, and its readings were dropped as old."""
+def test_reading_of_a_later_era_has_a_greater_revision() -> None:
+    """A store restored from an older copy counts its revisions from there.
+
+    Its readings must not be dropped as outdated.
+    """
 
     async def test() -> None:
-        source, _ = await _store_of(
-            _answer("200 OK", _page(900), "3"),
-            _answer("200 OK", _page(7), "4"),
+        source, _ = await _start_store(
+            _encode_response("200 OK", _page(900), "3"),
+            _encode_response("200 OK", _page(7), "4"),
         )
         before = await source.read(stale=False)
         after = await source.read(stale=False)
@@ -189,27 +194,29 @@
     _run(test())
 
 
-def test_watch_from_an_earlier_era_has_no_history() -> None:
-    """The store's counter had passed the revision again before the watch."""
+def test_watch_from_an_earlier_era_fails() -> None:
+    """After a restore, the store's revision has passed the watched one."""
 
     async def test() -> None:
-        told = {"events": [], "store_revision": 12}
-        source, asked = await _store_of(_answer("200 OK", told, "4"))
+        body = {"events": [], "store_revision": 12}
+        source, targets = await _start_store(
+            _encode_response("200 OK", body, "4")
+        )
         with pytest.raises(forwarding.SourceError) as caught:
             await source.watch(views.pack_revision(3, 10), 3.0)
         assert caught.value.reason is forwarding.SourceReason.HISTORY_GONE
-        assert "after=10" in asked[0]
+        assert "after=10" in targets[0]
 
     _run(test())
 
 
-def test_pages_of_two_eras_are_no_whole_reading() -> None:
-    """The store came back older between two pages."""
+def test_pages_of_two_eras_fail_the_reading() -> None:
+    """The store is restored from an older copy between two pages."""
 
     async def test() -> None:
-        source, _ = await _store_of(
-            _answer("200 OK", _page(900, more=True), "3"),
-            _answer("200 OK", _page(7), "4"),
+        source, _ = await _start_store(
+            _encode_response("200 OK", _page(900, more=True), "3"),
+            _encode_response("200 OK", _page(7), "4"),
         )
         with pytest.raises(forwarding.SourceError) as caught:
             await source.read(stale=False)
@@ -219,11 +226,13 @@
 
 
 @pytest.mark.parametrize("era", ["x", "-1", "1" * 30])
-def test_era_that_is_no_count_makes_an_answer_unusable(era: str) -> None:
-    """Taken for 0, it would make every later answer look older."""
+def test_response_with_an_invalid_era_is_rejected(era: str) -> None:
+    """Read as era 0, it would make all later revisions look older."""
 
     async def test() -> None:
-        source, _ = await _store_of(_answer("200 OK", _page(7), era))
+        source, _ = await _start_store(
+            _encode_response("200 OK", _page(7), era)
+        )
         with pytest.raises(forwarding.SourceError) as caught:
             await source.check(fresh=False, latest=False)
         assert caught.value.reason is forwarding.SourceReason.MALFORMED
@@ -234,19 +243,25 @@
 @pytest.mark.parametrize(
     ("answer", "reason"),
     [
-        (_answer("410 Gone", {}), forwarding.SourceReason.HISTORY_GONE),
-        (_answer("503 Busy", {}), forwarding.SourceReason.REFUSED),
-        (_answer("429 Many", {}), forwarding.SourceReason.REFUSED),
-        (_answer("200 OK", {"no": 1}), forwarding.SourceReason.MALFORMED),
+        (
+            _encode_response("410 Gone", {}),
+            forwarding.SourceReason.HISTORY_GONE,
+        ),
+        (_encode_response("503 Busy", {}), forwarding.SourceReason.REFUSED),
+        (_encode_response("429 Many", {}), forwarding.SourceReason.REFUSED),
+        (
+            _encode_response("200 OK", {"no": 1}),
+            forwarding.SourceReason.MALFORMED,
+        ),
         (b"\x00\x01\r\n\r\n", forwarding.SourceReason.LOST),
         (None, forwarding.SourceReason.LOST),
     ],
 )
-def test_failure_has_its_reason(
+def test_failure_has_the_matching_reason(
     answer: bytes | None, reason: forwarding.SourceReason
 ) -> None:
     async def test() -> None:
-        source, _ = await _store_of(answer)
+        source, _ = await _start_store(answer)
         with pytest.raises(forwarding.SourceError) as caught:
             await source.watch(1, 0.1)
         assert caught.value.reason is reason
@@ -254,41 +269,45 @@
     _run(test())
 
 
-def test_silent_store_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The link to the store goes silent without a reset.
+def test_store_that_does_not_respond_times_out(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The link to the store fails without a connection reset.
 
-    Without a time-out of its own the daemon would wait for ever, and serve
-    by an old policy.
+    Without a time-out the daemon would wait indefinitely and keep serving an
+    outdated policy.
     """
-    monkeypatch.setattr(_store, "CALL_SECONDS", 0.1)
+    monkeypatch.setattr(_store, "CALL_TIMEOUT_SECONDS", 0.1)
 
     async def test() -> None:
-        source, asked = await _store_of()
+        source, targets = await _start_store()
         with pytest.raises(forwarding.SourceError) as caught:
             await source.watch(1, 0.1)
         assert caught.value.reason is forwarding.SourceReason.TIMEOUT
-        assert len(asked) == 1
+        assert len(targets) == 1
 
     _run(test())
 
 
 @pytest.mark.parametrize("fresh", [False, True])
-def test_check_reads_the_revision_and_nothing_else(fresh: bool) -> None:
-    """A check costs little, so it must bring no items.
+def test_check_reads_the_revision_only(fresh: bool) -> None:
+    """A check must be cheap, so it reads no items.
 
-    On a kept connection that fell silent with the store it would show
-    nothing of the store's return.
+    ``fresh`` opens a new connection: an idle one may have died during an
+    outage, and could not show that the store is back.
     """
 
     async def test() -> None:
-        told = {"items": [], "has_more": False, "store_revision": 9}
-        answer = _answer("200 OK", told)
-        source, asked = await _store_of(answer, answer, answer)
+        body = {"items": [], "has_more": False, "store_revision": 9}
+        response = _encode_response("200 OK", body)
+        source, targets = await _start_store(response, response, response)
         assert await source.check(False, False) == 9
         assert await source.check(fresh, False) == 9
-        opened = typing.cast("_store._Store", source)._pool.connections_opened
+        opened = typing.cast(
+            "_store._StoreClient", source
+        )._pool.connections_opened
         assert opened == (2 if fresh else 1)
-        assert all("allow_stale=1" in each for each in asked)
-        assert all("prefix=no-key" in each for each in asked)
+        assert all("allow_stale=1" in each for each in targets)
+        assert all("prefix=no-key" in each for each in targets)
 
     _run(test())
