--- a/tests/httpio/test_listeners.py
+++ b/tests/httpio/test_listeners.py
@@ -1,4 +1,4 @@
-"""What a listener does with what clients send."""
+"""How a listener handles client requests, valid and invalid."""
 
 from __future__ import annotations
 
@@ -22,15 +22,15 @@
 
 
 @dataclasses.dataclass
-class Served:
-    """A listener on a free port and the requests that it took."""
+class Server:
+    """A listener on a free port, and the requests that it received."""
 
     listener: httpio.Listener
     port: int
     requests: list[httpio.Request]
 
 
-async def _serve() -> Served:
+async def _start_server() -> Server:
     requests: list[httpio.Request] = []
 
     def handle(exchange: httpio.Exchange) -> None:
@@ -47,22 +47,24 @@
     await listener.open(HOST, 0)
     assert listener._server is not None
     port = listener._server.sockets[0].getsockname()[1]
-    return Served(listener, port, requests)
+    return Server(listener, port, requests)
 
 
-async def _talk(served: Served, *pieces: bytes, pause: float = 0.0) -> bytes:
-    """Send the pieces and return all that comes until the end."""
-    reader, writer = await asyncio.open_connection(HOST, served.port)
+async def _send(
+    server: Server, *pieces: bytes, pause_seconds: float = 0.0
+) -> bytes:
+    """Send the pieces and return all data received until the end."""
+    reader, writer = await asyncio.open_connection(HOST, server.port)
     for piece in pieces:
         writer.write(piece)
-        await asyncio.sleep(pause)
-    if pause:
-        served.listener.sweep(clocks.SystemClock().monotonic())
-    answer = b""
+        await asyncio.sleep(pause_seconds)
+    if pause_seconds:
+        server.listener.sweep(clocks.SystemClock().monotonic())
+    response = b""
     while data := await asyncio.wait_for(reader.read(4096), 5.0):
-        answer += data
+        response += data
     writer.close()
-    return answer
+    return response
 
 
 @pytest.mark.parametrize(
@@ -105,12 +107,14 @@
         ),
     ],
 )
-def test_bad_request_gets_status_and_close(sent: bytes, status: int) -> None:
+def test_invalid_request_gets_error_status_and_close(
+    sent: bytes, status: int
+) -> None:
     async def run() -> None:
-        served = await _serve()
-        answer = await _talk(served, sent)
-        assert answer.startswith(b"HTTP/1.1 %d " % status)
-        assert not served.requests
+        server = await _start_server()
+        response = await _send(server, sent)
+        assert response.startswith(b"HTTP/1.1 %d " % status)
+        assert not server.requests
 
     asyncio.run(run())
 
@@ -125,21 +129,21 @@
         ),
     ],
 )
-def test_request_that_stops_midway_ends_with_408(sent: bytes) -> None:
+def test_incomplete_request_times_out_with_408(sent: bytes) -> None:
     async def run() -> None:
-        served = await _serve()
-        answer = await _talk(served, sent, pause=0.3)
-        assert answer.startswith(b"HTTP/1.1 408 ")
-        assert served.listener.memory.held_bytes == 0
+        server = await _start_server()
+        response = await _send(server, sent, pause_seconds=0.3)
+        assert response.startswith(b"HTTP/1.1 408 ")
+        assert server.listener.memory.held_bytes == 0
 
     asyncio.run(run())
 
 
 def test_idle_connection_is_closed_after_the_limit() -> None:
     async def run() -> None:
-        served = await _serve()
-        answer = await _talk(served, GET + b"\r\n", pause=0.5)
-        assert answer.startswith(b"HTTP/1.1 200 ")
+        server = await _start_server()
+        response = await _send(server, GET + b"\r\n", pause_seconds=0.5)
+        assert response.startswith(b"HTTP/1.1 200 ")
 
     asyncio.run(run())
 
@@ -151,34 +155,34 @@
         pytest.param(b"GET / HTTP/1.0\r\nHost: h\r\n\r\n", True, id="1.0"),
     ],
 )
-def test_connection_ends_with_its_last_request(
+def test_connection_closes_if_request_is_not_keep_alive(
     sent: bytes, closes: bool
 ) -> None:
     async def run() -> None:
-        served = await _serve()
-        answer = await _talk(served, sent)
-        assert answer.startswith(b"HTTP/1.1 200 ")
-        assert (b"Connection: close" in answer) is closes
+        server = await _start_server()
+        response = await _send(server, sent)
+        assert response.startswith(b"HTTP/1.1 200 ")
+        assert (b"Connection: close" in response) is closes
 
     asyncio.run(run())
 
 
 def test_pipelined_requests_are_answered_in_order() -> None:
     async def run() -> None:
-        served = await _serve()
+        server = await _start_server()
         first = b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n"
         last = b"GET /2 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"
-        answer = await _talk(served, first + last)
-        assert answer.index(b"X-Of: /1") < answer.index(b"X-Of: /2")
+        response = await _send(server, first + last)
+        assert response.index(b"X-Of: /1") < response.index(b"X-Of: /2")
 
     asyncio.run(run())
 
 
-def test_target_and_fields_are_kept_to_the_byte() -> None:
+def test_target_and_fields_are_kept_byte_for_byte() -> None:
     async def run() -> None:
-        served = await _serve()
-        await _talk(served, GET + b"X-Odd:  a b \r\nConnection: close\r\n\r\n")
-        (request,) = served.requests
+        server = await _start_server()
+        await _send(server, GET + b"X-Odd:  a b \r\nConnection: close\r\n\r\n")
+        (request,) = server.requests
         assert request.target == b"/a%20b/?q=1"
         fields = [(name, value.strip()) for _, name, value in request.fields]
         assert (b"X-Odd", b"a b") in fields
@@ -186,97 +190,100 @@
     asyncio.run(run())
 
 
-def test_body_in_chunks_is_whole() -> None:
+def test_chunked_body_is_reassembled() -> None:
     async def run() -> None:
-        served = await _serve()
-        await _talk(
-            served,
+        server = await _start_server()
+        await _send(
+            server,
             b"POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n"
             b"Connection: close\r\n\r\n3\r\nabc\r\n",
             b"2\r\nde\r\n0\r\n\r\n",
         )
-        assert served.requests[0].body == b"abcde"
-        assert served.listener.memory.held_bytes == 0
+        assert server.requests[0].body == b"abcde"
+        assert server.listener.memory.held_bytes == 0
 
     asyncio.run(run())
 
 
-def test_expecting_client_is_told_to_go_on() -> None:
+def test_expect_100_continue_gets_a_100_response() -> None:
     async def run() -> None:
-        served = await _serve()
-        answer = await _talk(
-            served,
+        server = await _start_server()
+        response = await _send(
+            server,
             b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n"
             b"Expect: 100-continue\r\nConnection: close\r\n\r\n",
             b"ab",
         )
-        assert answer.startswith(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200")
+        assert response.startswith(
+            b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200"
+        )
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("last", [b"", b"Connection: close\r\n"])
-def test_answer_that_nobody_reads_is_given_up(last: bytes) -> None:
-    """A client asks for a long answer and stops reading.
+def test_connection_is_aborted_if_client_stops_reading(last: bytes) -> None:
+    """A client requests a long response and stops reading it.
 
-    The answer stayed in memory for as long as the client stayed; a hundred
-    such clients and the daemon was killed for its memory.
+    Without a limit the response would stay in memory until the client
+    disconnects. A hundred such clients would make the daemon exceed its
+    memory limit and be killed.
     """
 
     async def test() -> None:
-        served = await _serve()
-        served.listener.handle = lambda exchange: exchange.respond(
+        server = await _start_server()
+        server.listener.handle = lambda exchange: exchange.respond(
             200, [], b"x" * 20_000_000
         )
-        _, writer = await asyncio.open_connection(HOST, served.port, limit=1)
+        _, writer = await asyncio.open_connection(HOST, server.port, limit=1)
         writer.write(GET + last + b"\r\n")
-        while not served.listener.connections:
+        while not server.listener.connections:
             await asyncio.sleep(0.01)
-        (connection,) = served.listener.connections
+        (connection,) = server.listener.connections
         await asyncio.sleep(0.05)
         while connection._transport.get_write_buffer_size():
             await asyncio.sleep(0.05)
-            served.listener.sweep(clocks.SystemClock().monotonic())
-        while served.listener.connections:
+            server.listener.sweep(clocks.SystemClock().monotonic())
+        while server.listener.connections:
             await asyncio.sleep(0.01)
         writer.close()
 
     asyncio.run(asyncio.wait_for(test(), 5.0))
 
 
-def test_client_that_reads_slowly_gets_its_whole_answer() -> None:
+def test_client_that_reads_slowly_gets_the_whole_response() -> None:
     async def test() -> None:
-        served = await _serve()
+        server = await _start_server()
         body = b"x" * 20_000_000
-        served.listener.handle = lambda exchange: exchange.respond(
+        server.listener.handle = lambda exchange: exchange.respond(
             200, [], body
         )
-        reader, writer = await asyncio.open_connection(HOST, served.port)
+        reader, writer = await asyncio.open_connection(HOST, server.port)
         writer.write(GET + b"Connection: close\r\n\r\n")
-        got = 0
+        received_bytes = 0
         while data := await reader.read(1_000_000):
-            got += len(data)
+            received_bytes += len(data)
             await asyncio.sleep(0.03)
-            served.listener.sweep(clocks.SystemClock().monotonic())
-        assert got > len(body)
+            server.listener.sweep(clocks.SystemClock().monotonic())
+        assert received_bytes > len(body)
         writer.close()
 
     asyncio.run(asyncio.wait_for(test(), 20.0))
 
 
-def test_client_that_leaves_is_noticed_once() -> None:
-    """The client closes while its request is under way.
+def test_disconnect_of_a_client_is_reported_once() -> None:
+    """The client disconnects while its request is handled.
 
-    Without the note the work for it would go on at the instance.
+    If that were not reported, the instance would go on with the request.
     """
 
     async def run() -> None:
         left = []
-        taken = asyncio.Event()
+        received = asyncio.Event()
 
         def handle(exchange: httpio.Exchange) -> None:
             exchange.gone = lambda: left.append(1)
-            taken.set()
+            received.set()
 
         listener = httpio.Listener(
             handle, lambda _: [], clocks.SystemClock(), httpio.MemoryBudget(10)
@@ -286,7 +293,7 @@
         port = listener._server.sockets[0].getsockname()[1]
         _, writer = await asyncio.open_connection(HOST, port)
         writer.write(GET + b"\r\n")
-        await taken.wait()
+        await received.wait()
         writer.close()
         while listener.connections:
             await asyncio.sleep(0.01)
--- a/tests/httpio/test_pools.py
+++ b/tests/httpio/test_pools.py
@@ -1,4 +1,4 @@
-"""What a pool makes of the answers of a server that misbehaves."""
+"""How a pool handles responses, including those of a faulty server."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
 from sassafrasstair import httpio
 
 HOST = "127.0.0.1"
-ID = (b"x-id", b"now")
+ID_FIELD = (b"x-id", b"now")
 OK = b"HTTP/1.1 200 OK\r\nX-Id: now\r\nContent-Length: 2\r\n\r\nok"
-LATE = b"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
-BARE = b"HTTP/1.1 200 OK\r\nX-Id: now\r\n\r\nok"
+LATE_RESPONSE = b"HTTP/1.1 200 OK\r\nX-Id: old\r\nContent-Length: 3\r\n\r\nold"
+WITHOUT_LENGTH = b"HTTP/1.1 200 OK\r\nX-Id: now\r\n\r\nok"
 
 
 @dataclasses.dataclass
 class Script:
-    """What the server sends for each request, and how it ends."""
+    """The server's response to each request, and how it disconnects."""
 
-    answers: tuple[bytes, ...]
+    responses: tuple[bytes, ...]
     closes: bool = False
     resets: bool = False
 
 
 class Server:
-    """A server that follows a script; counts its connections."""
+    """A server that follows a script and counts its connections."""
 
     def __init__(self, script: Script) -> None:
         self.script = script
@@ -45,7 +45,7 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         self.connections += 1
-        for answer in self.script.answers:
+        for answer in self.script.responses:
             if not await reader.readuntil(b"\r\n\r\n"):
                 return
             writer.write(answer)
@@ -53,7 +53,7 @@
         if self.script.resets:
             linger = struct.pack("ii", 1, 0)
             sock = writer.get_extra_info("socket")
-            # Let the bytes be read first: a reset drops what is not.
+            # A reset drops unread data, so let the client read first.
             await asyncio.sleep(0.05)
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
             writer.transport.abort()
@@ -61,8 +61,8 @@
             writer.close()
 
 
-async def _ask(
-    pool: httpio.Pool, expect: tuple[bytes, bytes] | None = ID
+async def _send(
+    pool: httpio.Pool, expect: tuple[bytes, bytes] | None = ID_FIELD
 ) -> httpio.Response | httpio.Failure:
     loop = asyncio.get_running_loop()
     answer: asyncio.Future[httpio.Response | httpio.Failure] = (
@@ -81,17 +81,21 @@
     ("script", "wanted"),
     [
         pytest.param(Script((OK,)), b"ok", id="whole"),
-        pytest.param(Script((LATE + OK,)), b"ok", id="late one first"),
+        pytest.param(
+            Script((LATE_RESPONSE + OK,)), b"ok", id="late one first"
+        ),
         pytest.param(Script((OK + OK,)), b"ok", id="extra answer"),
         pytest.param(Script((OK + b"\x00junk",)), b"ok", id="extra bytes"),
-        pytest.param(Script((BARE,), closes=True), b"ok", id="no length"),
+        pytest.param(
+            Script((WITHOUT_LENGTH,), closes=True), b"ok", id="no length"
+        ),
         pytest.param(
             Script((b"HTTP/1.1 103 Early Hints\r\n\r\n" + OK,)),
             b"ok",
             id="interim answer",
         ),
         pytest.param(
-            Script((BARE,), resets=True),
+            Script((WITHOUT_LENGTH,), resets=True),
             httpio.Failure.CUT_SHORT,
             id="no length and a reset",
         ),
@@ -109,19 +113,19 @@
             Script((b"",), closes=True), httpio.Failure.LOST, id="closed"
         ),
         pytest.param(
-            Script((LATE,), closes=True),
+            Script((LATE_RESPONSE,), closes=True),
             httpio.Failure.LOST,
             id="only a late one",
         ),
     ],
 )
-def test_answer_is_whole_and_of_this_request(
+def test_result_is_the_whole_response_to_this_request(
     script: Script, wanted: bytes | httpio.Failure
 ) -> None:
     async def run() -> None:
         server = Server(script)
         await server.open()
-        result = await _ask(_pool(server.port))
+        result = await _send(_pool(server.port))
         if isinstance(result, httpio.Response):
             assert result.body == wanted
         else:
@@ -136,7 +140,9 @@
         pytest.param(OK, 1, id="kept"),
         pytest.param(OK + OK, 2, id="dirty after an extra answer"),
         pytest.param(
-            OK.replace(b"X-Id", b"Connection: close\r\nX-Id"), 2, id="closed"
+            OK.replace(b"X-Id", b"Connection: close\r\nX-Id"),
+            2,
+            id="closed",
         ),
         pytest.param(
             OK.replace(b"X-Id", b"Keep-Alive: timeout=1\r\nX-Id"),
@@ -145,26 +151,26 @@
         ),
     ],
 )
-def test_connection_is_used_again_only_if_sound(
+def test_connection_is_reused_only_if_still_usable(
     answer: bytes, connections: int
 ) -> None:
     async def run() -> None:
         server = Server(Script((answer, answer)))
         await server.open()
         pool = _pool(server.port)
-        await _ask(pool)
-        second = await _ask(pool)
+        await _send(pool)
+        second = await _send(pool)
         assert isinstance(second, httpio.Response)
         assert server.connections == connections
 
     asyncio.run(run())
 
 
-def test_refused_connection_is_not_sent() -> None:
+def test_refused_connection_fails_as_not_sent() -> None:
     async def run() -> None:
         with socket.socket() as free:
             free.bind((HOST, 0))
             port = free.getsockname()[1]
-        assert await _ask(_pool(port)) is httpio.Failure.NOT_SENT
+        assert await _send(_pool(port)) is httpio.Failure.NOT_SENT
 
     asyncio.run(run())
