--- a/src/sassafrasstair/httpio/_pools.py
+++ b/src/sassafrasstair/httpio/_pools.py
@@ -110,7 +110,7 @@
         self.port = port
         self.clock = clock
         self.idle_seconds = idle_seconds
-        """How long a connection is kept if the server states no time-out."""
+        """Seconds to keep a connection if the server states no time-out."""
         self.connections_opened = 0
         self._idle: list[_Connection] = []
         self._busy: set[_Connection] = set()
--- a/src/sassafrasstair/platform/_checks.py
+++ b/src/sassafrasstair/platform/_checks.py
@@ -18,7 +18,7 @@
 
 
 def decode_object(data: bytes | msgspec.Raw) -> dict[str, typing.Any]:
-    """Return the JSON object in ``data``; raises ``ObjectError``."""
+    """Return the JSON object in ``data``; raises ``JsonObjectError``."""
     try:
         decoded = msgspec.json.decode(data)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
--- a/src/sassafrasstair/platform/_settings.py
+++ b/src/sassafrasstair/platform/_settings.py
@@ -29,7 +29,7 @@
         if "=" in part
     )
     host = _required_text(values, "ip")
-    control_address = values.get("listen.control", "")
+    control = values.get("listen.control", "")
     return forwarding.Settings(
         vm=_required_text(values, "node_id"),
         host=host,
@@ -44,9 +44,7 @@
         daemons=_address(values, "listen.inbound"),
         operators=_address(values, "listen.readiness"),
         metrics=forwarding.Address(host, METRICS_PORT),
-        seeding=_address(values, "listen.control")
-        if control_address
-        else None,
+        seeding=_address(values, "listen.control") if control else None,
         seeds=tuple(
             _parse_address("seeds", part)
             for part in values.get("seeds", "").split(",")
