--- a/src/sassafrasstair/bench/_capacity_fleets.py
+++ b/src/sassafrasstair/bench/_capacity_fleets.py
@@ -54,7 +54,7 @@
     lost.
     """
 
-    verify: abc.Callable[[bytes], bundles.Approved]
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle]
     platform: _capacity_platform.Platform
     rng: random.Random
     loss: float = 0.0
@@ -276,7 +276,7 @@
         if not self._runs(flight.sender, flight.node):
             return
         self._count(flight, 0)
-        effects = fleet.unreachable(
+        effects = fleet.update_after_failed_exchange(
             flight.node, flight.receiver, self.now, self.rng
         )
         self.perform(flight.sender, effects)
--- a/src/sassafrasstair/bench/_capacity_warm.py
+++ b/src/sassafrasstair/bench/_capacity_warm.py
@@ -22,7 +22,7 @@
 def warm_node(
     records: list[fleet.Record],
     number: int,
-    verify: abc.Callable[[bytes], bundles.Approved],
+    verify: abc.Callable[[bytes], bundles.ApprovedBundle],
     approved: bytes,
 ) -> fleet.Node:
     """Return the state of one daemon that knows all of a quiet fleet."""
@@ -91,7 +91,7 @@
 
 def _quiet(node: fleet.Node, rng: random.Random) -> None:
     node.transmissions_left.clear()
-    node.unshared_records.clear()
+    node.records_to_send.clear()
     node.push_pending = False
     node.bundle_push_pending = False
     node.next_gossip_at = rng.random()
--- a/src/sassafrasstair/forwarding/_crash_updates.py
+++ b/src/sassafrasstair/forwarding/_crash_updates.py
@@ -1,7 +1,7 @@
-"""Exchange of crash records with peers, on the feed's polls and pings.
+"""Exchanges crash records with peers in the feed's polls and pings.
 
-Each message carries the digest of its sender's records. Where digests differ
-all records are sent, with a pause that grows.
+Each message carries the digest of its sender's records. If the digests differ,
+all records are sent, with a growing pause between such full updates.
 """
 
 from __future__ import annotations
@@ -19,32 +19,38 @@
 
     from sassafrasstair.forwarding import _state
 
-PAUSE_SECONDS = 0.5
-PAUSE_SECONDS_MAX = 4.0
-"""Between two full updates to one peer: two daemons that evicted different
-records never come to the same digest."""
-PEERS_KEPT = 400
-"""Daemons whose digest is remembered; one is followed by 222 at most."""
+UPDATE_PAUSE_SECONDS = 0.5
+UPDATE_PAUSE_SECONDS_MAX = 4.0
+"""First and greatest pause between two full updates to one peer. The pause
+grows because two daemons that evicted different records never reach the same
+digest."""
+PEERS_MAX = 400
+"""How many peers' digests are remembered; a daemon has at most 222
+followers."""
 
 
 @dataclasses.dataclass(slots=True)
 class PeerDigest:
-    """A peer's digest, and when it may get a full update again."""
+    """The digest of a peer's records, and when a full update is due.
+
+    ``update_pause`` is the time between the next full update and the one
+    that follows it.
+    """
 
     digest: int
-    next: float = 0.0
-    pause: float = PAUSE_SECONDS
+    next_update_at: float = 0.0
+    update_pause: float = UPDATE_PAUSE_SECONDS
 
 
 def header(daemon: _state.Daemon, host: str) -> tuple[bytes, bytes]:
-    """Return the field for a message to a peer."""
+    """Return the header for a peer, with all records if an update is due."""
     ledger = daemon.crash_ledger
     if not needs_full_update(daemon, host):
         return _crash_wire.HEADER, _crash_wire.encode(ledger.digest)
     now = daemon.clock.monotonic()
     peer = daemon.crash_peers[host]
-    peer.next = now + peer.pause
-    peer.pause = min(PAUSE_SECONDS_MAX, 2.0 * peer.pause)
+    peer.next_update_at = now + peer.update_pause
+    peer.update_pause = min(UPDATE_PAUSE_SECONDS_MAX, 2.0 * peer.update_pause)
     reports = crashes.reports_since(ledger, now)
     return _crash_wire.HEADER, _crash_wire.encode(ledger.digest, reports)
 
@@ -56,18 +62,18 @@
 
 
 def needs_full_update(daemon: _state.Daemon, host: str) -> bool:
-    """Return whether a peer has other records and may get all again."""
+    """Return whether a peer's records differ and a full update is due."""
     peer = daemon.crash_peers.get(host)
     if peer is None or peer.digest == daemon.crash_ledger.digest:
         return False
-    return daemon.clock.monotonic() >= peer.next
+    return daemon.clock.monotonic() >= peer.next_update_at
 
 
 def receive(
-    daemon: _state.Daemon, host: str, found: abc.Mapping[bytes, bytes]
+    daemon: _state.Daemon, host: str, headers: abc.Mapping[bytes, bytes]
 ) -> None:
     """Merge the records of a peer's message."""
-    value = found.get(_crash_wire.HEADER_LOWER)
+    value = headers.get(_crash_wire.HEADER_LOWER)
     if value is None:
         return
     try:
@@ -79,7 +85,7 @@
     peer = daemon.crash_peers.pop(host, None) or PeerDigest(digest)
     peer.digest = digest
     if digest == daemon.crash_ledger.digest:
-        peer.next, peer.pause = 0.0, PAUSE_SECONDS
+        peer.next_update_at, peer.update_pause = 0.0, UPDATE_PAUSE_SECONDS
     daemon.crash_peers[host] = peer
-    if len(daemon.crash_peers) > PEERS_KEPT:
+    if len(daemon.crash_peers) > PEERS_MAX:
         del daemon.crash_peers[next(iter(daemon.crash_peers))]
--- a/src/sassafrasstair/forwarding/_peers.py
+++ b/src/sassafrasstair/forwarding/_peers.py
@@ -1,4 +1,4 @@
-"""Learning from daemons that are not followed, when they know more."""
+"""Pulls changes from daemons that this one does not follow."""
 
 from __future__ import annotations
 
@@ -16,32 +16,36 @@
 from sassafrasstair.forwarding import _wire
 from sassafrasstair import httpio
 
-ASK_SECONDS = 0.3
-"""Between two questions to peers while the store is away."""
-ASKED_WHEN_DEAF = 6
-"""Daemons of other failure domains that a deaf reader asks at once: those of
-two domains that read, or would next."""
-ANSWER_SECONDS = 1.0
-"""For the answer to one; it takes milliseconds."""
+PULL_INTERVAL_SECONDS = 0.3
+"""Mean interval between two pulls while the store gives no answer."""
+PINGS_WHEN_STALLED = 6
+"""How many daemons of other failure domains a reader pings at once if the
+store does not answer: in two domains, those that read the store or would be
+the next to read it."""
+ANSWER_TIMEOUT_SECONDS = 1.0
+"""Timeout for an answer, which normally takes milliseconds."""
 
 
 async def pull_while_store_lost(daemon: _state.Daemon) -> None:
-    """Ask others for what they know while the store gives no answer.
+    """Pull changes from peers while the store gives no answer.
 
-    Only a daemon that would read the store itself does: the others follow
-    one that does.
+    Only daemons that would read the store themselves do so, as the others
+    follow one of those.
     """
     while True:
-        await asyncio.sleep(ASK_SECONDS * (0.5 + daemon.rng.random()))
-        if _is_lost(daemon):
-            _ask_others(daemon)
+        await asyncio.sleep(
+            PULL_INTERVAL_SECONDS * (0.5 + daemon.rng.random())
+        )
+        if _lacks_store(daemon):
+            _pull_from_others(daemon)
 
 
 async def compare_with_peers(daemon: _state.Daemon) -> None:
-    """Hear from time to time how far another failure domain's view goes.
+    """Compare this reader's view with those of other failure domains.
 
     A reader whose watch has stalled, or that is cut off from the store, would
-    keep its whole domain behind. It asks several: any may be up to date.
+    keep its whole failure domain behind. Such a reader pings several daemons,
+    as any of them may be up to date.
     """
     while True:
         pause = daemon.feed.timing.compare_interval * (
@@ -52,81 +56,103 @@
             continue
         others = daemon.foreign_readers
         now = daemon.clock.monotonic()
-        deaf = feeds.is_stalled(
+        stalled = feeds.is_stalled(
             daemon.feed, daemon.view.store_answered_at, now
         )
-        count = min(len(others), ASKED_WHEN_DEAF if deaf else 1)
+        count = min(len(others), PINGS_WHEN_STALLED if stalled else 1)
         for host in daemon.rng.sample(others, count):
             ping(daemon, host, _crash_updates.header(daemon, host))
 
 
 def note_peer_content(daemon: _state.Daemon, host: str, content: int) -> None:
-    """Note what a peer knows; ask it if that stays more for a moment."""
+    """Pull from a peer if its view stays newer than this one for a while."""
     if daemon.pulled_hosts or not views.is_behind(daemon.view, content):
         return
     daemon.pulled_hosts.add(host)
     now = daemon.clock.monotonic()
-    known = views.knows_policy(daemon.view)
-    heard_at = daemon.view.store_answered_at
-    wait = feeds.peer_ahead_limit(daemon.feed, heard_at, now) if known else 0.0
+    knows_policy = views.knows_policy(daemon.view)
+    last_answer_at = daemon.view.store_answered_at
+    wait = (
+        feeds.peer_ahead_limit(daemon.feed, last_answer_at, now)
+        if knows_policy
+        else 0.0
+    )
     asyncio.get_running_loop().call_later(
         wait, _pull_if_behind, daemon, host, content
     )
 
 
-def _is_lost(daemon: _state.Daemon) -> bool:
+def _lacks_store(daemon: _state.Daemon) -> bool:
     if not views.knows_policy(daemon.view):
         return True
-    lost = views.lost_store_seconds(daemon.view, daemon.clock.monotonic())
-    return lost is not None and feeds.reads_store(daemon.feed)
+    lost_seconds = views.lost_store_seconds(
+        daemon.view, daemon.clock.monotonic()
+    )
+    return lost_seconds is not None and feeds.reads_store(daemon.feed)
 
 
-def _ask_others(daemon: _state.Daemon) -> None:
-    """Ask those of the own domain that may read the store, and one more.
+def _pull_from_others(daemon: _state.Daemon) -> None:
+    """Pull from the possible readers in this failure domain, and one more.
 
-    A host that can't be reached must not keep the others from being asked.
+    All are asked at once, so that an unreachable host does not delay the
+    others.
     """
     port = daemon.settings.daemons.port
-    asked = {
+    addresses = {
         _dialect.Address(host, port)
         for host in feeds.reader_hosts(
             {*daemon.feed.hosts, daemon.feed.own_host}
         )
         if host != daemon.feed.own_host
     }
-    others = _elsewhere(daemon)
+    others = _other_addresses(daemon)
     if others:
-        asked.add(others[int(daemon.rng.random() * len(others))])
-    for address in sorted(asked, key=str):
+        addresses.add(others[int(daemon.rng.random() * len(others))])
+    for address in sorted(addresses, key=str):
         if address.host not in daemon.pulled_hosts:
             _pull(daemon, address)
 
 
-def _elsewhere(daemon: _state.Daemon) -> list[_dialect.Address]:
-    """Return whom to ask: another failure domain, the own one, or the seeds.
+def _other_addresses(daemon: _state.Daemon) -> list[_dialect.Address]:
+    """Return the other daemons of this failure domain, or those of others.
 
-    In a domain that is cut off only its own daemons may know more. Each is
-    asked about as often.
+    In a failure domain that is cut off, only its own daemons may have newer
+    changes, so both are chosen equally often. Without any known daemon, the
+    seeds are returned.
     """
     port = daemon.settings.daemons.port
-    near = [host for host in daemon.hosts if host in daemon.feed.hosts]
-    far = [host for host in daemon.hosts if host not in daemon.feed.hosts]
-    hosts = (near or far) if daemon.rng.random() < 0.5 else (far or near)
-    found = [_dialect.Address(host, port) for host in hosts]
-    return found or list(daemon.settings.seeds)
+    own_domain_hosts = [
+        host for host in daemon.hosts if host in daemon.feed.hosts
+    ]
+    other_hosts = [
+        host for host in daemon.hosts if host not in daemon.feed.hosts
+    ]
+    hosts = (
+        (own_domain_hosts or other_hosts)
+        if daemon.rng.random() < 0.5
+        else (other_hosts or own_domain_hosts)
+    )
+    addresses = [_dialect.Address(host, port) for host in hosts]
+    return addresses or list(daemon.settings.seeds)
 
 
-def ping(daemon: _state.Daemon, host: str, told: tuple[bytes, bytes]) -> None:
-    """Ask a daemon how far its view goes, and tell it one field."""
-    fields = [(b"Host", host.encode()), told]
+def ping(
+    daemon: _state.Daemon, host: str, header: tuple[bytes, bytes]
+) -> None:
+    """Send a ping with one header, to learn the revision of a peer's view."""
+    fields = [(b"Host", host.encode()), header]
     head = httpio.request_head(b"GET", _wire.PING_PATH, fields, 0)
     asked_at = daemon.clock.monotonic()
-    job = httpio.Job(head, functools.partial(_ponged, daemon, host, asked_at))
+    job = httpio.Job(
+        head, functools.partial(_handle_pong, daemon, host, asked_at)
+    )
     _state.pool(daemon, host).send(job)
-    asyncio.get_running_loop().call_later(ANSWER_SECONDS, _give_up, job)
+    asyncio.get_running_loop().call_later(
+        ANSWER_TIMEOUT_SECONDS, _abort_if_unanswered, job
+    )
 
 
-def _ponged(
+def _handle_pong(
     daemon: _state.Daemon,
     host: str,
     asked_at: float,
@@ -139,11 +165,11 @@
         state = _wire.decode_state(
             result.headers.get(_wire.STATE_HEADER_LOWER, b"")
         )
-        field = result.headers.get(_feed_wire.HEADER_LOWER)
-        if field is not None and not views.is_behind(
+        header = result.headers.get(_feed_wire.HEADER_LOWER)
+        if header is not None and not views.is_behind(
             daemon.view, state.content
         ):
-            status, _ = _feed_wire.decode_answer(field, b"")
+            status, _ = _feed_wire.decode_answer(header, b"")
             now = daemon.clock.monotonic()
             views.note_peer_age(daemon.view, status.age_seconds, now)
         _confirmations.receive(daemon, result.headers, asked_at)
@@ -160,13 +186,17 @@
 
 
 def _pull(daemon: _state.Daemon, address: _dialect.Address) -> None:
-    """Ask a daemon for what it knows more."""
+    """Poll a daemon for the changes that this one lacks."""
     daemon.pulled_hosts.add(address.host)
-    told = _crash_updates.header(daemon, address.host)
-    head = _feed_wire.poll_head(address.host, daemon.view.revision, 0.0, told)
+    header = _crash_updates.header(daemon, address.host)
+    head = _feed_wire.poll_head(
+        address.host, daemon.view.revision, 0.0, header
+    )
     asked_at = daemon.clock.monotonic()
-    done = functools.partial(_pulled, daemon, address.host, asked_at)
-    job = httpio.Job(head, done)
+    on_done = functools.partial(
+        _handle_pull_result, daemon, address.host, asked_at
+    )
+    job = httpio.Job(head, on_done)
     if address.port == daemon.settings.daemons.port:
         connections = _state.pool(daemon, address.host)
     else:
@@ -175,24 +205,26 @@
         )
     connections.send_on_new(job)
     asyncio.get_running_loop().call_later(
-        ANSWER_SECONDS, _pull_timeout, daemon, address.host, job
+        ANSWER_TIMEOUT_SECONDS, _end_unanswered_pull, daemon, address.host, job
     )
 
 
-def _pull_timeout(daemon: _state.Daemon, host: str, job: httpio.Job) -> None:
-    if _give_up(job):
+def _end_unanswered_pull(
+    daemon: _state.Daemon, host: str, job: httpio.Job
+) -> None:
+    if _abort_if_unanswered(job):
         daemon.pulled_hosts.discard(host)
 
 
-def _give_up(job: httpio.Job) -> bool:
-    """Cut a question that has no answer; return whether it had none."""
-    late = job.awaited
-    if late:
+def _abort_if_unanswered(job: httpio.Job) -> bool:
+    """Abort a request without an answer; return whether it had none."""
+    unanswered = job.awaited
+    if unanswered:
         job.abort()
-    return late
+    return unanswered
 
 
-def _pulled(
+def _handle_pull_result(
     daemon: _state.Daemon,
     host: str,
     asked_at: float,
@@ -203,27 +235,29 @@
         return
     _crash_updates.receive(daemon, host, result.headers)
     try:
-        news = _take(daemon, host, result)
+        news = _apply_answer(daemon, host, result)
         _confirmations.receive(daemon, result.headers, asked_at)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", peer=host, error=str(error))
         return
-    doubtful = feeds.reads_store(daemon.feed) and not _is_lost(daemon)
-    if news and doubtful:
-        # The own watch should have told it.
+    reads_store = feeds.reads_store(daemon.feed) and not _lacks_store(daemon)
+    if news and reads_store:
+        # The watch of this daemon should have delivered the changes.
         feeds.expedite_recheck(daemon.feed, daemon.clock.monotonic())
         daemon.feed_woken.set()
 
 
-def _take(daemon: _state.Daemon, host: str, result: httpio.Response) -> bool:
-    field = result.headers.get(_feed_wire.HEADER_LOWER)
-    if field is not None:
-        status, delta = _feed_wire.decode_answer(field, result.body)
+def _apply_answer(
+    daemon: _state.Daemon, host: str, result: httpio.Response
+) -> bool:
+    header = result.headers.get(_feed_wire.HEADER_LOWER)
+    if header is not None:
+        status, delta = _feed_wire.decode_answer(header, result.body)
         return _learning.take_delta(daemon, status, delta, host)
-    # A daemon of the version before tells all that it knows.
+    # A daemon of the previous release sends its whole view.
     snapshot = _feed_wire.decode_snapshot(result.body)
-    told = views.adopt_snapshot(
+    news = views.adopt_snapshot(
         daemon.view, snapshot, daemon.clock.monotonic()
     )
-    _learning.apply_news(daemon, told, f"peer {host}")
-    return bool(told)
+    _learning.apply_news(daemon, news, f"peer {host}")
+    return bool(news)
