--- a/src/sassafrasstair/console/bench.py
+++ b/src/sassafrasstair/console/bench.py
@@ -1,4 +1,4 @@
-"""``sassafras-bench``: measurements."""
+"""The command ``sassafras-bench``: benchmarks and simulations."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @click.group()
 def main() -> None:
-    """Measure the decisions on a virtual clock, and real processes."""
+    """Run simulations on a virtual clock and benchmarks of processes."""
 
 
-main.add_command(capacity.command)
+main.add_command(capacity.capacity)
 main.add_command(experiment.experiment)
 main.add_command(hop.hop)
 main.add_command(overload.overload)
--- a/src/sassafrasstair/console/commands/bench/__init__.py
+++ b/src/sassafrasstair/console/commands/bench/__init__.py
@@ -1,3 +1,3 @@
-"""The commands of ``sassafras-bench``."""
+"""Subcommands of ``sassafras-bench``."""
 
 from __future__ import annotations
--- a/src/sassafrasstair/console/commands/bench/capacity.py
+++ b/src/sassafrasstair/console/commands/bench/capacity.py
@@ -1,4 +1,4 @@
-"""``sassafras-bench capacity``: slopes behind docs/CAPACITY.md."""
+"""The command ``sassafras-bench capacity``: data for docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
     "--daemons",
     default=_capacity_reports.TARGET,
     show_default=True,
-    help="Size of the largest fleet of decision cores.",
+    help="Number of daemons in the largest simulated fleet.",
 )
-def command(daemons: int) -> None:
-    """Measure what control costs; the last line is one JSON object."""
-    found = []
+def capacity(daemons: int) -> None:
+    """Measure the cost of the control plane; JSON on the last line."""
+    sections = []
     for section in _capacity_reports.sections(daemons):
-        found.append(section)
+        sections.append(section)
         for line in _capacity_reports.rows(section):
             click.echo(line)
-    click.echo(_capacity_reports.as_json(found))
+    click.echo(_capacity_reports.as_json(sections))
 
 
 if __name__ == "__main__":
-    command()
+    capacity()
--- a/src/sassafrasstair/console/commands/bench/experiment.py
+++ b/src/sassafrasstair/console/commands/bench/experiment.py
@@ -1,4 +1,4 @@
-"""``sassafras-bench experiment``: policies side by side, from a file."""
+"""The command ``sassafras-bench experiment``: compares policies."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from sassafrasstair import bench
 
-WORKERS_MAX = 4
+MAX_DEFAULT_WORKERS = 4
 
 
 @click.command()
@@ -22,35 +22,37 @@
     default=".",
     show_default=True,
     type=click.Path(file_okay=False, path_type=pathlib.Path),
-    help="Folder for the results: FILE's name with .results.json and .png.",
+    help="Folder for the results, FILE.results.json and FILE.png.",
+)
+@click.option(
+    "--plot/--no-plot", default=True, help="Also draw the plot as PNG."
 )
-@click.option("--plot/--no-plot", default=True, help="Draw the PNG, too.")
 @click.option(
     "--workers",
-    default=min(WORKERS_MAX, os.cpu_count() or 1),
+    default=min(MAX_DEFAULT_WORKERS, os.cpu_count() or 1),
     show_default=True,
-    help="Runs side by side; the figures do not depend on it.",
+    help="Parallel runs; the results do not depend on it.",
 )
 def experiment(
     file: pathlib.Path, out: pathlib.Path, plot: bool, workers: int
 ) -> None:
-    """Play the experiment that FILE (JSON) describes."""
+    """Run the experiment that FILE (JSON) describes."""
     try:
-        wanted = bench.decode(file.read_bytes())
+        description = bench.decode(file.read_bytes())
     except bench.ExperimentError as error:
         raise click.ClickException(f"{file}: {error}") from error
-    outcome = bench.play(wanted, workers)
+    outcome = bench.play(description, workers)
     out.mkdir(parents=True, exist_ok=True)
-    results = out / f"{file.stem}.results.json"
-    results.write_bytes(bench.encode(outcome))
-    click.echo(results)
+    results_path = out / f"{file.stem}.results.json"
+    results_path.write_bytes(bench.encode(outcome))
+    click.echo(results_path)
     if not plot:
         return
-    picture = out / f"{file.stem}.png"
+    plot_path = out / f"{file.stem}.png"
     try:
-        bench.draw(outcome, picture)
+        bench.draw(outcome, plot_path)
     except ImportError as error:
         raise click.ClickException(
             f"no plot: {error}; install the extra 'dev' or say --no-plot"
         ) from error
-    click.echo(picture)
+    click.echo(plot_path)
--- a/src/sassafrasstair/console/commands/bench/overload.py
+++ b/src/sassafrasstair/console/commands/bench/overload.py
@@ -1,4 +1,4 @@
-"""``sassafras-bench overload``: policies under overload and faults."""
+"""The command ``sassafras-bench overload``: policies under overload."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 from sassafrasstair import bench
 
-SEEDS = 5
-WORKERS_MAX = 12
+DEFAULT_SEEDS = 5
+MAX_DEFAULT_WORKERS = 12
 
 
 @click.command()
@@ -27,15 +27,17 @@
     type=click.Choice(list(bench.POLICIES)),
     help="One policy only.",
 )
-@click.option("--seeds", default=SEEDS, show_default=True)
+@click.option("--seeds", default=DEFAULT_SEEDS, show_default=True)
 @click.option(
     "--workers",
-    default=min(WORKERS_MAX, os.cpu_count() or 1),
+    default=min(MAX_DEFAULT_WORKERS, os.cpu_count() or 1),
     show_default=True,
-    help="Runs side by side; the figures do not depend on it.",
+    help="Parallel runs; the results do not depend on it.",
 )
 @click.option(
-    "--full", is_flag=True, help="The brief's own slots; takes minutes."
+    "--full",
+    is_flag=True,
+    help="Use slots that are not scaled down; takes minutes.",
 )
 def overload(
     mix: str | None,
--- a/src/sassafrasstair/console/commands/standin/__init__.py
+++ b/src/sassafrasstair/console/commands/standin/__init__.py
@@ -1,3 +1,3 @@
-"""Commands of ``sassafras-standin``."""
+"""Subcommands of ``sassafras-standin``."""
 
 from __future__ import annotations
--- a/src/sassafrasstair/console/commands/standin/control.py
+++ b/src/sassafrasstair/console/commands/standin/control.py
@@ -1,4 +1,4 @@
-"""``sassafras-standin control``: publish, and bring about faults."""
+"""The command ``sassafras-standin control``: publishes, injects faults."""
 
 from __future__ import annotations
 
@@ -11,11 +11,14 @@
 
 @click.group()
 @click.option(
-    "--url", required=True, metavar="URL", help="Control port of the stand-in."
+    "--url",
+    required=True,
+    metavar="URL",
+    help="URL of the stand-in's control port.",
 )
 @click.pass_context
 def control(context: click.Context, url: str) -> None:
-    """Act on a stand-in platform as operators or faults would."""
+    """Publish to a stand-in platform and inject faults into it."""
     context.obj = httpx.Client(base_url=url, trust_env=False, timeout=10)
 
 
@@ -25,7 +28,7 @@
 @click.pass_obj
 def put(http: httpx.Client, key: str, file: typing.BinaryIO) -> None:
     """Publish FILE under KEY."""
-    _ask(http, "PUT", f"/keys/{key}", content=file.read())
+    _send_request(http, "PUT", f"/keys/{key}", content=file.read())
 
 
 @control.command()
@@ -33,55 +36,55 @@
 @click.pass_obj
 def delete(http: httpx.Client, key: str) -> None:
     """Remove KEY."""
-    _ask(http, "DELETE", f"/keys/{key}")
+    _send_request(http, "DELETE", f"/keys/{key}")
 
 
 @control.command()
 @click.pass_obj
 def down(http: httpx.Client) -> None:
-    """Refuse connections and cut those that stand."""
-    _ask(http, "POST", "/down")
+    """Refuse new connections and close the open ones."""
+    _send_request(http, "POST", "/down")
 
 
 @control.command()
 @click.option("--back", default=0, help="How many changes ago.")
 @click.pass_obj
 def stale(http: httpx.Client, back: int) -> None:
-    """Go on answering from an older state."""
-    _ask(http, "POST", "/stale", params={"back": back})
+    """Answer from an older state from now on."""
+    _send_request(http, "POST", "/stale", params={"back": back})
 
 
 @control.command()
 @click.option("--back", default=0, help="How many changes ago.")
 @click.pass_obj
 def restore(http: httpx.Client, back: int) -> None:
-    """Lose the last changes, and give their indexes out again."""
-    _ask(http, "POST", "/restore", params={"back": back})
+    """Drop the last changes and assign their indexes again."""
+    _send_request(http, "POST", "/restore", params={"back": back})
 
 
 @control.command()
 @click.pass_obj
 def back(http: httpx.Client) -> None:
     """End ``down`` or ``stale``."""
-    _ask(http, "POST", "/back")
+    _send_request(http, "POST", "/back")
 
 
 @control.command()
 @click.argument("ms", type=int)
 @click.pass_obj
 def lag(http: httpx.Client, ms: int) -> None:
-    """Show the VM list MS milliseconds after it is published."""
-    _ask(http, "POST", "/lag", params={"ms": ms})
+    """Show the VM list MS milliseconds after its publication."""
+    _send_request(http, "POST", "/lag", params={"ms": ms})
 
 
 @control.command()
 @click.pass_obj
 def counts(http: httpx.Client) -> None:
-    """Print the calls so far as JSON."""
-    click.echo(_ask(http, "GET", "/counts").text)
+    """Print the numbers of calls so far as JSON."""
+    click.echo(_send_request(http, "GET", "/counts").text)
 
 
-def _ask(
+def _send_request(
     http: httpx.Client, method: str, path: str, **options: typing.Any
 ) -> httpx.Response:
     try:
--- a/src/sassafrasstair/console/commands/standin/load.py
+++ b/src/sassafrasstair/console/commands/standin/load.py
@@ -1,4 +1,4 @@
-"""``sassafras-standin load``."""
+"""The command ``sassafras-standin load``: simulates callers."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from sassafrasstair import bundles
 from sassafrasstair import standins
 
-EXIT_BROKEN = 1
-LATE_MS = 250.0
+EXIT_VIOLATION = 1
+MAX_DELAY_MS = 250.0
 
 
 @click.command()
@@ -21,18 +21,20 @@
     "--direct",
     multiple=True,
     metavar="SERVICE=URL",
-    help="Call upstreams themselves, for a baseline.",
+    help="Call upstreams without daemons, as a baseline.",
 )
 @click.option(
     "--upstream",
     "upstreams",
     multiple=True,
     metavar="URL",
-    help="Upstream whose counts of what it ran judge the answers.",
+    help="Upstream whose counts of executed work verify the answers.",
 )
 @click.option("--bundle", required=True, type=click.File("rb"))
 @click.option("--seconds", default=30.0, show_default=True)
-@click.option("--rate", default=100.0, show_default=True, help="Per second.")
+@click.option(
+    "--rate", default=100.0, show_default=True, help="Calls per second."
+)
 @click.option("--surge-factor", default=1.0, show_default=True)
 @click.option("--mix", multiple=True, metavar="CLASS=WEIGHT")
 @click.option("--body", multiple=True, metavar="CLASS=BYTES")
@@ -62,7 +64,7 @@
     tail: float,
     seed: int,
 ) -> None:
-    """Call as many callers would, with a surge in the middle third.
+    """Simulate many callers, with a surge in the middle third.
 
     Prints a table and, as its last line, one JSON object. Exits 1 if an
     answer was wrong, once-only work ran twice, or a request that was
@@ -70,32 +72,38 @@
     """
     if bool(daemons) == bool(direct):
         raise click.UsageError("give either --daemon or --direct")
-    rules = msgspec.json.decode(bundle.read(), type=bundles.Bundle)
-    weights = {name: float(value) for name, value in _pairs(mix)}
-    who = standins.Callers(
-        rules,
-        weights or dict.fromkeys(rules.classes, 1.0),
+    decoded_bundle = msgspec.json.decode(bundle.read(), type=bundles.Bundle)
+    weights = {name: float(value) for name, value in _parse_pairs(mix)}
+    simulated_callers = standins.Callers(
+        decoded_bundle,
+        weights or dict.fromkeys(decoded_bundle.classes, 1.0),
         callers,
-        {name: int(value) for name, value in _pairs(body)},
+        {name: int(value) for name, value in _parse_pairs(body)},
     )
     options = standins.Options(
-        daemons, tuple(_pairs(direct)), upstreams, repeats, hasty, tail, seed
+        daemons,
+        tuple(_parse_pairs(direct)),
+        upstreams,
+        repeats,
+        hasty,
+        tail,
+        seed,
     )
     plan = standins.Plan(seconds, rate, surge_factor)
-    done = uvloop.run(standins.run_load(plan, who, options))
-    click.echo(standins.table(done))
-    if done.behind_ms > LATE_MS:
+    summary = uvloop.run(standins.run_load(plan, simulated_callers, options))
+    click.echo(standins.table(summary))
+    if summary.behind_ms > MAX_DELAY_MS:
         click.echo(
-            f"the load tool itself was {done.behind_ms} ms late: its times"
+            f"the load tool itself was {summary.behind_ms} ms late: its times"
             " are too long; lower --rate or run several",
             err=True,
         )
-    click.echo(msgspec.json.encode(done).decode())
-    if done.wrong or done.ran_twice or done.refused_ran:
-        raise SystemExit(EXIT_BROKEN)
+    click.echo(msgspec.json.encode(summary).decode())
+    if summary.wrong or summary.ran_twice or summary.refused_ran:
+        raise SystemExit(EXIT_VIOLATION)
 
 
-def _pairs(items: tuple[str, ...]) -> list[tuple[str, str]]:
+def _parse_pairs(items: tuple[str, ...]) -> list[tuple[str, str]]:
     pairs = []
     for item in items:
         name, separator, value = item.partition("=")
--- a/src/sassafrasstair/console/commands/standin/platform.py
+++ b/src/sassafrasstair/console/commands/standin/platform.py
@@ -1,4 +1,4 @@
-"""``sassafras-standin platform``."""
+"""The command ``sassafras-standin platform``."""
 
 from __future__ import annotations
 
@@ -12,5 +12,5 @@
 @click.option("--listen", required=True, metavar="IP:PORT")
 @click.option("--control", required=True, metavar="IP:PORT")
 def platform(listen: str, control: str) -> None:
-    """Serve a stand-in for the configuration service and VM list."""
+    """Serve a stand-in for the configuration service and the VM list."""
     uvloop.run(standins.run_platform(listen, control))
--- a/src/sassafrasstair/console/commands/standin/upstream.py
+++ b/src/sassafrasstair/console/commands/standin/upstream.py
@@ -1,4 +1,4 @@
-"""``sassafras-standin upstream``."""
+"""The command ``sassafras-standin upstream``."""
 
 from __future__ import annotations
 
@@ -20,17 +20,21 @@
     "--calls",
     multiple=True,
     metavar="SERVICE",
-    help="Service called before the own work; may be repeated.",
+    help="Service to call before the upstream's own work; repeatable.",
 )
 @click.option(
     "--direct",
     multiple=True,
     metavar="SERVICE=URL",
-    help="Without a daemon: an upstream of a called service.",
+    help="Upstream of a called service, if there is no daemon.",
+)
+@click.option(
+    "--cold-ms", default=0, help="Length of the slow phase after the start."
+)
+@click.option("--health-lag-ms", default=0, help="Age of the reported load.")
+@click.option(
+    "--health-says", default="", help="Fixed health state to report."
 )
-@click.option("--cold-ms", default=0, help="Slower for this long at first.")
-@click.option("--health-lag-ms", default=0, help="Age of the told load.")
-@click.option("--health-says", default="", help="State told in any case.")
 def upstream(
     listen: str,
     service: str,
@@ -45,7 +49,7 @@
 ) -> None:
     """Serve a stand-in upstream.
 
-    SIGTERM drains it; as it ends, it prints what it ran as JSON.
+    SIGTERM drains it; before it exits, it prints the executed work as JSON.
     """
     pairs = [tuple(item.split("=", 1)) for item in direct]
     if not daemon and not set(calls) <= {pair[0] for pair in pairs}:
--- a/src/sassafrasstair/console/standin.py
+++ b/src/sassafrasstair/console/standin.py
@@ -1,4 +1,4 @@
-"""``sassafras-standin``: stand-ins for platform, upstreams and callers."""
+"""The command ``sassafras-standin``: simulated peers of the system."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @click.group()
 def main() -> None:
-    """Stand-ins for what the system talks to, for demos and tests."""
+    """Simulate the platform, upstreams and callers in demos and tests."""
 
 
 main.add_command(control.control)
