--- a/src/sassafrasstair/console/daemon.py
+++ b/src/sassafrasstair/console/daemon.py
@@ -1,4 +1,4 @@
-"""The command ``sassafrasstaird``: one daemon."""
+"""The command ``sassafrasstaird``: the daemon of an upstream VM."""
 
 from __future__ import annotations
 
@@ -17,8 +17,9 @@
 
 EXIT_BAD_INPUT = 2
 EXIT_NOT_STARTED = 1
-_CHATTY_LIBRARIES = ("httpx", "httpcore", "uvicorn")
-"""They log each request or start: not events of this daemon."""
+_VERBOSE_LIBRARIES = ("httpx", "httpcore", "uvicorn")
+"""Libraries that log each request or start at INFO. These lines are
+suppressed, because they are not events of this daemon."""
 
 
 @click.command()
@@ -30,7 +31,7 @@
     help="The daemon's settings, a JSON file (docs/SETTINGS.md).",
 )
 @click.option(
-    "--check", is_flag=True, help="Check the settings and stop: 0 or 2."
+    "--check", is_flag=True, help="Check the settings and exit with 0 or 2."
 )
 def main(path: str, check: bool) -> None:
     """Run the daemon of one upstream VM until SIGTERM.
@@ -47,7 +48,7 @@
         click.echo(f"{path}: ok")
         return
     logs.configure(settings.log.format, settings.log.level)
-    for name in _CHATTY_LIBRARIES:
+    for name in _VERBOSE_LIBRARIES:
         logging.getLogger(name).setLevel(logging.WARNING)
     try:
         uvloop.run(_run(settings))
@@ -59,7 +60,7 @@
 async def _run(settings: settings_module.Settings) -> None:
     daemon = runtime.build(settings, clocks.SystemClock())
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        # A second signal changes nothing: it must not cut requests.
-        loop.add_signal_handler(number, runtime.stop, daemon)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        # A second signal has no effect: it must not abort running requests.
+        loop.add_signal_handler(signal_number, runtime.stop, daemon)
     await runtime.run(daemon)
--- a/src/sassafrasstair/console/forwarder.py
+++ b/src/sassafrasstair/console/forwarder.py
@@ -1,7 +1,7 @@
 """The command ``sassafrasstair-forwarder``: a daemon on the users' platform.
 
-It imports only what the daemon uses: each VM has one, and its memory and
-its start are paid for.
+This module imports only what the daemon uses: the daemon runs on every VM,
+so its memory and start time count.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 EXIT_BAD_INPUT = 2
 EXIT_NOT_STARTED = 1
-_STDOUT = 1
+_STDOUT_DESCRIPTOR = 1
 _SEED_BYTES = 4
-_COLLECT_AFTER = 50_000
-"""Allocations between two collections: the default of 700 runs them for
-each few requests, and hardly anything here is cyclic."""
+_GC_THRESHOLD = 50_000
+"""Allocations between two garbage collections. The default of 700 collects
+every few requests, although the daemon creates hardly any cycles."""
 
 
 @click.command()
 @click.option(
-    "--check", is_flag=True, help="Check the settings and stop: 0 or 2."
+    "--check", is_flag=True, help="Check the settings and exit with 0 or 2."
 )
 def main(check: bool) -> None:
     """Run the daemon of one VM until SIGTERM.
@@ -43,13 +43,13 @@
             click.echo(f"{settings.vm}: ok")
             return
         gc.freeze()
-        gc.set_threshold(_COLLECT_AFTER, 20, 100)
+        gc.set_threshold(_GC_THRESHOLD, 20, 100)
         seed = int.from_bytes(os.urandom(_SEED_BYTES), "big")
         uvloop.run(
             forwarding.run(
                 dialect,
                 clocks.BootTimeClock(),
-                forwarding.descriptor_sink(_STDOUT),
+                forwarding.descriptor_sink(_STDOUT_DESCRIPTOR),
                 seed,
             )
         )
