--- a/src/sassafrasstair/console/__init__.py
+++ b/src/sassafrasstair/console/__init__.py
@@ -1,3 +1,3 @@
-"""Console: the command lines of the binaries."""
+"""Command-line interfaces of the programs in this package."""
 
 from __future__ import annotations
--- a/src/sassafrasstair/console/_daemons.py
+++ b/src/sassafrasstair/console/_daemons.py
@@ -1,4 +1,4 @@
-"""Reads the status of many daemons at once, over HTTP."""
+"""Reads the status of many daemons concurrently over HTTP."""
 
 from __future__ import annotations
 
@@ -14,21 +14,27 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-AT_ONCE = 64
-"""Daemons asked at the same time; 1,300 are then read in 21 rounds."""
+MAX_CONCURRENT_READS = 64
+"""Daemons read concurrently; 1,300 daemons then take 21 rounds."""
 
 
 class Unreachable(msgspec.Struct, frozen=True):
-    """A daemon that gave no status, and why."""
+    """A daemon whose status could not be read.
+
+    ``error`` says why: a failed connection, an HTTP error or a malformed
+    response.
+    """
 
     address: str
     error: str
 
 
 class Forwarder(msgspec.Struct, frozen=True):
-    """A ``sassafrasstair-forwarder``: its feed, and what it holds back.
+    """The status of a ``sassafrasstair-forwarder``.
 
-    ``quotas`` is None from a daemon that tells none.
+    ``feed`` is the state of its configuration feed, ``suspects`` the
+    requests suspected of crashing instances. ``quotas`` is None if the
+    daemon does not serve quotas.
     """
 
     address: str
@@ -45,49 +51,51 @@
     timeout: float,
     transport: httpx.AsyncBaseTransport | None = None,
 ) -> list[Reading]:
-    """Return a reading for each address, in their order.
+    """Read the daemons and return the results in the order of addresses.
 
-    ``timeout`` is in seconds and for each daemon.
+    ``timeout`` is in seconds and applies to each daemon.
     """
-    gate = asyncio.Semaphore(AT_ONCE)
-    # A proxy named in the environment must not come in between.
+    semaphore = asyncio.Semaphore(MAX_CONCURRENT_READS)
+    # Ignore proxies from the environment: daemons are called directly.
     async with httpx.AsyncClient(
         timeout=timeout, transport=transport, trust_env=False
     ) as client:
 
-        async def one(address: str) -> Reading:
-            async with gate:
-                return await _read(client, address)
+        async def read_one(address: str) -> Reading:
+            async with semaphore:
+                return await _read_daemon(client, address)
 
-        return await asyncio.gather(*map(one, addresses))
+        return await asyncio.gather(*map(read_one, addresses))
 
 
-async def _read(client: httpx.AsyncClient, address: str) -> Reading:
+async def _read_daemon(client: httpx.AsyncClient, address: str) -> Reading:
     try:
-        answer = await client.get(f"http://{address}/status")
-        if answer.status_code == httpx.codes.NOT_FOUND:
+        response = await client.get(f"http://{address}/status")
+        if response.status_code == httpx.codes.NOT_FOUND:
             return await _read_forwarder(client, address)
-        answer.raise_for_status()
-        return msgspec.json.decode(answer.content, type=operators.Status)
+        response.raise_for_status()
+        return msgspec.json.decode(response.content, type=operators.Status)
     except (httpx.HTTPError, msgspec.MsgspecError) as error:
-        text = str(error).splitlines()
+        message_lines = str(error).splitlines()
         kind = type(error).__name__
-        return Unreachable(address, text[0] if text else kind)
+        return Unreachable(
+            address, message_lines[0] if message_lines else kind
+        )
 
 
 async def _read_forwarder(
     client: httpx.AsyncClient, address: str
 ) -> Forwarder:
-    """Read a daemon that tells its feed and suspects, and has no bundles."""
+    """Read a forwarder, which serves its feed, suspects and quotas."""
     feed = await client.get(f"http://{address}/feed")
     suspects = await client.get(f"http://{address}/crashes")
     for answer in (feed, suspects):
         answer.raise_for_status()
     quotas = await client.get(f"http://{address}/quotas")
-    told = None
+    quotas_status = None
     if quotas.status_code != httpx.codes.NOT_FOUND:
         quotas.raise_for_status()
-        told = msgspec.json.decode(
+        quotas_status = msgspec.json.decode(
             quotas.content, type=forwarding.QuotasStatus
         )
     return Forwarder(
@@ -96,5 +104,5 @@
         msgspec.json.decode(
             suspects.content, type=tuple[forwarding.SuspectStatus, ...]
         ),
-        told,
+        quotas_status,
     )
--- a/src/sassafrasstair/console/_errors.py
+++ b/src/sassafrasstair/console/_errors.py
@@ -1,7 +1,7 @@
-"""Errors of the client and its exit codes.
+"""Errors and exit codes of the ``sassafras`` client.
 
-0: done, nothing to report. 1: done, with a finding. 2: bad input. 3: a
-daemon could not be reached. ``click`` uses 2 for its own usage errors.
+0: success, nothing to report. 1: success, with a finding. 2: bad input.
+3: a daemon could not be reached. ``click`` uses 2 for its own usage errors.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/console/_files.py
+++ b/src/sassafrasstair/console/_files.py
@@ -14,14 +14,15 @@
 from sassafrasstair.console import _errors
 from sassafrasstair import decoding
 
-PRIVATE_MODE = 0o600
+PRIVATE_FILE_MODE = 0o600
 
 
-class Source(msgspec.Struct, frozen=True):
-    """A bundle's file as it was read, once, for ``-`` has it only once.
+class BundleFile(msgspec.Struct, frozen=True):
+    """A bundle file, read once because standard input has no second read.
 
-    ``payload`` is the bundle's exact text; ``approvals`` is empty and
-    ``raw`` the same text if nobody has approved it.
+    ``path`` is the file's path, or ``-`` for standard input. ``raw`` is the
+    whole file and ``payload`` the exact text of the bundle. They are equal,
+    and ``approvals`` is empty, if the file holds a bundle without approvals.
     """
 
     path: str
@@ -31,7 +32,7 @@
 
 
 class KeyFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A key pair of an operator, 32 raw bytes each in base64."""
+    """An operator's key pair; each key is 32 bytes, encoded as base64."""
 
     name: str
     private: str
@@ -39,15 +40,15 @@
 
     @property
     def private_bytes(self) -> bytes:
-        """The private key; ``BadInputError`` if it is not base64."""
+        """Decode the private key; raise ``BadInputError`` if not base64."""
         try:
             return base64.b64decode(self.private, validate=True)
         except ValueError as error:
             raise _errors.BadInputError("private: wants base64") from error
 
 
-def read(path: str) -> bytes:
-    """Return a file's bytes, ``-`` for standard input."""
+def read_bytes(path: str) -> bytes:
+    """Return the content of a file; ``-`` is standard input."""
     try:
         if path == "-":
             return sys.stdin.buffer.read()
@@ -56,50 +57,55 @@
         raise _errors.BadInputError(f"{path}: {error.strerror}") from error
 
 
-def read_source(path: str) -> Source:
-    """Return the bundle in a file, approved or not; nothing is checked."""
-    text = read(path)
+def read_bundle_file(path: str) -> BundleFile:
+    """Read a bundle file, with or without approvals.
+
+    Neither the bundle nor its approvals are checked.
+    """
+    text = read_bytes(path)
     try:
         keys = msgspec.json.decode(text, type=dict[str, msgspec.Raw])
         if "payload" not in keys:
-            return Source(path, text, text)
+            return BundleFile(path, text, text)
         envelope = bundles.open_envelope(text)
     except (msgspec.DecodeError, bundles.BundleError) as error:
         raise _errors.BadInputError(f"{path}: {error}") from error
-    return Source(path, text, envelope.payload.encode(), envelope.approvals)
+    return BundleFile(
+        path, text, envelope.payload.encode(), envelope.approvals
+    )
 
 
-def decode(source: Source) -> bundles.Bundle:
-    """Return the bundle in ``source``, checked for itself."""
+def decode_bundle(file: BundleFile) -> bundles.Bundle:
+    """Decode and validate the bundle, without checking its approvals."""
     try:
-        return bundles.decode(source.payload)
+        return bundles.decode(file.payload)
     except bundles.BundleError as error:
-        raise _errors.BadInputError(f"{source.path}: {error}") from error
+        raise _errors.BadInputError(f"{file.path}: {error}") from error
 
 
 def read_key(path: str) -> KeyFile:
-    """Return the key pair in a file."""
+    """Read a key pair from a file."""
     try:
-        return decoding.decode(read(path), KeyFile)
+        return decoding.decode(read_bytes(path), KeyFile)
     except decoding.DecodingError as error:
         raise _errors.BadInputError(f"{path}: {error}") from error
 
 
 def write_private(path: str, value: msgspec.Struct) -> None:
-    """Write a new file that only its owner can read."""
+    """Create a file that only its owner can read; it must not exist yet."""
     flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL
     try:
-        with os.fdopen(os.open(path, flags, PRIVATE_MODE), "wb") as file:
+        with os.fdopen(os.open(path, flags, PRIVATE_FILE_MODE), "wb") as file:
             file.write(msgspec.json.encode(value) + b"\n")
     except OSError as error:
         raise _errors.BadInputError(f"{path}: {error.strerror}") from error
 
 
 def as_json(value: object) -> str:
-    """Return ``value`` as JSON for machines, on one line."""
+    """Return ``value`` as JSON on one line, for programs."""
     return msgspec.json.encode(value).decode()
 
 
-def as_document(value: object) -> str:
-    """Return ``value`` as JSON that people edit."""
+def as_indented_json(value: object) -> str:
+    """Return ``value`` as indented JSON, for people to edit."""
     return json.dumps(value, indent=2) + "\n"
--- a/src/sassafrasstair/console/_tables.py
+++ b/src/sassafrasstair/console/_tables.py
@@ -8,29 +8,29 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-_GAP = "  "
+_COLUMN_SEPARATOR = "  "
 
 
-def table(
+def format_table(
     head: abc.Sequence[str], rows: abc.Iterable[abc.Sequence[object]]
 ) -> str:
-    """Return lines with aligned columns; numbers stand to the right."""
-    cells = [[_cell(value) for value in row] for row in rows]
+    """Return a table with aligned columns; numbers are right-aligned."""
+    cells = [[_format_cell(value) for value in row] for row in rows]
     columns = itertools.zip_longest(head, *cells, fillvalue="")
     widths = [max(len(cell) for cell in column) for column in columns]
-    lines = [_line(row, widths) for row in [list(head), *cells]]
+    lines = [_format_row(row, widths) for row in [list(head), *cells]]
     return "\n".join(lines)
 
 
-def _line(row: abc.Sequence[str], widths: abc.Sequence[int]) -> str:
+def _format_row(row: abc.Sequence[str], widths: abc.Sequence[int]) -> str:
     padded = [
         cell.rjust(width) if _is_number(cell) else cell.ljust(width)
         for cell, width in zip(row, widths, strict=True)
     ]
-    return _GAP.join(padded).rstrip()
+    return _COLUMN_SEPARATOR.join(padded).rstrip()
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     return f"{value:.2f}" if isinstance(value, float) else str(value)
 
 
--- a/src/sassafrasstair/console/_traces.py
+++ b/src/sassafrasstair/console/_traces.py
@@ -1,4 +1,4 @@
-"""What the logs of several daemons say of one request."""
+"""Traces one request through the logs of several daemons."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-Line = dict[str, typing.Any]
+LogFields = dict[str, typing.Any]
 
-_BELIEFS = {
+_TOPICS = {
     "policy_in_force": "policy",
     "store_lost": "store",
     "store_back": "store",
@@ -33,83 +33,102 @@
     "started": "process",
     "stopping": "process",
 }
-"""Events that change what a process believes, by what they are about."""
-_SUBJECTS = ("fingerprint", "instance", "peer")
-"""Fields that name what an event is about, the most telling first."""
-_HIDDEN = frozenset({"time", "level", "logger", "event", "request"})
+"""Events that report a change of a process's state, by topic."""
+_SUBJECT_FIELDS = ("fingerprint", "instance", "peer")
+"""Fields that name the subject of an event, the most specific first."""
+_OMITTED_FIELDS = frozenset({"time", "level", "logger", "event", "request"})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Entry:
-    """One log line, and the file that it stands in."""
+class LogEntry:
+    """The fields of one log line and the process that wrote it.
 
-    source: str
-    line: Line
+    ``process`` is the name from a log collector's prefix, or else the name
+    of the log file.
+    """
+
+    process: str
+    fields: LogFields
 
 
-def parse(source: str, text: abc.Iterable[str]) -> abc.Iterator[Entry]:
-    """Yield the events of a log.
+def parse(source: str, lines: abc.Iterable[str]) -> abc.Iterator[LogEntry]:
+    """Yield the events of a log; skip lines without an event.
 
-    What stands before the first brace, as a collector's own time and host,
-    names the process; lines without an event are passed over.
+    A log collector may put a prefix such as time and host before the JSON
+    object; its last word then names the process instead of ``source``.
     """
-    for raw in text:
-        start = raw.find("{")
+    for raw_line in lines:
+        start = raw_line.find("{")
         if start < 0:
             continue
         try:
-            line = json.loads(raw[start:])
+            fields = json.loads(raw_line[start:])
         except ValueError:
             continue
-        if isinstance(line, dict) and "event" in line:
-            words = raw[:start].split()
-            yield Entry(words[-1] if words else source, line)
+        if isinstance(fields, dict) and "event" in fields:
+            prefix = raw_line[:start].split()
+            yield LogEntry(prefix[-1] if prefix else source, fields)
 
 
-def explain(entries: abc.Sequence[Entry], request: str) -> list[str]:
-    """Return lines on what befell the request, in the order of time.
+def explain(entries: abc.Sequence[LogEntry], request: str) -> list[str]:
+    """Return the log lines of a request in the order of time.
 
-    Behind each stands what its process believed then of what the line
-    names; first, the beliefs at the time of the request's first line.
+    Each line is followed by the latest state events up to then of the same
+    process, about itself and about the subjects that the line names.
     """
-    ordered = sorted(entries, key=lambda entry: str(entry.line["time"]))
-    beliefs: dict[tuple[str, str, str], Line] = {}
-    told: list[str] = []
+    ordered = sorted(entries, key=lambda entry: str(entry.fields["time"]))
+    latest: dict[tuple[str, str, str], LogFields] = {}
+    lines: list[str] = []
     for entry in ordered:
-        line = entry.line
-        about = _BELIEFS.get(str(line["event"]))
-        if about is not None:
+        fields = entry.fields
+        topic = _TOPICS.get(str(fields["event"]))
+        if topic is not None:
             subject = next(
-                (str(line[key]) for key in _SUBJECTS if line.get(key)), ""
+                (
+                    str(fields[key])
+                    for key in _SUBJECT_FIELDS
+                    if fields.get(key)
+                ),
+                "",
             )
-            beliefs[entry.source, about, subject] = line
-        if line.get("request") != request:
+            latest[entry.process, topic, subject] = fields
+        if fields.get("request") != request:
             continue
-        told.append(_shown(entry.source, line))
-        told += _behind(beliefs, entry, line)
-    return told
+        lines.append(_format_event(entry.process, fields))
+        lines += _process_state(latest, entry, fields)
+    return lines
 
 
-def _behind(
-    beliefs: abc.Mapping[tuple[str, str, str], Line],
-    entry: Entry,
-    line: Line,
+def _process_state(
+    latest: abc.Mapping[tuple[str, str, str], LogFields],
+    entry: LogEntry,
+    fields: LogFields,
 ) -> list[str]:
-    """Return what the process believed of the subjects of its line."""
-    named = {str(line.get(key, "")) for key in _SUBJECTS}
-    named |= set(str(line.get("tried", "")).split(","))
-    found = []
-    for (source, about, subject), belief in beliefs.items():
-        if source != entry.source:
+    """Return the state of the process that is relevant to a log line."""
+    named = {str(fields.get(key, "")) for key in _SUBJECT_FIELDS}
+    named |= set(str(fields.get("tried", "")).split(","))
+    lines = []
+    for (process, topic, subject), state in latest.items():
+        if process != entry.process:
             continue
-        whole = about in ("policy", "store", "machine", "process", "quota")
-        if whole or (subject and subject in named):
-            found.append("    then: " + _shown("", belief))
-    return found
-
-
-def _shown(source: str, line: Line) -> str:
-    fields = " ".join(
-        f"{key}={value}" for key, value in line.items() if key not in _HIDDEN
+        process_wide = topic in (
+            "policy",
+            "store",
+            "machine",
+            "process",
+            "quota",
+        )
+        if process_wide or (subject and subject in named):
+            lines.append("    then: " + _format_event("", state))
+    return lines
+
+
+def _format_event(process: str, fields: LogFields) -> str:
+    shown_fields = " ".join(
+        f"{key}={value}"
+        for key, value in fields.items()
+        if key not in _OMITTED_FIELDS
+    )
+    return (
+        f"{fields['time']} {process} {fields['event']} {shown_fields}".rstrip()
     )
-    return f"{line['time']} {source} {line['event']} {fields}".rstrip()
--- a/src/sassafrasstair/console/application.py
+++ b/src/sassafrasstair/console/application.py
@@ -1,4 +1,4 @@
-"""The operator's client, ``sassafras``."""
+"""The command ``sassafras``: the client for operators."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
 )
 @click.version_option(sassafrasstair.__version__, prog_name="sassafras")
 def main() -> None:
-    """Prepare bundles and look at daemons.
+    """Prepare bundles and inspect daemons.
 
-    Nothing here writes to the platform: "bundle approve" makes the file
+    No command writes to the platform: "bundle approve" creates the file
     that operators publish. Shell completion: see docs/OPERATORS.md.
     """
 
--- a/src/sassafrasstair/console/commands/__init__.py
+++ b/src/sassafrasstair/console/commands/__init__.py
@@ -1,3 +1,3 @@
-"""Commands of the binaries, one a module."""
+"""Subcommands of the programs, one per module."""
 
 from __future__ import annotations
--- a/src/sassafrasstair/console/commands/bundle/__init__.py
+++ b/src/sassafrasstair/console/commands/bundle/__init__.py
@@ -1,4 +1,4 @@
-"""Commands on bundle files."""
+"""Commands for bundle files."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @click.group("bundle")
 def group() -> None:
-    """Make, check, compare, approve and show bundles.
+    """Create, check, compare, approve and show bundles.
 
-    FILE is a bundle's text or an approved bundle; "-" reads it from the
+    FILE is a bundle without approvals or an approved bundle; "-" is the
     standard input.
     """
 
--- a/src/sassafrasstair/console/commands/bundle/check.py
+++ b/src/sassafrasstair/console/commands/bundle/check.py
@@ -12,7 +12,12 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """What was found in one file; ``faults`` is empty if it is good."""
+    """The result of checking one file.
+
+    ``faults`` is empty if the bundle is valid; otherwise ``reason`` is the
+    kind of the faults. ``mesh``, ``version`` and ``approved_by`` (the names
+    of the verified signers) are set only for a valid bundle.
+    """
 
     file: str
     reason: str = ""
@@ -28,9 +33,11 @@
     "--settings",
     "settings_path",
     metavar="SETTINGS",
-    help="Check approvals too, with the keys in a daemon's settings.",
+    help="Also verify approvals with the keys in a daemon's settings.",
+)
+@click.option(
+    "--json", "as_json", is_flag=True, help="Print one JSON object per file."
 )
-@click.option("--json", "as_json", is_flag=True, help="One object a file.")
 @click.pass_context
 def check(
     context: click.Context,
@@ -40,17 +47,19 @@
 ) -> None:
     """Check bundles as daemons do; exit 1 if one would be refused.
 
-    Also refuses keys that stand twice in one object.
+    Also reports keys that occur twice in one JSON object.
     """
-    keys = _keys(settings_path) if settings_path else None
-    reports = [_report(path, keys) for path in files]
+    keys = _load_keys(settings_path) if settings_path else None
+    reports = [_check_file(path, keys) for path in files]
     for report in reports:
-        click.echo(_files.as_json(report) if as_json else _text(report))
+        click.echo(
+            _files.as_json(report) if as_json else _format_report(report)
+        )
     if any(report.faults for report in reports):
         context.exit(_errors.FINDING)
 
 
-def _keys(path: str) -> dict[str, bytes]:
+def _load_keys(path: str) -> dict[str, bytes]:
     try:
         loaded = settings.load(path)
     except settings.SettingsError as error:
@@ -58,26 +67,28 @@
     return {key.name: key.raw for key in loaded.keys}
 
 
-def _report(path: str, keys: dict[str, bytes] | None) -> Report:
-    source = _files.read_source(path)
+def _check_file(path: str, keys: dict[str, bytes] | None) -> Report:
+    bundle_file = _files.read_bundle_file(path)
     try:
-        bundle = bundles.decode(source.payload)
-        signers = () if keys is None else _signers(source, keys)
+        bundle = bundles.decode(bundle_file.payload)
+        signers = () if keys is None else _signers(bundle_file, keys)
     except bundles.BundleError as error:
         return Report(path, error.reason.value, error.details)
-    if twice := tuple(bundles.duplicate_keys(source.payload)):
-        return Report(path, "duplicate_key", twice)
+    if duplicates := tuple(bundles.duplicate_keys(bundle_file.payload)):
+        return Report(path, "duplicate_key", duplicates)
     return Report(path, "", (), bundle.mesh, bundle.version, signers)
 
 
-def _signers(source: _files.Source, keys: dict[str, bytes]) -> tuple[str, ...]:
-    return bundles.verify(source.raw, keys).approved_by
+def _signers(
+    bundle_file: _files.BundleFile, keys: dict[str, bytes]
+) -> tuple[str, ...]:
+    return bundles.verify(bundle_file.raw, keys).approved_by
 
 
-def _text(report: Report) -> str:
+def _format_report(report: Report) -> str:
     if report.faults:
         lines = [f"{report.file}: {fault}" for fault in report.faults]
         return "\n".join(lines)
-    by = ", ".join(report.approved_by)
-    approved = f", approved by {by}" if by else ""
+    signers = ", ".join(report.approved_by)
+    approved = f", approved by {signers}" if signers else ""
     return f"{report.file}: good, {report.mesh} {report.version}{approved}"
--- a/src/sassafrasstair/console/commands/bundle/diff.py
+++ b/src/sassafrasstair/console/commands/bundle/diff.py
@@ -12,13 +12,18 @@
 @click.command("diff")
 @click.argument("old", metavar="OLD")
 @click.argument("new", metavar="NEW")
-@click.option("--json", "as_json", is_flag=True, help="One list of changes.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="Print the changes as one JSON list.",
+)
 @click.pass_context
 def diff(context: click.Context, old: str, new: str, as_json: bool) -> None:
-    """Say what changes from bundle OLD to NEW; exit 1 if anything does."""
+    """List the changes from bundle OLD to NEW; exit 1 if there are any."""
     changes = bundles.differences(
-        _files.decode(_files.read_source(old)),
-        _files.decode(_files.read_source(new)),
+        _files.decode_bundle(_files.read_bundle_file(old)),
+        _files.decode_bundle(_files.read_bundle_file(new)),
     )
     if as_json:
         click.echo(_files.as_json(changes))
--- a/src/sassafrasstair/console/commands/bundle/new.py
+++ b/src/sassafrasstair/console/commands/bundle/new.py
@@ -23,13 +23,13 @@
     "--supersedes",
     type=click.IntRange(0),
     metavar="VERSION",
-    help="Version to supersede, if not that of --from.",
+    help="Version to supersede; default: the version of --from.",
 )
 @click.option(
     "--rollout",
     multiple=True,
     metavar="DOMAIN",
-    help="Apply to this failure domain only; may be repeated.",
+    help="Apply only to this failure domain; may be repeated.",
 )
 def new(
     mesh: str,
@@ -39,28 +39,28 @@
 ) -> None:
     """Print a new bundle to edit.
 
-    With --from it is the next version of that bundle, for all failure
-    domains unless --rollout names some; otherwise a small first one. To
-    undo a version, give the good older one with --from and the bad one's
-    number with --supersedes.
+    With --from, print the next version of that bundle; without it, a small
+    first version. The bundle applies to all failure domains unless
+    --rollout names some. To roll back a version, pass the older bundle with
+    --from and the number of the faulty version with --supersedes.
     """
-    document = _from(base) if base else _first(mesh)
+    document = _next_version(base) if base else _first_version(mesh)
     if supersedes is not None:
         document["supersedes"] = supersedes
     document["version"] = document["supersedes"] + 1
     document["rollout"] = list(rollout)
-    click.echo(_files.as_document(document), nl=False)
+    click.echo(_files.as_indented_json(document), nl=False)
 
 
-def _from(base: str) -> dict[str, typing.Any]:
-    source = _files.read_source(base)
-    old = _files.decode(source)
-    document: dict[str, typing.Any] = msgspec.json.decode(source.payload)
-    return document | {"supersedes": old.version}
+def _next_version(base: str) -> dict[str, typing.Any]:
+    bundle_file = _files.read_bundle_file(base)
+    base_bundle = _files.decode_bundle(bundle_file)
+    document: dict[str, typing.Any] = msgspec.json.decode(bundle_file.payload)
+    return document | {"supersedes": base_bundle.version}
 
 
-def _first(mesh: str) -> dict[str, typing.Any]:
-    rules = bundles.RequestClass(
+def _first_version(mesh: str) -> dict[str, typing.Any]:
+    request_class = bundles.RequestClass(
         service="my-service", importance=5, deadline_ms=2_000
     )
     bundle = bundles.Bundle(
@@ -70,7 +70,7 @@
         supersedes=0,
         failure_domains={"domain-a": "my-region"},
         services={"my-service": bundles.Service(slots=100, connections=500)},
-        classes={"my-class": rules},
+        classes={"my-class": request_class},
         tenants={"my-tenant": bundles.Tenant()},
     )
     document: dict[str, typing.Any] = msgspec.to_builtins(bundle)
--- a/src/sassafrasstair/console/commands/bundle/show.py
+++ b/src/sassafrasstair/console/commands/bundle/show.py
@@ -23,8 +23,11 @@
 _SERVICE_HEAD = ("SERVICE", "SLOTS", "CONNECTIONS", "CALLS")
 
 
-class Shown(msgspec.Struct, frozen=True):
-    """The bundle with its digest and the names of its approvals."""
+class BundleDetails(msgspec.Struct, frozen=True):
+    """A bundle with its digest and the names of the keys that approved it.
+
+    The approvals are not verified.
+    """
 
     digest: str
     approvals: tuple[str, ...]
@@ -33,24 +36,37 @@
 
 @click.command("show")
 @click.argument("file", metavar="FILE")
-@click.option("--json", "as_json", is_flag=True, help="With all defaults.")
-@click.option("--text", is_flag=True, help="Print the exact text only.")
+@click.option(
+    "--json",
+    "as_json",
+    is_flag=True,
+    help="Print JSON with all defaults filled in.",
+)
+@click.option(
+    "--text", is_flag=True, help="Print only the exact text of the bundle."
+)
 def show(file: str, as_json: bool, text: bool) -> None:
-    """Show a bundle: classes in the order of shedding, last first.
+    """Show a bundle; the class that is shed last comes first.
 
-    Approvals are named, not checked: see "bundle check --settings".
+    Approvals are listed, not verified: see "bundle check --settings".
     """
-    source = _files.read_source(file)
+    bundle_file = _files.read_bundle_file(file)
     if text:
-        click.echo(source.payload, nl=False)
+        click.echo(bundle_file.payload, nl=False)
         return
-    names = tuple(approval.key for approval in source.approvals)
-    shown = Shown(bundles.digest(source.payload), names, _files.decode(source))
-    click.echo(_files.as_json(shown) if as_json else _text(shown))
+    names = tuple(approval.key for approval in bundle_file.approvals)
+    details = BundleDetails(
+        bundles.digest(bundle_file.payload),
+        names,
+        _files.decode_bundle(bundle_file),
+    )
+    click.echo(
+        _files.as_json(details) if as_json else _format_details(details)
+    )
 
 
-def _text(shown: Shown) -> str:
-    bundle = shown.bundle
+def _format_details(details: BundleDetails) -> str:
+    bundle = details.bundle
     classes = sorted(
         bundle.classes.items(), key=lambda entry: -entry[1].importance
     )
@@ -58,36 +74,40 @@
         [
             f"mesh {bundle.mesh}, version {bundle.version}, "
             f"supersedes {bundle.supersedes}",
-            f"digest {shown.digest}",
-            f"approvals: {', '.join(shown.approvals) or 'none'}",
+            f"digest {details.digest}",
+            f"approvals: {', '.join(details.approvals) or 'none'}",
             f"applies to: {', '.join(bundle.rollout) or 'all'}",
             f"failure domains: {', '.join(bundle.failure_domains)}",
             f"tenants: {', '.join(bundle.tenants)}",
             "",
-            _tables.table(_CLASS_HEAD, [_class(*entry) for entry in classes]),
+            _tables.format_table(
+                _CLASS_HEAD, [_class_row(*entry) for entry in classes]
+            ),
             "",
-            _tables.table(
+            _tables.format_table(
                 _SERVICE_HEAD,
-                [_service(*entry) for entry in bundle.services.items()],
+                [_service_row(*entry) for entry in bundle.services.items()],
             ),
         ]
     )
 
 
-def _class(name: str, rules: bundles.RequestClass) -> tuple[object, ...]:
+def _class_row(
+    name: str, request_class: bundles.RequestClass
+) -> tuple[object, ...]:
     return (
         name,
-        rules.service,
-        rules.importance,
-        "yes" if rules.once else "no",
-        rules.deadline_ms,
-        rules.refusal.queue_ms,
-        rules.retries,
-        rules.caller_repeats,
-        rules.max_body_bytes,
+        request_class.service,
+        request_class.importance,
+        "yes" if request_class.once else "no",
+        request_class.deadline_ms,
+        request_class.refusal.queue_ms,
+        request_class.retries,
+        request_class.caller_repeats,
+        request_class.max_body_bytes,
     )
 
 
-def _service(name: str, rules: bundles.Service) -> tuple[object, ...]:
-    calls = ", ".join(rules.calls) or "-"
-    return name, rules.slots, rules.connections, calls
+def _service_row(name: str, service: bundles.Service) -> tuple[object, ...]:
+    calls = ", ".join(service.calls) or "-"
+    return name, service.slots, service.connections, calls
--- a/src/sassafrasstair/console/commands/explain.py
+++ b/src/sassafrasstair/console/commands/explain.py
@@ -21,19 +21,20 @@
     request: str,
     files: tuple[typing.TextIO, ...],
 ) -> None:
-    """Say what befell a request, from the logs of several daemons.
+    """Trace a request through the logs of several daemons.
 
-    Prints each decision that touched it in the order of time, and what the
-    process believed then. Exits 1 if no line names the request.
+    Prints each log line of the request in the order of time, followed by
+    the state of its process at that time. Exits 1 if no line names the
+    request.
     """
     entries = [
         entry
         for file in files
         for entry in _traces.parse(str(file.name), file)
     ]
-    told = _traces.explain(entries, request)
-    for line in told:
+    lines = _traces.explain(entries, request)
+    for line in lines:
         click.echo(line)
-    if not told:
+    if not lines:
         click.echo(f"{request}: no line of {len(entries)}", err=True)
         context.exit(_errors.FINDING)
--- a/src/sassafrasstair/console/commands/key/__init__.py
+++ b/src/sassafrasstair/console/commands/key/__init__.py
@@ -1,4 +1,4 @@
-"""Commands on operators' keys."""
+"""Commands for operators' keys."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @click.group("key")
 def group() -> None:
-    """Make keys that approve bundles."""
+    """Create keys for approving bundles."""
 
 
 group.add_command(new.new)
--- a/src/sassafrasstair/console/commands/key/new.py
+++ b/src/sassafrasstair/console/commands/key/new.py
@@ -17,14 +17,17 @@
 @click.command("new")
 @click.argument("name", metavar="NAME")
 @click.option(
-    "--output", required=True, metavar="FILE", help="Must not exist yet."
+    "--output",
+    required=True,
+    metavar="FILE",
+    help="File to create; must not exist yet.",
 )
 def new(name: str, output: str) -> None:
-    """Write a new key pair to a file and print its entry for settings.
+    """Write a new key pair to a file and print its entry for the settings.
 
-    The file holds the private key: keep it off every VM.
+    The file holds the private key: never copy it to a VM.
     """
-    private, public = (_text(half) for half in bundles.new_key_pair())
+    private, public = (_encode_base64(key) for key in bundles.new_key_pair())
     entry = {"name": name, "public": public}
     try:
         decoding.decode(msgspec.json.encode(entry), settings.Key)
@@ -34,5 +37,5 @@
     click.echo(_files.as_json(entry))
 
 
-def _text(raw: bytes) -> str:
+def _encode_base64(raw: bytes) -> str:
     return base64.b64encode(raw).decode()
--- a/tests/console/test_bundle_commands.py
+++ b/tests/console/test_bundle_commands.py
@@ -11,8 +11,8 @@
 from sassafrasstair.console import application
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
-TRUST = str(EXAMPLES / "trust.bundle.json")
-SETTINGS = EXAMPLES / "daemon.settings.json"
+EXAMPLE_BUNDLE = str(EXAMPLES / "trust.bundle.json")
+EXAMPLE_SETTINGS = EXAMPLES / "daemon.settings.json"
 
 
 def run(*arguments: str, stdin: bytes = b"") -> testing.Result:
@@ -29,9 +29,9 @@
     return str(path), json.loads(result.output)
 
 
-def edited(tmp_path: pathlib.Path, old: str, new: str) -> str:
+def write_edited_bundle(tmp_path: pathlib.Path, old: str, new: str) -> str:
     path = tmp_path / "edited.json"
-    text = pathlib.Path(TRUST).read_text()
+    text = pathlib.Path(EXAMPLE_BUNDLE).read_text()
     assert old in text
     path.write_text(text.replace(old, new, 1))
     return str(path)
@@ -41,21 +41,31 @@
     tmp_path: pathlib.Path, key: tuple[str, dict[str, str]]
 ) -> None:
     path, entry = key
-    settings = json.loads(SETTINGS.read_text()) | {"keys": [entry]}
+    settings = json.loads(EXAMPLE_SETTINGS.read_text()) | {"keys": [entry]}
     (tmp_path / "settings.json").write_text(json.dumps(settings))
-    out = str(tmp_path / "approved.json")
+    approved_path = str(tmp_path / "approved.json")
     with_keys = ("--settings", str(tmp_path / "settings.json"))
-    approved = run("bundle", "approve", TRUST, "--key", path, "--output", out)
+    approved = run(
+        "bundle",
+        "approve",
+        EXAMPLE_BUNDLE,
+        "--key",
+        path,
+        "--output",
+        approved_path,
+    )
     assert "approved valuation-mesh version 1 digest " in approved.stderr
-    checked = run("bundle", "check", out, *with_keys)
+    checked = run("bundle", "check", approved_path, *with_keys)
     assert checked.output.endswith("valuation-mesh 1, approved by ops-1\n")
-    piped = pathlib.Path(out).read_bytes()
+    piped = pathlib.Path(approved_path).read_bytes()
     assert run("bundle", "check", "-", *with_keys, stdin=piped).exit_code == 0
-    other = run("bundle", "check", out, "--settings", str(SETTINGS))
-    assert other.exit_code == 1
-    assert "signature of ops-1 does not fit" in other.output
-    assert run("bundle", "show", out, "--text").output.encode() == (
-        pathlib.Path(TRUST).read_bytes()
+    checked_without_key = run(
+        "bundle", "check", approved_path, "--settings", str(EXAMPLE_SETTINGS)
+    )
+    assert checked_without_key.exit_code == 1
+    assert "signature of ops-1 does not fit" in checked_without_key.output
+    assert run("bundle", "show", approved_path, "--text").output.encode() == (
+        pathlib.Path(EXAMPLE_BUNDLE).read_bytes()
     )
 
 
@@ -72,35 +82,39 @@
 def test_check(
     tmp_path: pathlib.Path, old: str, new: str, code: int, text: str
 ) -> None:
-    result = run("bundle", "check", edited(tmp_path, old, new))
+    result = run("bundle", "check", write_edited_bundle(tmp_path, old, new))
     assert (result.exit_code, text in result.output) == (code, True)
 
 
 def test_approve_refuses_what_daemons_refuse(
     tmp_path: pathlib.Path, key: tuple[str, dict[str, str]]
 ) -> None:
-    bad = edited(tmp_path, '"pos-a":', '"pos-b":')
+    bad = write_edited_bundle(tmp_path, '"pos-a":', '"pos-b":')
     assert run("bundle", "approve", bad, "--key", key[0]).exit_code == 2
 
 
 def test_new_makes_the_next_version(tmp_path: pathlib.Path) -> None:
-    result = run("bundle", "new", "--from", TRUST, "--rollout", "arima")
+    result = run(
+        "bundle", "new", "--from", EXAMPLE_BUNDLE, "--rollout", "arima"
+    )
     path = tmp_path / "next.json"
     path.write_text(result.output)
     assert run("bundle", "check", str(path)).exit_code == 0
-    changed = run("bundle", "diff", TRUST, str(path))
-    assert changed.output.splitlines() == [
+    differences = run("bundle", "diff", EXAMPLE_BUNDLE, str(path))
+    assert differences.output.splitlines() == [
         "bundle: version 2 instead of 1",
         "bundle: supersedes version 1 instead of 0",
         "bundle: applies to arima instead of all failure domains",
     ]
 
 
-def test_new_undoes_a_later_version() -> None:
-    result = run("bundle", "new", "--from", TRUST, "--supersedes", "9")
+def test_new_supersedes_a_given_version() -> None:
+    result = run(
+        "bundle", "new", "--from", EXAMPLE_BUNDLE, "--supersedes", "9"
+    )
     made = json.loads(result.output)
     assert (made["version"], made["supersedes"]) == (10, 9)
-    source = json.loads(pathlib.Path(TRUST).read_text())
+    source = json.loads(pathlib.Path(EXAMPLE_BUNDLE).read_text())
     assert made["classes"] == source["classes"]
 
 
@@ -149,24 +163,26 @@
         ),
     ],
 )
-def test_diff(
+def test_diff_lists_changes(
     tmp_path: pathlib.Path, old: str, new: str, lines: list[str]
 ) -> None:
-    path = edited(tmp_path, old, new)
-    result = run("bundle", "diff", TRUST, path)
+    path = write_edited_bundle(tmp_path, old, new)
+    result = run("bundle", "diff", EXAMPLE_BUNDLE, path)
     assert result.output.splitlines() == lines
     assert result.exit_code == bool(lines)
     as_json: list[typing.Any] = json.loads(
-        run("bundle", "diff", TRUST, path, "--json").output
+        run("bundle", "diff", EXAMPLE_BUNDLE, path, "--json").output
     )
     assert len(as_json) == len(lines)
 
 
-def test_show_lists_what_is_shed_last_first() -> None:
-    lines = run("bundle", "show", TRUST).output.splitlines()
-    at = next(i for i, line in enumerate(lines) if line.startswith("CLASS"))
-    assert lines[at + 1].startswith("valuation-lookup")
-    shown = json.loads(run("bundle", "show", TRUST, "--json").output)
+def test_show_orders_classes_by_descending_importance() -> None:
+    lines = run("bundle", "show", EXAMPLE_BUNDLE).output.splitlines()
+    head_index = next(
+        i for i, line in enumerate(lines) if line.startswith("CLASS")
+    )
+    assert lines[head_index + 1].startswith("valuation-lookup")
+    shown = json.loads(run("bundle", "show", EXAMPLE_BUNDLE, "--json").output)
     assert shown["bundle"]["services"]["ledger"]["cold_start_ms"] == 5_000
 
 
@@ -174,12 +190,18 @@
     "arguments",
     [
         ("bundle", "check", "none.json"),
-        ("bundle", "diff", TRUST, "none.json"),
-        ("bundle", "check", TRUST, "--settings", TRUST),
-        ("bundle", "check", TRUST, "--settings", str(SETTINGS) + "x"),
-        ("bundle", "approve", TRUST, "--key", TRUST),
+        ("bundle", "diff", EXAMPLE_BUNDLE, "none.json"),
+        ("bundle", "check", EXAMPLE_BUNDLE, "--settings", EXAMPLE_BUNDLE),
+        (
+            "bundle",
+            "check",
+            EXAMPLE_BUNDLE,
+            "--settings",
+            str(EXAMPLE_SETTINGS) + "x",
+        ),
+        ("bundle", "approve", EXAMPLE_BUNDLE, "--key", EXAMPLE_BUNDLE),
         ("key", "new", "Bad Name", "--output", "bad.key"),
-        ("key", "new", "ops-1", "--output", TRUST),
+        ("key", "new", "ops-1", "--output", EXAMPLE_BUNDLE),
         ("status", "localhost:1"),
         ("status",),
     ],
--- a/tests/console/test_daemon_command.py
+++ b/tests/console/test_daemon_command.py
@@ -11,15 +11,15 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "code", "says"),
+    ("text", "code", "expected"),
     [
         (EXAMPLE.read_text(), 0, "{path}: ok"),
         ('{"bogus": 1}', 2, "{path}: bogus: unknown key"),
         ("", 2, "{path}: "),
     ],
 )
-def test_check_says_one_line(
-    tmp_path: pathlib.Path, text: str, code: int, says: str
+def test_check_prints_one_line(
+    tmp_path: pathlib.Path, text: str, code: int, expected: str
 ) -> None:
     path = tmp_path / "settings.json"
     path.write_text(text)
@@ -28,5 +28,5 @@
     )
     (line,) = result.output.splitlines()
     assert result.exit_code == code
-    assert line.startswith(says.format(path=path))
+    assert line.startswith(expected.format(path=path))
     assert line.count(str(path)) == 1
--- a/tests/console/test_explain_command.py
+++ b/tests/console/test_explain_command.py
@@ -1,4 +1,4 @@
-"""``sassafras explain`` on logs of several daemons."""
+"""Tests of ``sassafras explain`` on the logs of several daemons."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     import pathlib
 
 
-def _line(second: int, event: str, **fields: object) -> str:
+def _log_line(second: int, event: str, **fields: object) -> str:
     return json.dumps(
         {"time": f"2026-01-01T00:00:{second:02}.000+00:00", "event": event}
         | fields
@@ -26,24 +26,24 @@
     )
 
 
-def test_lines_of_all_files_in_order_with_beliefs(
+def test_explain_merges_files_by_time_with_process_state(
     tmp_path: pathlib.Path,
 ) -> None:
     callee = tmp_path / "callee.log"
     callee.write_text(
-        _line(2, "run_ended", request="r1", reason="queue_full") + "\n"
+        _log_line(2, "run_ended", request="r1", reason="queue_full") + "\n"
     )
     entrance = tmp_path / "entrance.log"
     entrance.write_text(
         "\n".join(
             [
                 "not a line of a daemon",
-                _line(1, "policy_in_force", version=7),
-                _line(1, "peer_lost", peer="10.0.0.9", instance="i-9"),
-                _line(1, "peer_lost", peer="10.0.0.8", instance="i-8"),
-                _line(3, "refused", request="r1", tried="i-9,i-7"),
-                _line(4, "policy_in_force", version=8),
-                _line(3, "refused", request="r2"),
+                _log_line(1, "policy_in_force", version=7),
+                _log_line(1, "peer_lost", peer="10.0.0.9", instance="i-9"),
+                _log_line(1, "peer_lost", peer="10.0.0.8", instance="i-8"),
+                _log_line(3, "refused", request="r1", tried="i-9,i-7"),
+                _log_line(4, "policy_in_force", version=8),
+                _log_line(3, "refused", request="r2"),
             ]
         )
     )
@@ -59,32 +59,32 @@
     assert "r2" not in result.output
 
 
-def test_prefix_of_a_collector_names_the_process(
+def test_collector_prefix_names_the_process(
     tmp_path: pathlib.Path,
 ) -> None:
     log = tmp_path / "all.log"
-    log.write_text("  1.25 vm-3 " + _line(1, "refused", request="r1"))
+    log.write_text("  1.25 vm-3 " + _log_line(1, "refused", request="r1"))
     assert " vm-3 refused" in _explain("r1", str(log)).output
 
 
 def test_unknown_request_is_a_finding(tmp_path: pathlib.Path) -> None:
     log = tmp_path / "log"
-    log.write_text(_line(1, "refused", request="r1"))
+    log.write_text(_log_line(1, "refused", request="r1"))
     result = _explain("r9", str(log))
     assert result.exit_code == 1
     assert "r9" in result.output
 
 
-def test_refused_request_is_shown_with_the_crashes_behind_it(
+def test_refused_request_shows_its_own_suspect_only(
     tmp_path: pathlib.Path,
 ) -> None:
     log = tmp_path / "entrance.log"
     log.write_text(
         "\n".join(
             [
-                _line(1, "request_blocked", fingerprint="0a", strikes=3),
-                _line(1, "request_blocked", fingerprint="0b", strikes=4),
-                _line(2, "refused", request="r1", fingerprint="0a"),
+                _log_line(1, "request_blocked", fingerprint="0a", strikes=3),
+                _log_line(1, "request_blocked", fingerprint="0b", strikes=4),
+                _log_line(2, "refused", request="r1", fingerprint="0a"),
             ]
         )
     )
--- a/tests/console/test_status_command.py
+++ b/tests/console/test_status_command.py
@@ -25,24 +25,26 @@
     instance=operators.InstanceLoad(160, 31.5, 30, 2, 4.25),
 )
 LEAVING = msgspec.structs.replace(SERVING, state=operators.State.LEAVING)
-REFUSING = msgspec.structs.replace(
+REFUSED_BUNDLE = msgspec.structs.replace(
     SERVING,
     refused_bundles=(
         operators.RefusedBundle("bundles/all", "unsigned", "why"),
     ),
 )
-SOURCELESS = msgspec.structs.replace(
+REFUSED_WITHOUT_SOURCE = msgspec.structs.replace(
     SERVING,
     refused_bundles=(operators.RefusedBundle("", "unsigned"),),
     conflicts=(operators.ConflictingBundles(7, "", "a"),),
 )
-CONFLICT = msgspec.structs.replace(
+CONFLICTING = msgspec.structs.replace(
     SERVING, conflicts=(operators.ConflictingBundles(7, "b", "a"),)
 )
-OLD = msgspec.structs.replace(
+OLD_VERSION = msgspec.structs.replace(
     SERVING, in_force=operators.InForceBundle(operators.BundleId(6, "ff"))
 )
-OLD_ELSEWHERE = msgspec.structs.replace(OLD, failure_domain="pos-b")
+OLD_VERSION_IN_OTHER_DOMAIN = msgspec.structs.replace(
+    OLD_VERSION, failure_domain="pos-b"
+)
 FEED = forwarding.FeedStatus(
     "store", 9.0, 0.5, None, 40, 38, 7, 0, 4, 3, (), ()
 )
@@ -50,10 +52,10 @@
     "00000000000000ff", "blocked", 3, 1, False, 61.5, ()
 )
 FORWARDER = _daemons.Forwarder("10.0.0.8:1", FEED, (SUSPECT,))
-GONE = _daemons.Unreachable("10.0.0.9:1", "refused")
+UNREACHABLE = _daemons.Unreachable("10.0.0.9:1", "refused")
 
 
-def run(
+def run_status(
     monkeypatch: pytest.MonkeyPatch,
     readings: list[_daemons.Reading],
     *options: str,
@@ -71,18 +73,23 @@
     ("readings", "options", "code", "findings"),
     [
         ([SERVING, SERVING], (), 0, []),
-        ([SERVING, OLD_ELSEWHERE], (), 0, []),
+        ([SERVING, OLD_VERSION_IN_OTHER_DOMAIN], (), 0, []),
         ([SERVING], ("--expect", "7"), 0, []),
-        ([OLD], ("--expect", "7"), 1, ["vm-1: version 6 in force, not 7"]),
+        (
+            [OLD_VERSION],
+            ("--expect", "7"),
+            1,
+            ["vm-1: version 6 in force, not 7"],
+        ),
         ([LEAVING], (), 1, ["vm-1: leaving"]),
         (
-            [REFUSING],
+            [REFUSED_BUNDLE],
             (),
             1,
             ["vm-1: refused a bundle from bundles/all: unsigned: why"],
         ),
         (
-            [SOURCELESS],
+            [REFUSED_WITHOUT_SOURCE],
             (),
             1,
             [
@@ -91,42 +98,44 @@
             ],
         ),
         (
-            [CONFLICT],
+            [CONFLICTING],
             (),
             1,
             ["vm-1: two bundles of version 7: kept b, dropped a"],
         ),
         (
-            [SERVING, OLD],
+            [SERVING, OLD_VERSION],
             (),
             1,
             ["pos-a: bundles in force differ: 6 ff, 7 abcdef01"],
         ),
-        ([LEAVING, GONE], (), 3, ["10.0.0.9:1: unreachable: refused"]),
+        ([LEAVING, UNREACHABLE], (), 3, ["10.0.0.9:1: unreachable: refused"]),
     ],
 )
-def test_status(
+def test_status_exit_code_and_findings(
     monkeypatch: pytest.MonkeyPatch,
     readings: list[_daemons.Reading],
     options: tuple[str, ...],
     code: int,
     findings: list[str],
 ) -> None:
-    result = run(monkeypatch, readings, *options)
+    result = run_status(monkeypatch, readings, *options)
     assert result.exit_code == code
     assert set(findings) <= set(result.stderr.splitlines())
     assert bool(findings) == bool(result.stderr)
 
 
 def test_status_table(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = run(monkeypatch, [SERVING]).stdout.splitlines()
+    lines = run_status(monkeypatch, [SERVING]).stdout.splitlines()
     assert lines[1].split() == (
         "vm-1 pricer pos-a serving 7 abcdef01 4 31.50 30 2 4.25 0 0 0".split()
     )
 
 
 def test_status_json(monkeypatch: pytest.MonkeyPatch) -> None:
-    lines = run(monkeypatch, [SERVING, GONE], "--json").stdout.splitlines()
+    lines = run_status(
+        monkeypatch, [SERVING, UNREACHABLE], "--json"
+    ).stdout.splitlines()
     assert json.loads(lines[0])["instance"]["limit"] == 31.5
     assert json.loads(lines[1]) == {
         "address": "10.0.0.9:1",
@@ -143,7 +152,7 @@
         (httpx.ReadTimeout(""), "ReadTimeout"),
     ],
 )
-def test_read_all_says_why_a_daemon_gave_nothing(
+def test_read_all_reports_why_a_daemon_cannot_be_read(
     answer: httpx.Response | httpx.HTTPError, error: str
 ) -> None:
     def handle(request: httpx.Request) -> httpx.Response:
@@ -161,19 +170,19 @@
     assert readings[1] == SERVING
 
 
-def test_forwarder_shows_what_it_holds_back(
+def test_status_shows_suspected_requests_of_a_forwarder(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    result = run(monkeypatch, [FORWARDER])
+    result = run_status(monkeypatch, [FORWARDER])
     assert result.exit_code == 0
     lines = result.output.splitlines()
     assert lines[0].split()[:2] == ["ADDRESS", "FOLLOWS"]
     assert lines[1].split() == ["10.0.0.8:1", "store", "0.50", "7", "0", "1"]
-    told = ["10.0.0.8:1", "00000000000000ff", "blocked", "3", "61.50"]
-    assert lines[4].split()[:5] == told
+    suspect_cells = ["10.0.0.8:1", "00000000000000ff", "blocked", "3", "61.50"]
+    assert lines[4].split()[:5] == suspect_cells
 
 
-def test_forwarder_is_read_where_there_is_no_status() -> None:
+def test_forwarder_is_read_when_status_is_not_found() -> None:
     bodies = {
         "/feed": msgspec.json.encode(FEED),
         "/crashes": msgspec.json.encode([SUSPECT]),
@@ -184,5 +193,5 @@
         return httpx.Response(404 if body is None else 200, content=body)
 
     transport = httpx.MockTransport(answer)
-    found = asyncio.run(_daemons.read_all(["10.0.0.8:1"], 1.0, transport))
-    assert found == [FORWARDER]
+    readings = asyncio.run(_daemons.read_all(["10.0.0.8:1"], 1.0, transport))
+    assert readings == [FORWARDER]
