--- a/src/sassafrasstair/runtime/_bodies.py
+++ b/src/sassafrasstair/runtime/_bodies.py
@@ -1,12 +1,13 @@
-"""Bodies longer than one message, passed on part by part.
-
-A part is at least ``CHUNK_BYTES`` and at most that and one read of the
-loop (256 KB). At most ``PART_QUEUE`` parts of a request wait here, one more
-is on its way in and one out; of an answer one part is. With the copies that
-encoding and sending make, a transfer holds about 3 MB of a daemon's
-memory, whatever its length (docs/MEASUREMENTS.md, "Large bodies").
-``MAX_LARGE_BODIES`` bounds the requests at once, the instance's slots the
-answers.
+"""Bodies longer than one message, transferred part by part.
+
+A part has at least ``CHUNK_BYTES`` and at most that plus one read of the
+event loop (256 KB). At most ``PART_QUEUE_SIZE`` parts of a request are
+queued here, while one more is being received and one is being sent to the
+upstream. Of an answer, one part is in memory. With the copies made by
+encoding and sending, a transfer uses about 3 MB of a daemon's memory,
+regardless of its length (docs/MEASUREMENTS.md, "Large bodies").
+``MAX_LARGE_BODIES`` bounds the number of concurrent large requests, and the
+slots of the instance bound the number of answers.
 """
 
 from __future__ import annotations
@@ -26,9 +27,9 @@
 if typing.TYPE_CHECKING:
     from collections import abc
 
-ARRIVAL_SECONDS = 1.0
+ATTEMPT_WAIT_SECONDS = 1.0
 
-_GONE = daemons.AnswerPart(b"", gone=True)
+_LOST_PART = daemons.AnswerPart(b"", is_lost=True)
 
 
 class BodyBroken(Exception):
@@ -40,12 +41,12 @@
 ) -> abc.AsyncIterator[bytes]:
     """Yield the whole request body as its parts arrive.
 
-    Raises ``BodyBroken`` instead of ending early: the upstream must see a
-    cut connection and not a short body that looks whole.
+    Raises ``BodyBroken`` if a part is missing, so that the upstream sees a
+    broken connection and not a short body that looks complete.
     """
-    digest = _attempts.new_digest(attempt.run.body)
-    length = len(attempt.run.body)
-    yield attempt.run.body
+    digest = _attempts.new_digest(attempt.message.body)
+    length = len(attempt.message.body)
+    yield attempt.message.body
     last = False
     while not last:
         part = await attempt.request_parts.get()
@@ -58,21 +59,24 @@
             raise BodyBroken("digest differs")
         if part.data:
             yield part.data
-    if attempt.run.body_length not in (-1, length):
+    if attempt.message.body_length not in (-1, length):
         raise BodyBroken("length differs")
 
 
 async def receive_part(
-    slot: _slots.Slot, part: daemons.BodyPart
+    callee: _slots.Callee, part: daemons.BodyPart
 ) -> daemons.PartReply:
-    """Take one part of a request's body; the reply waits for room."""
-    attempt = slot.attempts.get(part.attempt_id)
+    """Accept one part of a request's body.
+
+    The reply is delayed until the part queue has room.
+    """
+    attempt = callee.attempts.get(part.attempt_id)
     if attempt is None and part.sequence == 0:
-        attempt = await _arrival(slot, part.attempt_id)
+        attempt = await _wait_for_attempt(callee, part.attempt_id)
     if attempt is None:
         return daemons.PartReply(False)
     if part.sequence == 0:
-        return await _admitted(attempt)
+        return await _reply_when_admitted(attempt)
     if part.sequence != attempt.next_request_part:
         return daemons.PartReply(False)
     attempt.next_request_part += 1
@@ -80,125 +84,135 @@
     if not attempt.request_parts.full():
         attempt.request_parts.put_nowait(part)
         return daemons.PartReply(True)
-    putting = asyncio.ensure_future(attempt.request_parts.put(part))
-    return daemons.PartReply(await _unless_ended(attempt, putting))
+    put_task = asyncio.ensure_future(attempt.request_parts.put(part))
+    return daemons.PartReply(await _wait_unless_ended(attempt, put_task))
 
 
 async def read_answer_part(
-    slot: _slots.Slot, message: daemons.AnswerFetch
+    callee: _slots.Callee, message: daemons.AnswerFetch
 ) -> daemons.AnswerPart:
-    """Return the next part of an answer that is still coming."""
-    attempt = slot.attempts.get(message.attempt_id)
+    """Return the next part of an answer that is still being sent."""
+    attempt = callee.attempts.get(message.attempt_id)
     if attempt is None or attempt.answer_chunks is None:
-        return _GONE
+        return _LOST_PART
     attempt.answer_parts_sent += 1
     if message.sequence != attempt.answer_parts_sent:
-        _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
-        return _GONE
+        _slots.fail_answer(callee, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
+        return _LOST_PART
     try:
-        data = await _read(slot, attempt, attempt.answer_chunks)
+        data = await _read_before_deadline(
+            callee, attempt, attempt.answer_chunks
+        )
     except (upstreams.UpstreamError, TimeoutError):
-        _slots.fail_answer(slot, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
-        return _GONE
+        _slots.fail_answer(callee, attempt, outcomes.Reason.ANSWER_CUT_SHORT)
+        return _LOST_PART
     record_answer_part(attempt, data)
     if data:
         return daemons.AnswerPart(data)
-    return _last_part(slot, attempt)
+    return _last_part(callee, attempt)
 
 
 def record_answer_part(attempt: _attempts.Attempt, data: bytes) -> None:
-    """Count a part of the answer's body into its digest and length."""
+    """Add a part of the answer's body to its digest and length."""
     attempt.answer_digest.update(data)
     attempt.answer_length += len(data)
 
 
-async def _read(
-    slot: _slots.Slot,
+async def _read_before_deadline(
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
-    rest: abc.AsyncIterator[bytes],
+    chunks: abc.AsyncIterator[bytes],
 ) -> bytes:
-    """Return the answer's next part; ``TimeoutError`` if it was dropped.
+    """Return the next part of the answer.
 
-    In a task of its own, so that a cancellation of the attempt ends it and
-    the upstream sees that at once, and not at the deadline.
+    Raises ``TimeoutError`` if the deadline passes or the attempt ends. The
+    read runs in a task of its own, so that cancelling the attempt cancels
+    it and the upstream's connection closes at once, not at the deadline.
     """
-    reading = asyncio.ensure_future(_next(rest))
-    attempt.pending_read = reading
-    left = max(0.0, _slots.remaining(slot, attempt))
+    read_task = asyncio.ensure_future(_next_chunk(chunks))
+    attempt.pending_read = read_task
+    seconds_left = max(0.0, _slots.remaining(callee, attempt))
     try:
-        await asyncio.wait({reading}, timeout=left)
+        await asyncio.wait({read_task}, timeout=seconds_left)
     finally:
-        reading.cancel()
-    if not reading.done() or reading.cancelled():
+        read_task.cancel()
+    if not read_task.done() or read_task.cancelled():
         raise TimeoutError
-    return reading.result()
+    return read_task.result()
 
 
-async def _next(rest: abc.AsyncIterator[bytes]) -> bytes:
-    return await anext(rest, b"")
+async def _next_chunk(chunks: abc.AsyncIterator[bytes]) -> bytes:
+    return await anext(chunks, b"")
 
 
 async def rechunk(
     chunks: abc.AsyncGenerator[bytes, None],
 ) -> abc.AsyncGenerator[bytes, None]:
-    """Yield parts of at least ``CHUNK_BYTES``, only the last shorter."""
-    held = bytearray()
+    """Yield parts of at least ``CHUNK_BYTES``; the last may be shorter."""
+    buffer = bytearray()
     async with contextlib.aclosing(chunks):
         async for chunk in chunks:
-            held += chunk
-            if len(held) >= daemons.CHUNK_BYTES:
-                yield bytes(held)
-                held.clear()
-        if held:
-            yield bytes(held)
+            buffer += chunk
+            if len(buffer) >= daemons.CHUNK_BYTES:
+                yield bytes(buffer)
+                buffer.clear()
+        if buffer:
+            yield bytes(buffer)
 
 
-async def _arrival(
-    slot: _slots.Slot, attempt_id: str
+async def _wait_for_attempt(
+    callee: _slots.Callee, attempt_id: str
 ) -> _attempts.Attempt | None:
-    """Wait until the attempt is known; None if it is not in time."""
-    # Failure: each message has an exchange of its own, so the question
-    # whether a body is wanted may be handled before its request. Told no,
-    # the entrance sends nothing, and the request waits for its body until
-    # its deadline.
-    arrived = slot.arrival_events.setdefault(attempt_id, asyncio.Event())
+    """Wait for the request of the attempt; return None if it is late."""
+    # Each message has an exchange of its own, so part 0 of a body may be
+    # handled before the request that it belongs to. If it were rejected,
+    # the entrance would not send the body, and the request would wait for
+    # it until its deadline.
+    arrived = callee.arrival_events.setdefault(attempt_id, asyncio.Event())
     try:
-        async with asyncio.timeout(ARRIVAL_SECONDS):
+        async with asyncio.timeout(ATTEMPT_WAIT_SECONDS):
             await arrived.wait()
     except TimeoutError:
         return None
     finally:
-        slot.arrival_events.pop(attempt_id, None)
-    return slot.attempts.get(attempt_id)
+        callee.arrival_events.pop(attempt_id, None)
+    return callee.attempts.get(attempt_id)
 
 
-async def _admitted(attempt: _attempts.Attempt) -> daemons.PartReply:
-    if not await _unless_ended(attempt, asyncio.shield(attempt.admission)):
+async def _reply_when_admitted(
+    attempt: _attempts.Attempt,
+) -> daemons.PartReply:
+    if not await _wait_unless_ended(
+        attempt, asyncio.shield(attempt.admission)
+    ):
         return daemons.PartReply(False)
     return daemons.PartReply(
         isinstance(attempt.admission.result(), load.Start)
     )
 
 
-async def _unless_ended(
+async def _wait_unless_ended(
     attempt: _attempts.Attempt, work: asyncio.Future[typing.Any]
 ) -> bool:
-    """Wait for ``work``; give it up, and say so, if the attempt ends."""
-    ending = asyncio.ensure_future(attempt.ended.wait())
-    both: set[asyncio.Future[typing.Any]] = {work, ending}
+    """Wait for ``work`` and return whether it finished.
+
+    If the attempt ends first, cancel ``work``.
+    """
+    ended_task = asyncio.ensure_future(attempt.ended.wait())
+    futures: set[asyncio.Future[typing.Any]] = {work, ended_task}
     try:
-        await asyncio.wait(both, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
         return work.done()
     finally:
         work.cancel()
-        ending.cancel()
+        ended_task.cancel()
 
 
 def _last_part(
-    slot: _slots.Slot, attempt: _attempts.Attempt
+    callee: _slots.Callee, attempt: _attempts.Attempt
 ) -> daemons.AnswerPart:
     digest = attempt.answer_digest.digest()
     summary = once.Summary(attempt.status, digest, attempt.answer_length)
-    _slots.end_ticket(slot, attempt, summary)
-    _slots.end_attempt(slot, attempt, load.End.DONE)
+    _slots.end_ticket(callee, attempt, summary)
+    _slots.end_attempt(callee, attempt, load.End.DONE)
     return daemons.AnswerPart(b"", last=True, digest=digest)
--- a/src/sassafrasstair/runtime/_daemon.py
+++ b/src/sassafrasstair/runtime/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: its parts put together, started, run and stopped."""
+"""Assembly, start and stop of the daemon."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
     from sassafrasstair import settings
 
 ACCEPT_WHILE_LEAVING_SECONDS = 2.0
-LEAVE_SECONDS = 2.5
+LEAVE_NOTICE_SECONDS = 2.5
 IDLE_LINK_CHECK_SECONDS = 10.0
 PING_SECONDS = 1.0
 
@@ -58,20 +58,20 @@
     incarnation: str
     links: daemons.Links
     control: _control.Control
-    slot: _slots.Slot
+    callee: _slots.Callee
     entry: _entries.Entry
     metrics: metrics.Metrics
     stopping: asyncio.Event = dataclasses.field(default_factory=asyncio.Event)
 
 
 def new_incarnation(clock: clocks.Clock) -> str:
-    """Return a name of this process; a later start has a greater one."""
+    """Return an ID of this process; a later start has a greater one."""
     milliseconds = int(clock.wall().timestamp() * 1000)
     return f"{milliseconds:012x}{secrets.token_hex(4)}"
 
 
 def build(settings_: settings.Settings, clock: clocks.Clock) -> Daemon:
-    """Return a daemon that has done no I/O yet."""
+    """Return a daemon from its settings, without doing any I/O."""
     rng = random.Random(secrets.randbits(64))
     incarnation = new_incarnation(clock)
     counts = metrics.Metrics()
@@ -84,7 +84,7 @@
     entrance = calls.new_entrance(
         incarnation, settings_.failure_domain, settings_.region
     )
-    slot = _parts.new_slot(
+    callee = _parts.new_callee(
         settings_, incarnation, clock, bundle, entrance, counts
     )
     entry = _entries.Entry(
@@ -92,8 +92,8 @@
         rng=rng,
         entrance=entrance,
         node=node,
-        slot=slot,
-        ask=functools.partial(_ask, links, node, slot),
+        callee=callee,
+        exchange=functools.partial(_exchange, links, node, callee),
         bundle=bundle,
         counts=counts,
     )
@@ -103,7 +103,7 @@
         node=node,
         links=links,
         client=configservice.open_client(settings_.platform.urls),
-        on_adopted=functools.partial(_adopt, slot, counts),
+        on_adopted=functools.partial(_adopt, callee, counts),
         counts=counts,
         approvals=approvals,
     )
@@ -114,40 +114,40 @@
         incarnation,
         links,
         control,
-        slot,
+        callee,
         entry,
         counts,
     )
 
 
 async def run(daemon: Daemon) -> None:
-    """Serve until ``stop``, then finish what is in flight and return.
+    """Serve until ``stop`` is called, finish requests in flight and return.
 
-    Raises ``OSError`` when one of the addresses can't be bound.
+    Raises ``OSError`` if one of the addresses can't be bound.
     """
-    chosen = daemon.settings
+    settings_ = daemon.settings
     handler = functools.partial(_handle, daemon)
-    server = daemons.listen(chosen.peers.listen, handler)
+    server = daemons.listen(settings_.peers.listen, handler)
     apps = (
-        (chosen.callers.listen, _callers_app(daemon)),
-        (chosen.operators.listen, _operators_app(daemon)),
+        (settings_.callers.listen, _callers_app(daemon)),
+        (settings_.operators.listen, _operators_app(daemon)),
     )
     try:
         http = await _http.start(apps)
     except OSError:
-        # Left open, the peers' receivers would go on answering for a
-        # daemon that serves no caller.
+        # If the server for peers stayed open, it would go on answering for
+        # a daemon that serves no callers.
         await _close(daemon, server)
         raise
     logs.event(
         _LOG,
         logging.INFO,
         "started",
-        vm=chosen.vm,
-        service=chosen.service,
+        vm=settings_.vm,
+        service=settings_.service,
         incarnation=daemon.incarnation,
     )
-    periodic = _start_periodic(daemon)
+    periodic = _start_periodic_tasks(daemon)
     await daemon.stopping.wait()
     await _leave(daemon)
     await _http.stop(http)
@@ -155,12 +155,12 @@
         task.cancel()
     await asyncio.gather(*periodic, return_exceptions=True)
     await _close(daemon, server)
-    logs.event(_LOG, logging.INFO, "stopped", vm=chosen.vm)
+    logs.event(_LOG, logging.INFO, "stopped", vm=settings_.vm)
 
 
-def _start_periodic(daemon: Daemon) -> list[asyncio.Task[None]]:
+def _start_periodic_tasks(daemon: Daemon) -> list[asyncio.Task[None]]:
     steps: tuple[tuple[abc.Callable[[], None], float], ...] = (
-        (functools.partial(_beat, daemon), calls.HEARTBEAT_SECONDS),
+        (functools.partial(_heartbeat, daemon), calls.HEARTBEAT_SECONDS),
         (functools.partial(_tick, daemon), _control.TICK_SECONDS),
         (
             functools.partial(daemons.close_idle, daemon.links),
@@ -176,79 +176,81 @@
     await _control.close(daemon.control)
     await daemons.close_server(server)
     daemons.close(daemon.links)
-    await upstreams.close(daemon.slot.upstream)
+    await upstreams.close(daemon.callee.upstream)
 
 
 def stop(daemon: Daemon) -> None:
-    """Begin a planned stop; a second call changes nothing."""
+    """Begin a planned stop; further calls have no effect."""
     daemon.stopping.set()
 
 
 async def _leave(daemon: Daemon) -> None:
-    """Take no new work, let peers know, and wait for what is in flight."""
+    """Stop taking work, tell the peers, and wait for work in flight."""
     logs.event(_LOG, logging.INFO, "leaving", vm=daemon.settings.vm)
     daemon.entry.leaving = True
     _control.leave(daemon.control)
     _drain(daemon)
-    # Peers and callers learn of it meanwhile and are refused, not cut: a
-    # closed socket at once would show them as lost answers.
-    await asyncio.sleep(LEAVE_SECONDS)
-    while daemon.slot.attempts or daemon.entry.in_flight:
+    # Peers and callers need time to learn that this daemon leaves. Until
+    # then their requests are refused: if the sockets were closed at once,
+    # the answers would be lost.
+    await asyncio.sleep(LEAVE_NOTICE_SECONDS)
+    while daemon.callee.attempts or daemon.entry.in_flight:
         await asyncio.sleep(calls.HEARTBEAT_SECONDS)
 
 
 async def _repeat(step: abc.Callable[[], None], period: float) -> None:
-    """Call ``step`` for ever, each ``period`` seconds."""
+    """Call ``step`` every ``period`` seconds until cancelled."""
     while True:
         try:
             step()
         except Exception:
-            # Failure: one fault ends the task unseen; the daemon serves on
-            # with queues that never expire and members that never change.
-            # The next call may go well, and the fault is in the log.
+            # An exception must not end the task unnoticed: the daemon would
+            # go on serving with queues that never expire and members that
+            # never change. The error is logged, and the next call may
+            # succeed.
             _LOG.exception("periodic_fault")
         await asyncio.sleep(period)
 
 
-def _beat(daemon: Daemon) -> None:
+def _heartbeat(daemon: Daemon) -> None:
     now = daemon.clock.monotonic()
-    if calls.note_beat(daemon.slot.pauses, now):
-        gap = daemon.slot.pauses.last_pause
+    if calls.note_beat(daemon.callee.pauses, now):
+        gap = daemon.callee.pauses.last_pause
         logs.event(_LOG, logging.WARNING, "woke_late", seconds=gap)
-    _slots.check_deadlines(daemon.slot)
+    _slots.check_deadlines(daemon.callee)
     _ping_ejected(daemon, now)
 
 
 def _tick(daemon: Daemon) -> None:
     _control.tick(daemon.control)
-    _follow_vm_list(daemon)
+    _drain_if_listed_leaving(daemon)
     _status.update_gauges(daemon.metrics, daemon.entry)
 
 
-def _follow_vm_list(daemon: Daemon) -> None:
-    # The platform said that this VM leaves: its upstream gets nothing new,
-    # whoever has not heard of it yet and sends here all the same.
+def _drain_if_listed_leaving(daemon: Daemon) -> None:
+    # The platform lists this VM as leaving. Peers that have not heard of it
+    # yet may still send work, which must not reach the upstream.
     if fleet.is_leaving(daemon.control.node):
         _drain(daemon)
 
 
 def _drain(daemon: Daemon) -> None:
-    """Issue no more tickets, and soon take no more work.
+    """Stop issuing tickets at once, and stop taking work a little later.
 
-    Failure: a call in flight at another entrance picks this instance before
-    that entrance has heard, is refused, and fails if its class allows no
-    retry; so would a ticket that was issued a moment ago. Hearing takes a
-    second or so: until then such work is still taken.
+    An entrance that has not heard yet that this VM leaves may still send a
+    call here. If it were refused, it would fail where its class allows no
+    retry, and so would a call whose ticket was issued a moment ago. The
+    news takes about a second to spread; until then work is accepted.
     """
-    if daemon.slot.owner.leaving:
+    if daemon.callee.owner.leaving:
         return
-    once.stop_issuing(daemon.slot.owner)
+    once.stop_issuing(daemon.callee.owner)
     loop = asyncio.get_running_loop()
-    loop.call_later(ACCEPT_WHILE_LEAVING_SECONDS, _refuse_work, daemon.slot)
+    loop.call_later(ACCEPT_WHILE_LEAVING_SECONDS, _refuse_work, daemon.callee)
 
 
-def _refuse_work(slot: _slots.Slot) -> None:
-    slot.guard.leaving = True
+def _refuse_work(callee: _slots.Callee) -> None:
+    callee.guard.leaving = True
 
 
 def _ping_ejected(daemon: Daemon, now: float) -> None:
@@ -261,23 +263,24 @@
 async def _ping(daemon: Daemon, vm: str) -> None:
     serving = False
     try:
-        reply = await daemon.entry.ask(vm, daemons.Ping(), PING_SECONDS)
+        reply = await daemon.entry.exchange(vm, daemons.Ping(), PING_SECONDS)
         serving = isinstance(reply, daemons.Pong) and reply.serving
     except daemons.PeerError:
         now = daemon.clock.monotonic()
         fleet.observe_call(daemon.control.node, vm, False, "", now)
-        _drop_lost(daemon, vm)
+        _disconnect_if_unreachable(daemon, vm)
     now = daemon.clock.monotonic()
     calls.probe_ended(daemon.entry.entrance.routes, vm, serving, now)
 
 
-def _drop_lost(daemon: Daemon, vm: str) -> None:
-    # Failure: a VM vanishes without closing its connections, and each call
-    # under way there waits for its whole deadline. Closing the link ends
-    # them now, as lost, so that they can be tried elsewhere. One's own ping
-    # is not enough: where all VMs are slow it would cut work that is about
-    # to end, and the repeats would slow them further. So the fleet must
-    # agree, which asks helpers too.
+def _disconnect_if_unreachable(daemon: Daemon, vm: str) -> None:
+    # If a VM disappears without closing its connections, each call in
+    # progress there waits until its deadline. Closing the link ends these
+    # calls at once as lost, so that they can be retried elsewhere. One
+    # failed ping of this daemon is not enough: when all VMs are slow, it
+    # would abort work that is about to end, and the repeats would slow the
+    # VMs further. The fleet's view must agree, which includes probes by
+    # other daemons.
     node = daemon.control.node
     address = fleet.address_of(node, vm)
     if address is not None and not fleet.is_serving(node, vm):
@@ -287,64 +290,64 @@
 async def _handle(daemon: Daemon, message: daemons.Message) -> daemons.Message:
     if isinstance(message, daemons.Control):
         return _control.handle(daemon.control, message)
-    return await _serve(daemon.slot, message)
+    return await _serve(daemon.callee, message)
 
 
 async def _serve(
-    slot: _slots.Slot, message: daemons.Message
+    callee: _slots.Callee, message: daemons.Message
 ) -> daemons.Message:
     if isinstance(message, daemons.Run):
-        return await _execution.run(slot, message)
+        return await _execution.run(callee, message)
     if isinstance(message, daemons.BodyPart):
-        return await _bodies.receive_part(slot, message)
+        return await _bodies.receive_part(callee, message)
     if isinstance(message, daemons.AnswerFetch):
-        return await _bodies.read_answer_part(slot, message)
+        return await _bodies.read_answer_part(callee, message)
     if isinstance(message, daemons.TicketRequest):
-        return _tickets.issue(slot, message)
+        return _tickets.issue(callee, message)
     if isinstance(message, daemons.Cancel):
-        _slots.cancel_attempt(slot, message.attempt_id)
+        _slots.cancel_attempt(callee, message.attempt_id)
     if isinstance(message, daemons.Ping):
-        serving = slot.bundle() is not None and not slot.owner.leaving
-        return daemons.Pong(slot.incarnation, serving)
+        serving = callee.bundle() is not None and not callee.owner.leaving
+        return daemons.Pong(callee.incarnation, serving)
     return daemons.NoContent()
 
 
-async def _ask(
+async def _exchange(
     links: daemons.Links,
     node: fleet.Node,
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     vm: str,
     message: daemons.Message,
     timeout: float,
 ) -> daemons.Message:
     if vm == node.local_record.vm:
-        return await _ask_self(slot, message, timeout)
+        return await _exchange_locally(callee, message, timeout)
     address = fleet.address_of(node, vm)
     if address is None:
         raise daemons.PeerUnreachable(f"no address of {vm}")
     return await daemons.exchange(links, address, message, timeout)
 
 
-async def _ask_self(
-    slot: _slots.Slot, message: daemons.Message, timeout: float
+async def _exchange_locally(
+    callee: _slots.Callee, message: daemons.Message, timeout: float
 ) -> daemons.Message:
-    """Serve a message of this daemon's own entrance without the link."""
-    # A time-out, or a cancellation, ends this wait only: the attempt is a
-    # task of its own, which the entrance's ``Cancel`` then ends.
+    """Handle a message of this daemon's own entrance without a link."""
+    # A timeout or a cancellation ends only this wait. The attempt runs in a
+    # task of its own, which the entrance's ``Cancel`` message ends.
     try:
         async with asyncio.timeout(timeout):
-            return await _serve(slot, message)
+            return await _serve(callee, message)
     except TimeoutError as error:
         raise daemons.PeerTimeout("own slot") from error
 
 
 def _adopt(
-    slot: _slots.Slot, counts: metrics.Metrics, bundle: bundles.Bundle
+    callee: _slots.Callee, counts: metrics.Metrics, bundle: bundles.Bundle
 ) -> None:
     counts.apply_bundle(bundle)
-    service = bundle.services.get(slot.service)
+    service = bundle.services.get(callee.service)
     if service is not None:
-        _size(slot, service)
+        _resize_guard(callee, service)
     logs.event(
         _LOG,
         logging.INFO,
@@ -354,20 +357,20 @@
     )
 
 
-def _size(slot: _slots.Slot, service: bundles.Service) -> None:
-    if slot.guard_sized:
-        load.resize(slot.guard, service.slots)
+def _resize_guard(callee: _slots.Callee, service: bundles.Service) -> None:
+    if callee.guard_sized:
+        load.resize(callee.guard, service.slots)
         return
-    # The first bundle: nothing can have run before it.
-    slot.guard_sized = True
-    leaving = slot.guard.leaving
-    slot.guard = load.new_guard(
+    # This is the first bundle, and no work runs before it.
+    callee.guard_sized = True
+    leaving = callee.guard.leaving
+    callee.guard = load.new_guard(
         service.slots,
-        slot.clock.monotonic(),
+        callee.clock.monotonic(),
         cold=service.cold_start_ms > 0,
         warm_seconds=service.cold_start_ms / 1000,
     )
-    slot.guard.leaving = leaving
+    callee.guard.leaving = leaving
 
 
 def _callers_app(daemon: Daemon) -> typing.Any:
--- a/src/sassafrasstair/runtime/_entrance.py
+++ b/src/sassafrasstair/runtime/_entrance.py
@@ -1,7 +1,6 @@
-"""The entrance's side: a caller's request to its one final answer.
+"""The entrance's side: from a caller's request to its one final answer.
 
-It drives ``decisions.calls`` with real time and the link to the other
-daemons.
+Runs ``decisions.calls`` with real time and the links to the other daemons.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 _Outcome = outcomes.Outcome
 _Reason = outcomes.Reason
-_PASSING = outcomes.OVERLOAD_REASONS | {
+_TRANSIENT_REASONS = outcomes.OVERLOAD_REASONS | {
     _Reason.ANSWER_CUT_SHORT,
     _Reason.CANCELLED,
     _Reason.DEADLINE_PASSED,
@@ -39,12 +38,12 @@
     _Reason.UPSTREAM_LOST,
     _Reason.UPSTREAM_UNREACHABLE,
 }
-"""What a later repeat of the same request may find changed."""
+"""Reasons that may no longer hold when the request is repeated later."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Progress:
-    """A call under way: its key, its latest attempt and answer."""
+class _CallProgress:
+    """A call in progress: its key, its latest attempt and answer."""
 
     key: str
     attempt_id: str = ""
@@ -55,22 +54,24 @@
 async def call(
     entry: _entries.Entry, request: callers.Request
 ) -> callers.Reply | callers.Refusal:
-    """Serve one request; the caller gets its final answer at once."""
-    began = entry.clock.monotonic()
+    """Serve one request and return its final answer."""
+    started_at = entry.clock.monotonic()
     entry.in_flight += 1
     try:
-        ready = await _prepare(entry, request)
-        if isinstance(ready, callers.Refusal):
-            refusal = _entries.correct_refusal(request.fields, ready)
-            return _refused(entry, request.fields.request_class, refusal)
-        reply = await _drive(entry, ready, request)
+        prepared = await _prepare(entry, request)
+        if isinstance(prepared, callers.Refusal):
+            refusal = _entries.correct_refusal(request.fields, prepared)
+            return _record_refusal(
+                entry, request.fields.request_class, refusal
+            )
+        reply = await _run_attempts(entry, prepared, request)
     finally:
         entry.in_flight -= 1
     if isinstance(reply, callers.Refusal):
-        return _refused(entry, ready.call.request_class, reply)
-    taken = entry.clock.monotonic() - began
+        return _record_refusal(entry, prepared.call.request_class, reply)
+    elapsed = entry.clock.monotonic() - started_at
     entry.counts.count_answer(
-        ready.call.request_class, ready.call.tenant, taken
+        prepared.call.request_class, prepared.call.tenant, elapsed
     )
     return reply
 
@@ -78,88 +79,100 @@
 async def _prepare(
     entry: _entries.Entry, request: callers.Request
 ) -> _entries.PreparedCall | callers.Refusal:
-    ready = _entries.prepare(entry, request)
-    if isinstance(ready, _entries.PreparedCall) and _needs_child_ticket(ready):
-        return await _children.attach_child_ticket(entry, ready, request)
-    return ready
+    prepared = _entries.prepare(entry, request)
+    if isinstance(prepared, _entries.PreparedCall) and _needs_child_ticket(
+        prepared
+    ):
+        return await _children.attach_child_ticket(entry, prepared, request)
+    return prepared
 
 
-def _refused(
+def _record_refusal(
     entry: _entries.Entry, request_class: str, refusal: callers.Refusal
 ) -> callers.Refusal:
     _entries.record_refusal(entry, request_class, refusal)
     return refusal
 
 
-def _needs_child_ticket(ready: _entries.PreparedCall) -> bool:
-    rules = ready.bundle.classes[ready.call.request_class]
-    return rules.once and ready.parent is not None
+def _needs_child_ticket(prepared: _entries.PreparedCall) -> bool:
+    rules = prepared.bundle.classes[prepared.call.request_class]
+    return rules.once and prepared.parent is not None
 
 
 def targets(
-    entry: _entries.Entry, ready: _entries.PreparedCall
+    entry: _entries.Entry, prepared: _entries.PreparedCall
 ) -> abc.Sequence[calls.Target]:
-    """Return the instances that may run the call."""
-    if ready.owner is None:
+    """Return the instances that may run the call.
+
+    Once-only work may run only at the instance that issued its ticket.
+    """
+    if prepared.owner is None:
         now = entry.clock.monotonic()
-        return fleet.targets(entry.node, ready.call.service, now)
-    return _owner_target(entry, ready.owner)
+        return fleet.targets(entry.node, prepared.call.service, now)
+    return _owner_target(entry, prepared.owner)
 
 
-async def _drive(
+async def _run_attempts(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
 ) -> callers.Reply | callers.Refusal:
     key, effect = calls.begin_call(
         entry.entrance,
-        ready.bundle,
-        ready.call,
-        targets(entry, ready),
+        prepared.bundle,
+        prepared.call,
+        targets(entry, prepared),
         entry.clock.monotonic(),
         entry.rng,
     )
-    progress = _Progress(key)
+    progress = _CallProgress(key)
     try:
         while isinstance(effect, calls.Send):
-            effect = await _attempt(entry, ready, request, effect, progress)
+            effect = await _run_attempt(
+                entry, prepared, request, effect, progress
+            )
     except BaseException:
-        # The caller went away, or a fault of ours: nobody waits any more.
+        # The caller disconnected, or an internal error occurred. In both
+        # cases nobody waits for the call any more.
         _abandon(entry, progress)
         raise
-    return _finish(entry, ready, effect, progress)
+    return _finish(entry, prepared, effect, progress)
 
 
-async def _attempt(
+async def _run_attempt(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
-    progress: _Progress,
+    progress: _CallProgress,
 ) -> calls.Effect:
     if progress.attempt_id:
-        entry.counts.count_retry(ready.call.service)
+        entry.counts.count_retry(prepared.call.service)
     progress.attempt_id = send.attempt_id
     progress.vm = send.target.vm
-    max_body = ready.bundle.classes[ready.call.request_class].max_body_bytes
+    max_body = prepared.bundle.classes[
+        prepared.call.request_class
+    ].max_body_bytes
     transfer = _transfers.Transfer(send.attempt_id, send.target.vm, max_body)
-    message = _to_run(entry, ready, request, send)
-    answer, raw = await _transfers.send(entry, transfer, message, request)
-    progress.answer = raw
+    message = _to_run(entry, prepared, request, send)
+    answer, upstream_answer = await _transfers.send(
+        entry, transfer, message, request
+    )
+    progress.answer = upstream_answer
     now = entry.clock.monotonic()
-    _observe(entry, send.target.vm, answer, now)
-    usable = targets(entry, ready)
+    _report_reachability(entry, send.target.vm, answer, now)
+    targets_left = targets(entry, prepared)
     if transfer.body_consumed:
-        # The rest of the body was passed on once and is not kept, so no
-        # other instance could get the whole of it.
-        usable = ()
+        # The rest of the body was sent once and is not stored, so no other
+        # instance could receive the whole body.
+        targets_left = ()
     effect = calls.apply_answer(
         entry.entrance,
-        ready.bundle,
+        prepared.bundle,
         progress.key,
         send.attempt_id,
         answer,
-        usable,
+        targets_left,
         now,
         entry.rng,
     )
@@ -171,74 +184,76 @@
 
 def _to_run(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
     send: calls.Send,
 ) -> daemons.Run:
-    call_ = ready.call
-    left = send.deadline - entry.clock.monotonic()
+    prepared_call = prepared.call
+    seconds_left = send.deadline - entry.clock.monotonic()
     return daemons.Run(
         attempt_id=send.attempt_id,
-        service=call_.service,
-        request_class=call_.request_class,
-        tenant=call_.tenant,
-        caller=call_.caller,
-        call_id=call_.call_id,
-        remaining_ms=max(0, int(left * 1000)),
+        service=prepared_call.service,
+        request_class=prepared_call.request_class,
+        tenant=prepared_call.tenant,
+        caller=prepared_call.caller,
+        call_id=prepared_call.call_id,
+        remaining_ms=max(0, int(seconds_left * 1000)),
         retries=send.retries,
-        depth=call_.depth,
-        ticket=call_.ticket,
+        depth=prepared_call.depth,
+        ticket=prepared_call.ticket,
         method=request.method,
         path=request.path,
         headers=request.headers,
         body=request.first_part,
         body_length=request.body_length,
-        more=request.has_more_parts,
+        has_more_parts=request.has_more_parts,
     )
 
 
 def _finish(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     effect: calls.Effect,
-    progress: _Progress,
+    progress: _CallProgress,
 ) -> callers.Reply | callers.Refusal:
     assert not isinstance(effect, calls.Send)
-    if ready.parent is not None:
-        _tell_parent(ready.parent, effect)
+    if prepared.parent is not None:
+        _update_parent(prepared.parent, effect)
     if isinstance(effect, calls.Deliver):
         assert progress.answer is not None
         return _transfers.to_reply(
-            entry, progress.vm, progress.answer, ready.call.deadline
+            entry, progress.vm, progress.answer, prepared.call.deadline
         )
     reason = effect.reason
-    if ready.owner is not None and reason is _Reason.NO_INSTANCE:
+    if prepared.owner is not None and reason is _Reason.NO_INSTANCE:
         reason = _Reason.OWNER_GONE
-    after = _come_back(entry, ready, reason, effect.retry_after)
+    after = _retry_after(entry, prepared, reason, effect.retry_after)
     return callers.Refusal(effect.outcome, reason, after)
 
 
-def _come_back(
+def _retry_after(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     reason: outcomes.Reason,
     after: float,
 ) -> float:
-    """Return the Retry-After: spread by the class's rule if none is given.
+    """Return the Retry-After of a refusal in seconds.
 
-    0, "coming back is of no use", stays for what no repeat can change.
+    If ``after`` is 0, a random time within the limits of the class is used.
+    The result is 0, which means that a repeat is of no use, for reasons
+    that no repeat can change.
     """
-    if reason not in _PASSING:
+    if reason not in _TRANSIENT_REASONS:
         return 0.0
     if after > 0:
         return after
-    rules = ready.bundle.classes[ready.call.request_class].refusal
-    low = rules.retry_after_min_ms / 1000
-    high = max(low, rules.retry_after_max_ms / 1000)
-    return entry.rng.uniform(low, high)
+    rules = prepared.bundle.classes[prepared.call.request_class].refusal
+    shortest = rules.retry_after_min_ms / 1000
+    longest = max(shortest, rules.retry_after_max_ms / 1000)
+    return entry.rng.uniform(shortest, longest)
 
 
-def _tell_parent(
+def _update_parent(
     parent: _attempts.Attempt, effect: calls.Refuse | calls.Deliver
 ) -> None:
     parent.retries_spent += effect.retries_spent
@@ -249,14 +264,14 @@
         )
 
 
-def _abandon(entry: _entries.Entry, progress: _Progress) -> None:
+def _abandon(entry: _entries.Entry, progress: _CallProgress) -> None:
     now = entry.clock.monotonic()
     attempt_id = calls.abandon_call(entry.entrance, progress.key, now)
     if attempt_id:
         _transfers.cancel(entry, progress.vm, attempt_id)
 
 
-def _observe(
+def _report_reachability(
     entry: _entries.Entry, vm: str, answer: calls.Answer, now: float
 ) -> None:
     if answer.incarnation:
@@ -268,8 +283,12 @@
 def _owner_target(
     entry: _entries.Entry, owner: once.TicketTarget
 ) -> tuple[calls.Target, ...]:
-    known = fleet.incarnation_of(entry.node, owner.vm)
-    if known and known != owner.incarnation and known > owner.incarnation:
+    current = fleet.incarnation_of(entry.node, owner.vm)
+    if (
+        current
+        and current != owner.incarnation
+        and current > owner.incarnation
+    ):
         return ()
     if fleet.address_of(entry.node, owner.vm) is None:
         return ()
--- a/tests/daemons/test_links.py
+++ b/tests/daemons/test_links.py
@@ -41,7 +41,7 @@
     timeout: float,
     error: type[Exception],
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong) if listens else None
         links = daemons.Links()
@@ -52,17 +52,18 @@
         if server is not None:
             await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_server_answers_after_handler_exceptions() -> None:
-    """A daemon falls silent for all its peers, though it runs.
+    """A server still answers after exceptions in its handler.
 
-    Each fault in a handler ended a receiver that went on to count as idle,
-    and left its peer waiting. After a few no new receiver was made.
+    Each exception ended a receiver that still counted as idle and left its
+    peer waiting. After a few, no new receiver was started, and the running
+    daemon no longer answered any peer.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
@@ -76,20 +77,21 @@
         daemons.close(links)
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_link_with_an_exchange_in_flight_is_not_idle(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Answers that take more than a minute become unknown at quiet hours.
+    """A link whose only exchange waits for a slow upstream stays open.
 
-    A link counted as idle by its last send, so the review closed it while
-    its one exchange waited for a slow upstream.
+    Only the time of the last send was compared, so the link was closed
+    after a minute, and answers that took longer became unknown when there
+    was little traffic.
     """
-    monkeypatch.setattr(_links, "KEEP_IDLE_SECONDS", 0.0)
+    monkeypatch.setattr(_links, "MAX_IDLE_SECONDS", 0.0)
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         go = asyncio.Event()
 
@@ -111,16 +113,17 @@
         assert links.by_address == {}
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_cancellation_dropped_by_pynng_ends_the_exchange(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """An exchange outlives its time-out without a bound.
+    """An exchange ends at its timeout even if pynng drops a cancellation.
 
-    The time-out comes when the send has just succeeded; pynng drops it,
-    and the receive that follows waits for a peer that never replies.
+    pynng drops a cancellation that arrives just after a send has succeeded.
+    The receive that follows would wait without a bound for a peer that
+    never replies.
     """
 
     async def late_send(context: typing.Any, data: bytes) -> None:
@@ -131,7 +134,7 @@
 
     monkeypatch.setattr(_links, "_send", late_send)
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
@@ -143,17 +146,17 @@
         daemons.close(links)
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_disconnected_link_ends_its_exchanges() -> None:
-    """A shopkeeper waits ten seconds for a VM that lost its power.
+    """Disconnecting a link ends the exchanges in progress on it.
 
-    A call is under way when its callee falls silent; no connection is
-    closed. A ping gets no answer, but the call waits for its deadline.
+    When a VM loses power, no connection is closed. A ping fails, but a call
+    in progress would wait until its deadline.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         address = new_address()
         server = daemons.listen(address, pong)
         links = daemons.Links()
@@ -167,4 +170,4 @@
         daemons.close(links)
         await daemons.close_server(server)
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/runtime/meshes.py
+++ b/tests/runtime/meshes.py
@@ -1,4 +1,4 @@
-"""Two daemons, ``front-1`` and ``back-1``, on one loop for tests."""
+"""Two daemons, ``front-1`` and ``back-1``, on one event loop for tests."""
 
 from __future__ import annotations
 
@@ -58,7 +58,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mesh:
-    """``url`` is that of front-1's interface for callers."""
+    """Two running daemons.
+
+    ``url`` is the address of front-1's interface for callers.
+    """
 
     front: runtime.Daemon
     back: runtime.Daemon
@@ -93,7 +96,7 @@
 
 
 async def until(condition: abc.Callable[[], object]) -> None:
-    """Wait for a condition; ``TimeoutError`` if it does not come true."""
+    """Wait until a condition holds; raise ``TimeoutError`` after ``WAIT``."""
     async with asyncio.timeout(WAIT):
         while not condition():
             await asyncio.sleep(0.005)
@@ -120,7 +123,7 @@
     runs = [asyncio.create_task(runtime.run(one)) for one in daemons]
     await asyncio.sleep(0)
     for one in daemons:
-        await _feed(one.control)
+        await _send_platform_state(one.control)
     async with aiohttp.ClientSession() as http:
         mesh = Mesh(
             daemons[0], daemons[1], http, f"http://127.0.0.1:{ports[0]}"
@@ -145,7 +148,7 @@
 
 
 class _Platform:
-    """The platform with one bundle and both VMs, which never change."""
+    """A platform whose one bundle and two VMs never change."""
 
     def __init__(self, ports: list[int]) -> None:
         entries = [
@@ -186,11 +189,11 @@
 
 
 async def _build(
-    service: str, own: list[int], ports: list[int], upstream: str
+    service: str, own_ports: list[int], ports: list[int], upstream: str
 ) -> runtime.Daemon:
-    callers, peers, operators = (f"127.0.0.1:{port}" for port in own)
+    callers, peers, operators = (f"127.0.0.1:{port}" for port in own_ports)
     key = settings.Key("ops-1", _base64(PUBLIC))
-    chosen = settings.Settings(
+    settings_ = settings.Settings(
         vm=f"{service}-1",
         service=service,
         failure_domain="a",
@@ -202,8 +205,8 @@
         platform=settings.Platform(("http://127.0.0.1:1",)),
         keys=(key,),
     )
-    daemon = runtime.build(chosen, clocks.SystemClock())
-    # Asking peers for a newer bundle before serving takes seconds.
+    daemon = runtime.build(settings_, clocks.SystemClock())
+    # Skip the search for a newer bundle at the peers, which takes seconds.
     daemon.control.node.settled = True
     await daemon.control.client.close()
     fake = _Platform(ports)
@@ -211,13 +214,13 @@
     return daemon
 
 
-async def _feed(control: _control.Control) -> None:
-    """Tell the platform's state at once: daemons spread their reads."""
-    for prefix, took in (
-        (configservice.VMS_KEY, _control._took_vms),
-        (configservice.BUNDLES_PREFIX, _control._took_bundles),
+async def _send_platform_state(control: _control.Control) -> None:
+    """Pass the platform's state at once: daemons spread their reads."""
+    for prefix, handle in (
+        (configservice.VMS_KEY, _control._handle_vm_list),
+        (configservice.BUNDLES_PREFIX, _control._handle_bundles),
     ):
-        took(control, await control.client.read(prefix))
+        handle(control, await control.client.read(prefix))
 
 
 def _base64(raw: bytes) -> str:
--- a/tests/runtime/test_callers_gone.py
+++ b/tests/runtime/test_callers_gone.py
@@ -18,12 +18,12 @@
 
 
 class Upstream:
-    """Holds each request until ``go``; counts what was run and cut."""
+    """Holds requests until ``release``; counts begun and cancelled ones."""
 
     def __init__(self) -> None:
-        self.go = asyncio.Event()
+        self.release = asyncio.Event()
         self.began = 0
-        self.cut = 0
+        self.cancelled = 0
 
     async def __call__(self, request: web.BaseRequest) -> web.StreamResponse:
         self.began += 1
@@ -31,14 +31,14 @@
             length = 0
             async for chunk in request.content.iter_any():
                 length += len(chunk)
-            await self.go.wait()
+            await self.release.wait()
         except (asyncio.CancelledError, ConnectionError):
-            self.cut += 1
+            self.cancelled += 1
             raise
         return web.Response(text=f"{length}")
 
 
-async def leave(
+async def send_and_disconnect(
     request: typing.Any, condition: abc.Callable[[], object]
 ) -> None:
     """Send a request and close its connection once ``condition`` holds."""
@@ -53,87 +53,99 @@
     await asyncio.wait({sending})
 
 
-def run(story: abc.Coroutine[typing.Any, typing.Any, None]) -> None:
-    asyncio.run(asyncio.wait_for(story, 4 * meshes.WAIT))
+def run(scenario: abc.Coroutine[typing.Any, typing.Any, None]) -> None:
+    asyncio.run(asyncio.wait_for(scenario, 4 * meshes.WAIT))
 
 
 def test_waiting_request_is_removed_when_its_caller_leaves() -> None:
-    """A daemon that is stopped never exits, and its memory grows.
+    """A queued request is removed once its caller has disconnected.
 
-    Requests wait for a slot at their instance. A caller goes away, the
-    guard drops its request, and nothing tells the request's task, which
-    waits for the guard for ever; a planned stop waits for the task.
+    The guard dropped the request without a decision, so its task waited for
+    ever. Memory grew, and a planned stop never ended.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
+            callee = mesh.back.callee
             async with asyncio.TaskGroup() as group:
                 for _ in range(meshes.SLOTS):
-                    group.create_task(_whole(mesh.call("back")))
+                    group.create_task(_status_and_text(mesh.call("back")))
                 await meshes.until(lambda: upstream.began == meshes.SLOTS)
-                await leave(mesh.call("back"), lambda: slot.guard.waiting)
-                await meshes.until(lambda: len(slot.attempts) == meshes.SLOTS)
-                upstream.go.set()
+                await send_and_disconnect(
+                    mesh.call("back"), lambda: callee.guard.waiting
+                )
+                await meshes.until(
+                    lambda: len(callee.attempts) == meshes.SLOTS
+                )
+                upstream.release.set()
         assert upstream.began == meshes.SLOTS
 
-    run(story())
+    run(scenario())
 
 
 def test_once_only_work_continues_for_the_repeat() -> None:
-    """A broker's connection breaks; its repeat says "unknown" for ever.
+    """Once-only work continues without its caller, for the repeat.
 
-    The entrance told the owner that nobody waits, and the owner cut the
-    binding off at the upstream, which may or may not have recorded it.
-    Let go on, it ends, and the repeat joins it or gets its answer.
+    The owner cancelled the work at the upstream when the caller's
+    connection broke, and every repeat was answered with "unknown". If it
+    continues, a repeat joins it or gets its stored answer.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
             ticket = await mesh.ticket()
-            await leave(mesh.bind(ticket), lambda: upstream.began)
-            repeat = asyncio.create_task(_whole(mesh.bind(ticket, 1)))
-            owner = mesh.back.slot.owner
+            await send_and_disconnect(
+                mesh.bind(ticket), lambda: upstream.began
+            )
+            repeat = asyncio.create_task(
+                _status_and_text(mesh.bind(ticket, 1))
+            )
+            owner = mesh.back.callee.owner
             await meshes.until(lambda: owner.counts.joined)
-            upstream.go.set()
+            upstream.release.set()
             assert await repeat == (200, "0")
-            assert await _whole(mesh.bind(ticket, 2)) == (200, "0")
-        assert (upstream.began, upstream.cut) == (1, 0)
+            assert await _status_and_text(mesh.bind(ticket, 2)) == (200, "0")
+        assert (upstream.began, upstream.cancelled) == (1, 0)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("size", [0, 300_000], ids=["no body", "long body"])
 def test_request_is_cancelled_when_its_caller_leaves(size: int) -> None:
-    """Under a surge upstreams work for callers that have long hung up.
+    """A request is cancelled at the upstream when its caller leaves.
 
-    A caller sends its whole request and goes away before the answer. With
-    a long body the entrance stopped listening for that at the body's end.
+    The caller disconnects after it has sent its whole request. With a long
+    body, the entrance stopped watching for this at the end of the body, so
+    upstreams worked for callers that had left.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
+            callee = mesh.back.callee
 
             def taken() -> bool:
-                return all(a.body_is_complete for a in slot.attempts.values())
+                return all(
+                    a.body_is_complete for a in callee.attempts.values()
+                )
 
             request = mesh.call("back", data=bytes(size))
-            await leave(request, lambda: upstream.began and taken())
-            await meshes.until(lambda: upstream.cut)
-            assert slot.attempts == {}
+            await send_and_disconnect(
+                request, lambda: upstream.began and taken()
+            )
+            await meshes.until(lambda: upstream.cancelled)
+            assert callee.attempts == {}
 
-    run(story())
+    run(scenario())
 
 
 def test_answer_is_cancelled_when_its_caller_leaves() -> None:
-    """Downloads that callers broke off go on at full speed to nobody.
+    """A long answer is cancelled at the upstream when its caller leaves.
 
-    The server takes and drops what is sent to a caller that is gone, so
-    the entrance went on to fetch the rest of the answer.
+    The HTTP server silently drops data sent to a caller that has
+    disconnected, so the entrance went on to fetch the rest of the answer.
     """
     sent = 0
     cut = asyncio.Event()
@@ -150,64 +162,69 @@
             cut.set()
             raise
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(endless) as mesh:
-            await leave(mesh.call("back"), lambda: sent > 1)
+            await send_and_disconnect(mesh.call("back"), lambda: sent > 1)
             await asyncio.wait_for(cut.wait(), 2)
-            await meshes.until(lambda: not mesh.back.slot.attempts)
+            await meshes.until(lambda: not mesh.back.callee.attempts)
 
-    run(story())
+    run(scenario())
 
 
 def test_body_beyond_the_limit_is_refused() -> None:
-    """One caller fills an upstream's disk past the class's limit.
+    """A body without a declared length is held to the limit of its class.
 
-    It declares no length, so the limit could not be checked at the start,
-    and was not looked at again.
+    The limit could not be checked at the start of the request and was not
+    checked later.
     """
 
     async def endless() -> abc.AsyncIterator[bytes]:
         while True:
             yield PART
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
-            answer = await _refused(mesh.call("back", data=endless()))
+            answer = await _status_and_refusal(
+                mesh.call("back", data=endless())
+            )
             assert answer == (413, "unknown", "body_too_large")
-            await meshes.until(lambda: upstream.cut)
+            await meshes.until(lambda: upstream.cancelled)
 
-    run(story())
+    run(scenario())
 
 
 def test_repeat_without_body_memory_joins_the_first_use() -> None:
-    """A broker is told "not run" while its binding runs; it binds anew.
+    """A repeat of running work is not refused as not run for lack of memory.
 
-    The repeat of a large binding found no room for another large body and
-    was refused as not run before its ticket was looked at.
+    The repeat was refused for lack of memory for its large body before its
+    ticket was checked. Its caller, told "not run", then started the work
+    again with a new ticket.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         upstream = Upstream()
         async with meshes.started(upstream) as mesh:
             ticket = await mesh.ticket()
             body = bytes(300_000)
-            first = asyncio.create_task(_whole(mesh.bind(ticket, data=body)))
+            first = asyncio.create_task(
+                _status_and_text(mesh.bind(ticket, data=body))
+            )
             await meshes.until(lambda: upstream.began)
-            mesh.back.slot.large_bodies += _execution.MAX_LARGE_BODIES
+            mesh.back.callee.large_bodies += _execution.MAX_LARGE_BODIES
             repeat = asyncio.create_task(
-                _whole(mesh.bind(ticket, 1, data=body))
+                _status_and_text(mesh.bind(ticket, 1, data=body))
             )
-            counts = mesh.back.slot.owner.counts
+            counts = mesh.back.callee.owner.counts
             await meshes.until(lambda: counts.joined)
-            upstream.go.set()
+            upstream.release.set()
             assert await first == await repeat == (200, "300000")
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("repeat", "headers", "told"),
+    ("repeat", "headers", "expected"),
     [
         (0, {}, (409, "not-run", "owner_gone")),
         (1, {}, (409, "unknown", "owner_gone")),
@@ -217,15 +234,15 @@
     ],
 )
 def test_entrance_reports_not_run_only_for_a_first_use(
-    repeat: int, headers: dict[str, str], told: tuple[int, str, str]
+    repeat: int, headers: dict[str, str], expected: tuple[int, str, str]
 ) -> None:
-    """A binding runs whose caller was told that it was not run.
+    """The entrance reports "not run" only for the first use of a ticket.
 
-    Its first use is on its way through another entrance when the repeat is
-    refused here, before any owner was asked.
+    When it refuses a repeat without asking the owner, the first use may
+    still run through another entrance.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(Upstream()) as mesh:
             gone = once.new_owner("lost-1", "1", bytes(32), 9)
             issued = once.issue_ticket(gone, "back", "bind", 600.0, 0.0)
@@ -236,36 +253,36 @@
                 "sassafras-repeat": str(repeat),
             }
             request = mesh.call("back", headers=fields | headers)
-            assert await _refused(request) == told
+            assert await _status_and_refusal(request) == expected
 
-    run(story())
+    run(scenario())
 
 
 def test_internal_error_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A caller gets plain text, or nothing, where a daemon has a fault."""
+    """An internal error is reported to the caller as a refusal."""
 
     async def fault(*_: object) -> None:
         raise RuntimeError("fault")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(Upstream()) as mesh:
-            monkeypatch.setattr(mesh.front.entry, "ask", fault)
-            answer = await _refused(mesh.call("back"))
+            monkeypatch.setattr(mesh.front.entry, "exchange", fault)
+            answer = await _status_and_refusal(mesh.call("back"))
             reason = outcomes.Reason.INTERNAL_FAULT.value
             assert answer == (500, "unknown", reason)
             assert mesh.front.entry.entrance.pending == {}
 
-    run(story())
+    run(scenario())
 
 
-async def _whole(request: typing.Any) -> tuple[int, str]:
+async def _status_and_text(request: typing.Any) -> tuple[int, str]:
     async with request as answer:
         return answer.status, await answer.text()
 
 
-async def _refused(request: typing.Any) -> tuple[int, str, str]:
+async def _status_and_refusal(request: typing.Any) -> tuple[int, str, str]:
     async with request as answer:
         return (
             answer.status,
--- a/tests/runtime/test_early_part.py
+++ b/tests/runtime/test_early_part.py
@@ -19,7 +19,7 @@
 from sassafrasstair import upstreams
 from tests.runtime import meshes
 
-RUN = daemons.Run(
+LONG_REQUEST = daemons.Run(
     attempt_id="a.1",
     service="intake",
     request_class="stock-upload",
@@ -35,15 +35,19 @@
     headers=(),
     body=b"first",
     body_length=200_000,
-    more=True,
+    has_more_parts=True,
 )
-SHORT = msgspec.structs.replace(
-    RUN, service="back", request_class="look", body_length=5, more=False
+SHORT_REQUEST = msgspec.structs.replace(
+    LONG_REQUEST,
+    service="back",
+    request_class="look",
+    body_length=5,
+    has_more_parts=False,
 )
 
 
-def _new_slot() -> _slots.Slot:
-    return _slots.Slot(
+def _new_callee() -> _slots.Callee:
+    return _slots.Callee(
         service="intake",
         incarnation="i",
         clock=clocks.SystemClock(),
@@ -58,33 +62,35 @@
 
 
 def test_part_before_its_request_is_accepted() -> None:
-    """A shopkeeper's upload hangs for its whole deadline, then is unknown.
+    """Part 0 of a body is accepted although its request is handled later.
 
-    The entrance sends the request and asks whether its body is wanted, in
-    two exchanges. The callee handles the second one first and says no, so
-    no body is sent; then the request starts and waits for it.
+    The entrance sends the request and part 0 in two exchanges. The callee
+    handled part 0 first and rejected it, so no body was sent, and the
+    request waited for it until its deadline.
     """
 
-    async def story() -> None:
-        slot = _new_slot()
-        early = asyncio.create_task(
-            _bodies.receive_part(slot, daemons.BodyPart("a.1", 0, b""))
+    async def scenario() -> None:
+        callee = _new_callee()
+        part_task = asyncio.create_task(
+            _bodies.receive_part(callee, daemons.BodyPart("a.1", 0, b""))
         )
         await asyncio.sleep(0)
-        attempt = _attempts.new_attempt(RUN, slot.clock.monotonic() + 60)
-        _slots.add_attempt(slot, attempt)
+        attempt = _attempts.new_attempt(
+            LONG_REQUEST, callee.clock.monotonic() + 60
+        )
+        _slots.add_attempt(callee, attempt)
         attempt.admission.set_result(load.Start("a.1"))
-        assert await early == daemons.PartReply(True)
-        assert slot.arrival_events == {}
+        assert await part_task == daemons.PartReply(True)
+        assert callee.arrival_events == {}
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 def test_duplicate_request_gets_the_same_answer() -> None:
-    """A caller is told "not run" of what runs, and it runs again elsewhere.
+    """Both copies of a request that is delivered twice get its answer.
 
-    The link delivers a request twice; the second one was refused as not
-    run, and its answer may come before the first one's.
+    The second copy was refused as not run. If this refusal arrived first,
+    the request was retried elsewhere although it was running.
     """
     began = 0
 
@@ -94,30 +100,31 @@
         await asyncio.sleep(0.05)
         return web.Response(text="ok")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
+            callee = mesh.back.callee
             both = await asyncio.gather(
-                _execution.run(slot, SHORT), _execution.run(slot, SHORT)
+                _execution.run(callee, SHORT_REQUEST),
+                _execution.run(callee, SHORT_REQUEST),
             )
             assert [answer.body for answer in both] == [b"ok", b"ok"]
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
     assert began == 1
 
 
 def test_cancellation_before_its_request_prevents_it() -> None:
-    """An instance works for a caller that had gone before it began."""
+    """A request that arrives after its cancellation is not run."""
 
     async def upstream(_: web.BaseRequest) -> web.StreamResponse:
         raise AssertionError("nothing may run")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(upstream) as mesh:
-            slot = mesh.back.slot
-            _slots.cancel_attempt(slot, SHORT.attempt_id)
-            answer = await _execution.run(slot, SHORT)
+            callee = mesh.back.callee
+            _slots.cancel_attempt(callee, SHORT_REQUEST.attempt_id)
+            answer = await _execution.run(callee, SHORT_REQUEST)
             told = (answer.outcome, answer.reason)
             assert told == ("not run", outcomes.Reason.CANCELLED.value)
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
--- a/tests/runtime/test_planned_stop.py
+++ b/tests/runtime/test_planned_stop.py
@@ -15,8 +15,8 @@
     import pytest
 
 CALLERS = 40
-PAUSES = (0.0, 0.004, 0.1)
-DOWNLOAD = 2_000_000
+CALL_INTERVALS = (0.0, 0.004, 0.1)
+ANSWER_BYTES = 2_000_000
 
 
 async def upstream(request: web.BaseRequest) -> web.StreamResponse:
@@ -25,8 +25,10 @@
     return web.Response(text="ok")
 
 
-async def _calls(mesh: meshes.Mesh, pause: float, ends: typing.Any) -> None:
-    """Call front-1 until it says that it leaves; count how calls end."""
+async def _call_until_leaving(
+    mesh: meshes.Mesh, pause: float, ends: typing.Any
+) -> None:
+    """Call front-1 until it reports that it leaves; count results."""
     async with aiohttp.ClientSession() as http:
         caller = meshes.Mesh(mesh.front, mesh.back, http, mesh.url)
         while True:
@@ -46,65 +48,65 @@
 def test_stop_under_load_breaks_no_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A shopkeeper's request breaks off because a VM is replaced.
+    """No connection breaks off while a daemon stops under load.
 
-    Callers keep their connections and go on to send while the daemon
-    stops. A server that closes them at once cuts who has just sent; so each
-    is told to close its connection with an answer, and go elsewhere.
+    Callers keep their connections open and go on sending. If the server
+    closed them at once, requests that were just sent would be lost. Each
+    caller is therefore told in an answer to close its connection.
     """
-    monkeypatch.setattr(_daemon, "LEAVE_SECONDS", 0.5)
+    monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.5)
     ends: collections.Counter[str] = collections.Counter()
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(upstream) as mesh:
             async with asyncio.TaskGroup() as group:
                 for number in range(CALLERS):
-                    pause = PAUSES[number % len(PAUSES)]
-                    group.create_task(_calls(mesh, pause, ends))
+                    pause = CALL_INTERVALS[number % len(CALL_INTERVALS)]
+                    group.create_task(_call_until_leaving(mesh, pause, ends))
                 await meshes.until(lambda: ends["200"] > CALLERS)
                 runtime.stop(mesh.front)
                 runtime.stop(mesh.front)
 
-    asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), 4 * meshes.WAIT))
     assert ends.keys() == {"200", "503", "close"}
     assert ends["close"] == CALLERS
 
 
 def test_stop_waits_for_answers_in_transfer() -> None:
-    """A download ends in the middle because its entrance is replaced."""
+    """A planned stop waits for long answers that are still being sent."""
     go = asyncio.Event()
 
     async def halves(request: web.BaseRequest) -> web.StreamResponse:
         answer = web.StreamResponse()
-        answer.content_length = DOWNLOAD
+        answer.content_length = ANSWER_BYTES
         await answer.prepare(request)
-        await answer.write(bytes(DOWNLOAD // 2))
+        await answer.write(bytes(ANSWER_BYTES // 2))
         await go.wait()
-        await answer.write(bytes(DOWNLOAD // 2))
+        await answer.write(bytes(ANSWER_BYTES // 2))
         return answer
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(halves) as mesh:
             async with mesh.call("back") as answer:
                 runtime.stop(mesh.front)
                 runtime.stop(mesh.back)
                 await meshes.until(lambda: mesh.back.entry.leaving)
-                await asyncio.sleep(2 * _daemon.LEAVE_SECONDS)
+                await asyncio.sleep(2 * _daemon.LEAVE_NOTICE_SECONDS)
                 go.set()
-                assert len(await answer.read()) == DOWNLOAD
+                assert len(await answer.read()) == ANSWER_BYTES
 
-    asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), 4 * meshes.WAIT))
 
 
 def test_stop_of_a_callee_waits_for_running_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A lookup is lost because the VM that runs it is replaced.
+    """The planned stop of a callee waits for requests at its upstream.
 
-    It takes longer than the daemon there goes on after it said that it
-    leaves; the link to its entrance is then closed under it.
+    A request that takes longer than the leave notice was lost, because the
+    link to its entrance was closed while it ran.
     """
-    monkeypatch.setattr(_daemon, "LEAVE_SECONDS", 0.05)
+    monkeypatch.setattr(_daemon, "LEAVE_NOTICE_SECONDS", 0.05)
     began, go = asyncio.Event(), asyncio.Event()
 
     async def slow(request: web.BaseRequest) -> web.StreamResponse:
@@ -117,14 +119,16 @@
             await answer.read()
             return int(answer.status)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with meshes.started(slow) as mesh:
             asked = asyncio.create_task(ask(mesh))
             await began.wait()
             runtime.stop(mesh.back)
             await meshes.until(lambda: mesh.back.entry.leaving)
-            await asyncio.wait({asked}, timeout=10 * _daemon.LEAVE_SECONDS)
+            await asyncio.wait(
+                {asked}, timeout=10 * _daemon.LEAVE_NOTICE_SECONDS
+            )
             go.set()
             assert await asked == 200
 
-    asyncio.run(asyncio.wait_for(story(), 4 * meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), 4 * meshes.WAIT))
