--- a/src/sassafrasstair/console/commands/bench/hop.py
+++ b/src/sassafrasstair/console/commands/bench/hop.py
@@ -34,7 +34,7 @@
     seconds: float,
     rounds: int,
 ) -> None:
-    """Compare direct calls with calls through daemons; JSON on the last line.
+    """Measure the latency that daemons add; JSON on the last line.
 
     Start the processes first, for example with examples/hop.sh.
     """
