--- a/src/sassafrasstair/decisions/quotas/__init__.py
+++ b/src/sassafrasstair/decisions/quotas/__init__.py
@@ -16,10 +16,10 @@
 from sassafrasstair.decisions.quotas._limits import Limit
 from sassafrasstair.decisions.quotas._limits import limit_with_tolerance
 from sassafrasstair.decisions.quotas._limits import Rules
-from sassafrasstair.decisions.quotas._messages import Acknowledgement
-from sassafrasstair.decisions.quotas._messages import AllocationRequest
+from sassafrasstair.decisions.quotas._messages import Acknowledged
+from sassafrasstair.decisions.quotas._messages import Ask
 from sassafrasstair.decisions.quotas._messages import Grant
-from sassafrasstair.decisions.quotas._messages import GrantResponse
+from sassafrasstair.decisions.quotas._messages import Granted
 from sassafrasstair.decisions.quotas._messages import is_valid
 from sassafrasstair.decisions.quotas._messages import Need
 from sassafrasstair.decisions.quotas._messages import Update
@@ -46,11 +46,11 @@
 from sassafrasstair.decisions.quotas._stocks import track_request
 
 __all__ = [
-    "Acknowledgement",
+    "Acknowledged",
     "Allocator",
-    "AllocationRequest",
+    "Ask",
     "Grant",
-    "GrantResponse",
+    "Granted",
     "Limit",
     "Need",
     "Rules",
--- a/src/sassafrasstair/decisions/quotas/_allocators.py
+++ b/src/sassafrasstair/decisions/quotas/_allocators.py
@@ -115,7 +115,7 @@
 
 
 def answer_request(
-    allocator: Allocator, request: _messages.AllocationRequest, now: float
+    allocator: Allocator, request: _messages.Ask, now: float
 ) -> tuple[_messages.Grant, ...]:
     """Grant as many of the requested tokens as are available."""
     demands = {need.customer: need.demand for need in request.needs}
--- a/src/sassafrasstair/decisions/quotas/_messages.py
+++ b/src/sassafrasstair/decisions/quotas/_messages.py
@@ -24,7 +24,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AllocationRequest:
+class Ask:
     """A daemon's request for tokens from the allocator of its failure domain.
 
     ``host`` is the host of the daemon.
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantResponse:
+class Granted:
     """The answer to an ``Ask``.
 
     ``redirect`` is the host to ask instead, or '' if the request went to the
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Acknowledgement:
+class Acknowledged:
     """The answer to an ``Update``.
 
     ``mark`` identifies the process that answers, and ``adopting`` is its state
@@ -97,12 +97,12 @@
 def is_valid(message: object) -> bool:
     """Return whether all amounts of a message are finite and not negative."""
     match message:
-        case AllocationRequest():
+        case Ask():
             return all(
                 _is_amount(need.demand) and need.left >= 0 <= need.wanted
                 for need in message.needs
             )
-        case GrantResponse():
+        case Granted():
             return all(
                 grant.tokens >= 0 and _is_amount(grant.wait)
                 for grant in message.grants
@@ -110,7 +110,7 @@
         case Update():
             amounts = [*message.claims.values(), *message.demands.values()]
             return all(map(_is_amount, amounts))
-        case Acknowledgement():
+        case Acknowledged():
             return all(map(_is_amount, message.yours.values()))
     return False
 
--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -226,15 +226,13 @@
 
 def receive_update(
     shares: Shares, update: _messages.Update, now: float
-) -> _messages.Acknowledgement:
+) -> _messages.Acknowledged:
     """Apply an update from another domain; return its acknowledgement."""
     peer = shares.peer_domains.get(update.domain)
     if peer is None:
-        return _messages.Acknowledgement(
-            shares.mark, "", "", shares.adopting, {}
-        )
+        return _messages.Acknowledged(shares.mark, "", "", shares.adopting, {})
     if peer.mark != update.mark and not _may_take_over(peer, update, now):
-        return _messages.Acknowledgement(
+        return _messages.Acknowledged(
             shares.mark, "", peer.host, shares.adopting, {}
         )
     reserved = dict(peer.claims) if update.adopting else {}
@@ -253,7 +251,7 @@
                 peer.claims_known = True
             peer.claims.update(update.claims)
             peer.demands.update(update.demands)
-    return _messages.Acknowledgement(
+    return _messages.Acknowledged(
         shares.mark, "", "", shares.adopting, reserved
     )
 
@@ -262,7 +260,7 @@
     shares: Shares,
     domain: str,
     update: _messages.Update,
-    answer: _messages.Acknowledgement,
+    answer: _messages.Acknowledged,
     now: float,
 ) -> None:
     """Apply the acknowledgement of an update that was sent."""
--- a/src/sassafrasstair/forwarding/_quota_wire.py
+++ b/src/sassafrasstair/forwarding/_quota_wire.py
@@ -13,12 +13,7 @@
 SHARES_PATH = b"/-sassafras/quota/shares"
 _T = typing.TypeVar("_T")
 
-Message = (
-    quotas.AllocationRequest
-    | quotas.GrantResponse
-    | quotas.Update
-    | quotas.Acknowledgement
-)
+Message = quotas.Ask | quotas.Granted | quotas.Update | quotas.Acknowledged
 
 
 def encode(message: Message) -> bytes:
--- a/src/sassafrasstair/forwarding/_quotas.py
+++ b/src/sassafrasstair/forwarding/_quotas.py
@@ -142,7 +142,7 @@
     tokens = daemon.tokens
     host = _choose_allocator(daemon, now)
     tokens.asked_at, tokens.ask_soon = now, False
-    request = quotas.AllocationRequest(
+    request = quotas.Ask(
         daemon.feed.own_host, quotas.list_needs(tokens.stocks, now)
     )
     if host == daemon.feed.own_host:
@@ -204,7 +204,7 @@
         _allocator_failed(daemon, host, f"status {result.status}")
         return
     try:
-        granted = _quota_wire.decode(result.body, quotas.GrantResponse)
+        granted = _quota_wire.decode(result.body, quotas.Granted)
     except _wire.WireError as error:
         _allocator_failed(daemon, host, str(error))
         return
@@ -226,7 +226,7 @@
 
 def _apply_grants(
     daemon: _state.Daemon,
-    granted: quotas.GrantResponse,
+    granted: quotas.Granted,
     host: str,
     asked_at: float,
 ) -> None:
--- a/src/sassafrasstair/forwarding/_shares.py
+++ b/src/sassafrasstair/forwarding/_shares.py
@@ -78,9 +78,7 @@
     return allocation
 
 
-def grant_tokens(
-    daemon: _state.Daemon, request: quotas.AllocationRequest
-) -> quotas.GrantResponse:
+def grant_tokens(daemon: _state.Daemon, request: quotas.Ask) -> quotas.Granted:
     """Return tokens for a daemon of this failure domain."""
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
@@ -88,10 +86,8 @@
     _apply_policy(daemon, allocation, now)
     allocator = allocation.allocator
     if allocator.shares.other_allocator:
-        return quotas.GrantResponse(allocator.shares.other_allocator, ())
-    return quotas.GrantResponse(
-        "", quotas.answer_request(allocator, request, now)
-    )
+        return quotas.Granted(allocator.shares.other_allocator, ())
+    return quotas.Granted("", quotas.answer_request(allocator, request, now))
 
 
 def serve(
@@ -99,10 +95,10 @@
 ) -> None:
     """Answer a request for tokens, or an update of another allocator."""
     body = exchange.request.body
-    answer: quotas.GrantResponse | quotas.Acknowledgement
+    answer: quotas.Granted | quotas.Acknowledged
     try:
         if path == _quota_wire.TOKENS_PATH:
-            request = _quota_wire.decode(body, quotas.AllocationRequest)
+            request = _quota_wire.decode(body, quotas.Ask)
             answer = grant_tokens(daemon, request)
         else:
             update = _quota_wire.decode(body, quotas.Update)
@@ -116,14 +112,14 @@
 
 def _receive_update(
     daemon: _state.Daemon, update: quotas.Update
-) -> quotas.Acknowledgement:
+) -> quotas.Acknowledged:
     now = daemon.clock.monotonic()
     allocation = activate(daemon, now)
     allocator = allocation.allocator
     shares = allocator.shares
     if shares.other_allocator:
         redirect = shares.other_allocator
-        return quotas.Acknowledgement(shares.mark, redirect, "", True, {})
+        return quotas.Acknowledged(shares.mark, redirect, "", True, {})
     quotas.fill_buckets(allocator, now)
     answer = quotas.receive_update(shares, update, now)
     if not answer.occupied:
@@ -276,11 +272,11 @@
 
 def _decode_acknowledgement(
     daemon: _state.Daemon, result: httpio.Response | httpio.Failure
-) -> quotas.Acknowledgement | None:
+) -> quotas.Acknowledged | None:
     if isinstance(result, httpio.Failure) or result.status != 200:
         return None
     try:
-        return _quota_wire.decode(result.body, quotas.Acknowledgement)
+        return _quota_wire.decode(result.body, quotas.Acknowledged)
     except _wire.WireError as error:
         daemon.journal.note("peer_malformed", error=str(error))
         return None
--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -455,10 +455,10 @@
     "snapshot": _snapshot(),
     "crash records": _crash_records(),
     "quota ask": _quota(
-        quotas.AllocationRequest("10.0.0.5", (quotas.Need("c", 4.5, 3, 7),))
+        quotas.Ask("10.0.0.5", (quotas.Need("c", 4.5, 3, 7),))
     ),
     "quota granted": _quota(
-        quotas.GrantResponse("10.0.0.6", (quotas.Grant("c", 7, 0.5),))
+        quotas.Granted("10.0.0.6", (quotas.Grant("c", 7, 0.5),))
     ),
     "quota update": _quota(
         quotas.Update(
@@ -466,7 +466,7 @@
         )
     ),
     "quota acknowledged": _quota(
-        quotas.Acknowledgement("m", "10.0.0.6", "10.0.0.7", True, {"c": 0.25})
+        quotas.Acknowledged("m", "10.0.0.6", "10.0.0.7", True, {"c": 0.25})
     ),
     "bundle": _bundle(),
     "envelope": _envelope(),
