--- a/src/sassafrasstair/decisions/fleet/__init__.py
+++ b/src/sassafrasstair/decisions/fleet/__init__.py
@@ -4,6 +4,29 @@
 ``handle_request``, and passes the result of each of its own exchanges to
 ``process_reply`` or ``unreachable``. It carries out the effects that these
 functions return.
+
+These terms have one meaning in all modules of this package:
+
+- Platform: the configuration service that holds the VM list and the bundles.
+- Index: the platform's change counter for a key, here that of the VM list.
+- Bundle: the configuration of the mesh, which operators sign and publish.
+- Envelope: the signed form of a bundle, its payload with the approvals.
+- Settled: a daemon has finished its bootstrap, that is, it has learned enough
+  from peers to serve. Messages and the status page use the same word.
+- Exchange: one request to a peer's daemon and the reply to it.
+- Call: a request for a service that the daemon sends to another VM. Calls are
+  sent elsewhere; this package only learns whether the peer answered.
+- Contact: an exchange or call, as evidence of whether the peer is reachable.
+- Probe: a gossip exchange with a short timeout that tests one VM.
+- Check: a liveness check of one VM, made of this daemon's own probe and, if
+  asked for, of the probes of helpers.
+- Gossip: the periodic exchange of summaries with one peer per round.
+- Push: gossip that is sent at once, because an update is urgent.
+- Sync: anti-entropy. Summaries carry a checksum of the member table; where
+  it differs, a daemon fetches the members of the buckets that differ.
+- Rumour: an update about one VM. Each change queues one, and every message
+  of gossip and push, replies included, carries some of those queued. A
+  rumour that only says that a VM serves is an announcement.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/decisions/fleet/_fetches.py
+++ b/src/sassafrasstair/decisions/fleet/_fetches.py
@@ -1,4 +1,4 @@
-"""Fetching of new bundles and differing members from peers."""
+"""Fetches from peers: new bundles, and members that differ (anti-entropy)."""
 
 from __future__ import annotations
 
@@ -70,7 +70,7 @@
 def try_next_peer(
     node: _states.Node, bundle_id: _messages.BundleId, now: float
 ) -> list[_effects.Effect]:
-    """Ask the next peer for ``bundle``; give up if there is none."""
+    """Ask the next peer for ``bundle_id``; give up if there is none."""
     fetch = node.fetches.pop(bundle_id, None)
     if fetch is None or not fetch.other_addresses:
         return []
@@ -113,7 +113,13 @@
 def sync_members(
     node: _states.Node, peer: _messages.Summary, now: float
 ) -> list[_effects.Effect]:
-    """Fetch the differing members if the tables stay different."""
+    """Fetch the differing members if the tables stay different.
+
+    A difference may be due to rumours that are still on their way. The fetch
+    therefore waits until no rumour is queued here and the next sync is due;
+    a daemon that has no VM list yet waits only while a sync is pending.
+    Equal checksums mean that the peer's VM list has taken effect here too.
+    """
     lacks_vm_list = node.vm_list_index == 0 and peer.vm_list_index > 0
     if peer.members_checksum == _members.checksum(node):
         node.vm_list_index = max(node.vm_list_index, peer.vm_list_index)
@@ -165,8 +171,8 @@
 def _block_fetch(
     node: _states.Node, bundle_id: _messages.BundleId, now: float
 ) -> None:
-    # Otherwise a bundle that a peer announces and this daemon refuses would
-    # be fetched again at each exchange.
+    # Otherwise a bundle that a peer lists in its summary and this daemon
+    # refuses would be fetched again at each exchange.
     while len(node.fetch_blocked_until) >= MAX_BLOCKED_FETCHES:
         del node.fetch_blocked_until[next(iter(node.fetch_blocked_until))]
     node.fetch_blocked_until[bundle_id] = now + FETCH_BLOCK_TIME
--- a/src/sassafrasstair/decisions/fleet/_members.py
+++ b/src/sassafrasstair/decisions/fleet/_members.py
@@ -1,8 +1,11 @@
 """The member table: a merge of rumours that is independent of their order.
 
 Rumours about one incarnation of a VM are ordered by revision, which only
-the VM's own daemon raises, and then by severity. ``leaving`` is never
-cleared within an incarnation. A greater incarnation replaces all state.
+the VM's own daemon raises, and then by liveness, where a worse state wins:
+serving, suspected, gone. ``leaving`` is never cleared within an incarnation.
+A greater incarnation replaces all state. A rumour with an empty incarnation
+comes from the VM list and keeps the incarnation and the revision of the
+member that it applies to.
 """
 
 from __future__ import annotations
@@ -24,7 +27,12 @@
 MAX_RUMOURS = 12
 MAX_QUEUED_ANNOUNCEMENTS = 64
 PRIORITY_OFFSET = 1_000
-"""Added to the transmissions left of rumours that are sent first."""
+"""Added to the transmissions left of urgent rumours, so they sort first.
+
+Urgent are the rumours that a VM is suspected, gone or leaving.
+A value of 1_000 + n in ``transmissions_left`` means an urgent rumour with n
+transmissions left.
+"""
 
 # Transmissions per rumour, as a factor of the logarithm of the fleet's size.
 RETRANSMIT_FACTOR = 1.5
@@ -37,7 +45,11 @@
 
 
 def is_usable(node: _states.Node, member: _states.Member, now: float) -> bool:
-    """Return whether ``member`` may be given new work."""
+    """Return whether ``member`` may be given new work.
+
+    A VM is leaving if a merged rumour says so, or if the record by which
+    this daemon knows the VM does.
+    """
     if member.liveness != _messages.SERVING or member.leaving:
         return False
     if member.record.state == "leaving" or member.ejected:
@@ -49,7 +61,7 @@
 
 
 def is_serving(member: _states.Member) -> bool:
-    """Return whether ``member`` is believed to take part in gossip."""
+    """Return whether ``member`` is neither suspected nor gone."""
     return member.liveness == _messages.SERVING
 
 
@@ -67,7 +79,10 @@
 
 
 def invalidate_caches(node: _states.Node, membership: bool = False) -> None:
-    """Invalidate the caches of usable VMs, and those of members if asked."""
+    """Invalidate the cached call targets.
+
+    With ``membership`` the cached gossip partners and watchers as well.
+    """
     node.usability_version += 1
     if membership:
         node.membership_version += 1
@@ -93,7 +108,7 @@
 def record_incarnation(
     node: _states.Node, vm: str, incarnation: str, now: float
 ) -> None:
-    """Record that ``vm`` itself reported to run ``incarnation``."""
+    """Record ``incarnation``, which the daemon on ``vm`` sent itself."""
     rumour = _messages.Rumour(vm, incarnation, 0, _messages.SERVING)
     if merge(node, rumour, now):
         queue_rumour(node, vm)
@@ -111,7 +126,7 @@
         or len(node.transmissions_left) < MAX_QUEUED_ANNOUNCEMENTS
     ):
         # When a whole fleet starts, every daemon announces itself. Beyond
-        # this limit, announcements spread by the comparison of tables.
+        # this limit, peers learn of serving members by a sync.
         node.transmissions_left[vm] = transmissions
 
 
@@ -122,7 +137,8 @@
 ) -> tuple[_messages.Rumour, ...]:
     """Return the rumours for one message, most transmissions left first.
 
-    Rumours in ``known``, which the receiver has just sent, are left out.
+    Each returned rumour has one transmission less left. Rumours in
+    ``known``, which the receiver has just sent, are left out.
     """
     known_vms = {rumour.vm for rumour in known if _matches_table(node, rumour)}
     candidates = [vm for vm in node.transmissions_left if vm not in known_vms]
@@ -171,7 +187,8 @@
 ) -> None:
     """Give a returned member no work for a time that grows as it flaps."""
     # Without hysteresis a VM close to failure would receive work and lose
-    # it again every second. Each return within a minute doubles the wait.
+    # it again every second. Each return within a minute after the end of
+    # the last hold-down doubles the wait.
     if now - member.hold_down_until > FLAP_WINDOW:
         member.flaps = 0
     wait = min(MIN_HOLD_DOWN * 2**member.flaps, MAX_HOLD_DOWN)
@@ -192,7 +209,12 @@
 
 
 def stop_sending_record(node: _states.Node, vm: str) -> None:
-    """Note that peers already have the record of ``vm``."""
+    """Omit the record of ``vm`` from rumours, since peers have it.
+
+    This holds for a record that a peer sent in a sync, and for an entry
+    that a later VM list leaves as it was: the watchers of every failure
+    domain read that list.
+    """
     node.records_to_send.discard(vm)
 
 
@@ -211,12 +233,17 @@
 
 
 def _matches_table(node: _states.Node, rumour: _messages.Rumour) -> bool:
+    """Return whether ``rumour`` says what the member table says."""
     member = node.members.get(rumour.vm)
     return member is not None and _is_redundant(member, rumour)
 
 
 def _is_redundant(member: _states.Member, rumour: _messages.Rumour) -> bool:
-    """Return whether ``rumour`` equals the state of ``member``."""
+    """Return whether ``rumour`` cannot change ``member``.
+
+    A record that says "leaving" is never redundant: the merge may still
+    have to apply it.
+    """
     return (
         rumour.incarnation == member.incarnation
         and rumour.revision == member.revision
@@ -253,7 +280,9 @@
         member.liveness,
     )
     # The VM list names no incarnation: its entry applies to the running
-    # incarnation, which refutes it if it is wrong.
+    # incarnation, which refutes it if it is wrong. Only a worse liveness and
+    # ``leaving`` are taken from it; the incarnation, the revision and
+    # ``platform_unreachable`` are kept.
     from_vm_list = not rumour.incarnation and bool(member.incarnation)
     if from_vm_list:
         member.liveness = max(member.liveness, rumour.liveness)
@@ -267,6 +296,11 @@
 def _replace_incarnation(
     member: _states.Member, rumour: _messages.Rumour
 ) -> None:
+    """Replace the state by that of a later process on the VM.
+
+    ``leaving`` is kept if no incarnation was known before: then it came from
+    the VM list, which does not name processes.
+    """
     had_incarnation = bool(member.incarnation)
     member.leaving = rumour.leaving or (member.leaving and not had_incarnation)
     member.incarnation = rumour.incarnation
@@ -280,6 +314,11 @@
 def _apply_listed_leaving(
     member: _states.Member, record: _messages.Record | None
 ) -> None:
+    """Set ``leaving`` if the record says so.
+
+    The rest of a record, such as the address, changes only with a greater
+    incarnation.
+    """
     if record is None or record.vm != member.record.vm:
         return
     if record.state == "leaving":
@@ -292,6 +331,7 @@
     old_state: tuple[str, int, int, bool, bool],
     now: float,
 ) -> None:
+    """Update what depends on ``member``; ``old_state`` is as before."""
     node.by_address[member.record.address] = member.record.vm
     member.changed_at = now
     _track_not_serving(node, member)
@@ -305,7 +345,7 @@
         invalidate_caches(node, membership=True)
     # A change from suspected to gone does not affect calls and can wait
     # for the next rounds. Otherwise the loss of a rack would be pushed
-    # twice.
+    # twice: when its VMs are suspected, and when they are marked as gone.
     if _takes_work(old_state[2], old_state[3]) != _takes_work(
         member.liveness, member.leaving
     ):
@@ -324,6 +364,11 @@
 
 
 def _merged_state(member: _states.Member) -> tuple[str, int, int, bool, bool]:
+    """Return the fields that rumours change.
+
+    Item 2 is the liveness and item 3 is ``leaving``. Items from 2 on decide
+    whether the member takes work or watches the platform.
+    """
     return (
         member.incarnation,
         member.revision,
@@ -334,6 +379,7 @@
 
 
 def _take_rumour(node: _states.Node, vm: str) -> _messages.Rumour:
+    """Return the rumour about ``vm`` and count one transmission of it."""
     node.transmissions_left[vm] -= 1
     if node.transmissions_left[vm] in (0, PRIORITY_OFFSET):
         del node.transmissions_left[vm]
@@ -342,6 +388,11 @@
 
 
 def _xor_into_checksum(node: _states.Node, member: _states.Member) -> None:
+    """Add ``member`` to the checksum of its bucket, or take it out.
+
+    The checksum is the XOR of the members' digests, so the same operation
+    does both: callers apply it before and after they change a member.
+    """
     # Members that are gone are left out of the checksums: daemons remove
     # them at different times, which must not count as a difference.
     if member.liveness == _messages.GONE:
--- a/src/sassafrasstair/decisions/fleet/_messages.py
+++ b/src/sassafrasstair/decisions/fleet/_messages.py
@@ -11,6 +11,8 @@
 
 import msgspec
 
+# Values of ``Liveness``, from best to worst: of two rumours of one revision
+# the greater value wins.
 SERVING = 0
 SUSPECTED = 1
 GONE = 2
@@ -36,12 +38,13 @@
 class Rumour(msgspec.Struct, frozen=True, array_like=True):
     """Membership update about one VM; merging two yields the later state.
 
-    ``incarnation`` orders the processes that have run on the VM; it is empty
-    if the update comes from the VM list alone. ``revision`` is raised only
-    by the VM's own daemon, to override what peers report about it.
-    ``leaving`` means that the VM takes no new work, and
-    ``platform_unreachable`` that its daemon cannot read the platform.
-    ``record`` is omitted where peers must have it already.
+    ``incarnation`` orders the processes that have run on the VM: a restart
+    has a greater one. It is empty if the update comes from the VM list
+    alone, which does not name processes. ``revision`` is raised only by the
+    VM's own daemon, to override what peers report about it; SWIM calls this
+    counter the incarnation. ``leaving`` means that the VM takes no new work,
+    and ``platform_unreachable`` that the daemon on the VM cannot read the
+    platform. ``record`` is omitted where peers must have it already.
     """
 
     vm: str
@@ -64,11 +67,12 @@
     """State of a daemon and the rumours that it passes on.
 
     ``vm``, ``address`` and ``incarnation`` identify the sender. ``settled``
-    tells whether it has learned enough from peers to serve.
-    ``vm_list_index`` is the platform index of the VM list that it has
-    applied, ``members_checksum`` the checksum of its member table,
-    ``bundle_ids`` the bundles that it stores, and ``unreachable_domains``
-    the failure domains that it cannot reach.
+    tells whether the sender has finished its bootstrap, that is, whether it
+    has learned enough from peers to serve. ``vm_list_index`` is the platform
+    index of the VM list that the sender has applied, ``members_checksum``
+    the checksum of its member table, ``bundle_ids`` the bundles that it
+    stores, and ``unreachable_domains`` the failure domains that it cannot
+    reach.
     """
 
     vm: str
@@ -110,7 +114,11 @@
 
 
 class MembersReply(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """Reply: compressed msgpack of ``tuple[Rumour, ...]`` with records."""
+    """Reply: compressed msgpack of ``tuple[Rumour, ...]`` with records.
+
+    ``vm_list_index`` is the platform index of the VM list that the peer has
+    applied.
+    """
 
     compressed_rumours: bytes
     vm_list_index: int
@@ -129,7 +137,11 @@
 
 
 class ProbeResult(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Request: whether the sender reached the VM that it probed."""
+    """Request: tells the asker whether ``sender`` reached ``vm``.
+
+    The result of a probe arrives later than the reply to ``ProbeRequest``
+    and is therefore a request of its own.
+    """
 
     vm: str
     sender: str
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -1,4 +1,8 @@
-"""Entry points of a daemon: ticks, requests, replies and failures."""
+"""Entry points that update the daemon's state and return effects.
+
+They process ticks, requests, replies, failed exchanges, results of platform
+reads and observed calls.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +27,7 @@
 
 # Seconds. A longer gap between ticks counts as a pause of this process.
 PAUSE_THRESHOLD = 1.5
-# Seconds after a pause in which failed contacts are ignored.
+# Seconds after a pause in which failed exchanges and calls are ignored.
 FAILURE_GRACE_PERIOD = 1.0
 EXPIRY_INTERVAL = 1.0
 
@@ -83,7 +87,10 @@
     now: float,
     rng: random.Random,
 ) -> tuple[_messages.Message | None, list[_effects.Effect]]:
-    """Handle a message of a peer; the reply is None if it is no request."""
+    """Handle a request of a peer and return the reply to it.
+
+    The reply is None if the message is not a request but itself a reply.
+    """
     effects = _detect_pause(node, now)
     reply: _messages.Message | None = _messages.Receipt()
     if isinstance(message, _messages.Gossip):
@@ -154,7 +161,10 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Process the values of the platform's bundle keys at ``index``."""
+    """Process the envelopes in the platform's bundle keys.
+
+    ``index`` is the platform index of this read.
+    """
     effects = _platform.process_bundles(node, envelopes)
     return effects + _spreads.push_if_due(node, now, rng)
 
@@ -166,7 +176,7 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Process the platform's VM list at ``index``."""
+    """Process the platform's VM list, as of ``vm_list_index``."""
     effects = _platform.process_vms(node, records, vm_list_index, now)
     return effects + _spreads.push_if_due(node, now, rng)
 
@@ -174,7 +184,7 @@
 def process_platform_failure(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Process a lost or overflowed watch, or a failed read."""
+    """Process a lost or overflowed platform watch, or a failed read."""
     effects = _platform.process_failure(node, rng)
     return effects + _spreads.push_if_due(node, now, rng)
 
@@ -182,7 +192,7 @@
 def set_leaving(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Announce that this VM takes no new work from now on."""
+    """Tell peers that this VM takes no new work from now on."""
     own_member = node.members[node.local_record.vm]
     rumour = _messages.Rumour(
         node.local_record.vm,
@@ -207,7 +217,8 @@
 ) -> None:
     """Record whether the daemon on ``vm`` answered a call.
 
-    ``incarnation`` is empty if it did not answer.
+    ``incarnation`` is what the daemon answered, empty if it did not. The
+    next tick processes failed calls and returns pending effects.
     """
     member = node.members.get(vm)
     if member is None or vm == node.local_record.vm:
@@ -228,7 +239,7 @@
 def _detect_pause(node: _states.Node, now: float) -> list[_effects.Effect]:
     """Discard pending failures after a pause of this process."""
     # When a process resumes after a pause, every exchange is overdue: it
-    # would suspect all its peers and spread that suspicion.
+    # would suspect all its peers and gossip that suspicion.
     gap = now - node.last_tick_at
     if gap <= PAUSE_THRESHOLD:
         return []
@@ -258,7 +269,11 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Process all parts of a peer's summary."""
+    """Process all parts of a peer's summary.
+
+    A peer of an older incarnation than the known one is not recorded as
+    reached: its process has been replaced.
+    """
     effects: list[_effects.Effect] = []
     member = node.members.get(peer.vm)
     if member is not None and peer.incarnation > member.incarnation:
@@ -287,7 +302,11 @@
 def _process_own_rumour(
     node: _states.Node, rumour: _messages.Rumour, now: float
 ) -> list[_effects.Effect]:
-    """Refute a suspicion of this VM; accept that it is leaving."""
+    """Refute a suspicion of this VM; accept that it is leaving.
+
+    A suspicion is refuted by a greater revision. A greater incarnation
+    belongs to a later process on this VM and is only logged.
+    """
     if rumour.incarnation > node.incarnation:
         fields = {"incarnation": rumour.incarnation}
         return [_effects.ReportEvent("incarnation_superseded", fields)]
--- a/src/sassafrasstair/decisions/fleet/_platform.py
+++ b/src/sassafrasstair/decisions/fleet/_platform.py
@@ -1,4 +1,4 @@
-"""When this daemon reads or watches the platform.
+"""Reads and watches of the platform, and the VM list and bundles from it.
 
 Two daemons of each failure domain hold a watch; all others learn of changes
 from peers. A daemon reads all platform keys once after a lost watch. A new
@@ -21,11 +21,13 @@
     from collections import abc
     import random
 
-# Delays are in seconds.
+# Times are in seconds. A new daemon waits for ``PEERS_FIRST_DELAY`` and a
+# random part of ``FIRST_READ_JITTER`` for a bundle from peers.
 PEERS_FIRST_DELAY = 1.0
-FIRST_READ_SPREAD = 6.0
-LOST_WATCH_SPREAD = 2.0
+FIRST_READ_JITTER = 6.0
+LOST_WATCH_JITTER = 2.0
 MAX_BACKOFF = 30.0
+# Time after the start from which the known peers count as all peers.
 PEERS_KNOWN_DELAY = 15.0
 # Consecutive failures after which peers are told of them.
 FAILURES_TO_REPORT = 3
@@ -81,6 +83,7 @@
     present: abc.Container[str],
     now: float,
 ) -> None:
+    """Mark the VMs of ``previous`` that are not ``present`` as gone."""
     for vm in previous:
         if vm not in present and _merge_unlisted(node, vm, now):
             _members.queue_rumour(node, vm)
@@ -94,7 +97,7 @@
     if node.bundles_by_id and not node.watching:
         node.read_pending = False
         return []
-    max_delay = LOST_WATCH_SPREAD * 2 ** min(node.platform_failures - 1, 6)
+    max_delay = LOST_WATCH_JITTER * 2 ** min(node.platform_failures - 1, 6)
     node.read_pending = True
     delay = rng.uniform(0.0, min(max_delay, MAX_BACKOFF))
     if node.platform_failures == FAILURES_TO_REPORT:
@@ -126,10 +129,11 @@
 
 def first_read_at(now: float, rng: random.Random) -> float:
     """Return when a daemon without a bundle from peers reads by itself."""
-    return now + PEERS_FIRST_DELAY + rng.uniform(0.0, FIRST_READ_SPREAD)
+    return now + PEERS_FIRST_DELAY + rng.uniform(0.0, FIRST_READ_JITTER)
 
 
 def _knows_peers(node: _states.Node, now: float) -> bool:
+    """Return whether the member table can be expected to be complete."""
     # When all daemons start at once, each knows only its seeds and would
     # be among the first two of those: the whole fleet would watch.
     return node.vm_list_index > 0 or now - node.started_at > PEERS_KNOWN_DELAY
@@ -143,6 +147,7 @@
 
 
 def _set_platform_unreachable(node: _states.Node, unreachable: bool) -> None:
+    """Tell peers whether this daemon can read the platform."""
     own_member = node.members[node.local_record.vm]
     node.revision += 1
     rumour = _messages.Rumour(
--- a/src/sassafrasstair/decisions/fleet/_queries.py
+++ b/src/sassafrasstair/decisions/fleet/_queries.py
@@ -40,21 +40,24 @@
 
 
 def is_leaving(node: _states.Node) -> bool:
-    """Return whether this VM is leaving, by its own or others' word."""
+    """Return whether this VM is leaving.
+
+    The VM itself, a peer or the VM list may have said so.
+    """
     return node.members[node.local_record.vm].leaving
 
 
 def status(node: _states.Node) -> dict[str, typing.Any]:
     """Return the JSON object that ``sassafras status`` shows."""
-    lives = [member.liveness for member in node.members.values()]
+    liveness_values = [member.liveness for member in node.members.values()]
     return {
         "vm": node.local_record.vm,
         "incarnation": node.incarnation,
         "settled": node.settled,
         "in_force": _bundle_status(node.in_force),
         "held": [
-            _bundle_status(node.bundles_by_id[one])
-            for one in sorted(node.bundles_by_id)
+            _bundle_status(node.bundles_by_id[bundle_id])
+            for bundle_id in sorted(node.bundles_by_id)
         ],
         "refused": dict(node.refusal_reasons),
         "conflicts": {str(v): d for v, d in node.dropped_digests.items()},
@@ -62,10 +65,10 @@
         "watching": node.watching,
         "platform_failures": node.platform_failures,
         "members": {
-            "known": len(lives),
-            "serving": lives.count(_messages.SERVING),
-            "suspected": lives.count(_messages.SUSPECTED),
-            "gone": lives.count(_messages.GONE),
+            "known": len(liveness_values),
+            "serving": liveness_values.count(_messages.SERVING),
+            "suspected": liveness_values.count(_messages.SUSPECTED),
+            "gone": liveness_values.count(_messages.GONE),
             "leaving": sum(m.leaving for m in node.members.values()),
             "barred": sorted(node.ejected),
         },
--- a/src/sassafrasstair/decisions/fleet/_reaches.py
+++ b/src/sassafrasstair/decisions/fleet/_reaches.py
@@ -1,8 +1,9 @@
 """Reachability of the other failure domains from this daemon.
 
-Each daemon decides by its own contacts. A report from a peer of its own
-domain, that a domain is unreachable or reachable again, only makes it probe
-that domain itself, so no agreement between daemons is needed.
+Each daemon decides by its own contacts, that is, by its exchanges and calls.
+A report from a peer of its own domain, that another domain is unreachable or
+reachable again, only makes this daemon probe that domain itself, so no
+agreement between daemons is needed.
 """
 
 from __future__ import annotations
@@ -25,11 +26,12 @@
 UNREACHABLE_FAILURES = 3
 # Seconds.
 PROBE_INTERVAL = 2.0
+# Number of VMs that are probed at once in a domain that may be unreachable.
 PROBES_PER_DOMAIN = 3
 
 
 def is_unreachable(node: _states.Node, domain: str) -> bool:
-    """Return whether ``domain`` cannot be reached from here."""
+    """Return whether this daemon cannot reach ``domain``."""
     reach = node.reachability.get(domain)
     return reach is not None and reach.unreachable
 
@@ -88,6 +90,7 @@
 
 
 def _readmit_domain(node: _states.Node, domain: str) -> None:
+    """Let the ejected VMs of ``domain`` take work again."""
     for vm in list(node.ejected):
         member = node.members[vm]
         if member.record.failure_domain == domain:
@@ -102,7 +105,11 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Record a failed contact; detect that the domain is unreachable."""
+    """Record a failed contact with ``member`` of another failure domain.
+
+    The domain becomes unreachable at the threshold; below it, some of its
+    VMs are probed.
+    """
     domain = member.record.failure_domain
     reach = node.reachability.setdefault(domain, _states.DomainReachability())
     for vm in [
@@ -123,6 +130,7 @@
 
 
 def _failure_threshold(node: _states.Node, domain: str) -> int:
+    """Return the number of failed VMs that makes ``domain`` unreachable."""
     serving = sum(
         member.record.failure_domain == domain and _members.is_serving(member)
         for member in node.members.values()
--- a/src/sassafrasstair/decisions/fleet/_spreads.py
+++ b/src/sassafrasstair/decisions/fleet/_spreads.py
@@ -1,4 +1,8 @@
-"""Choice of gossip peers, pushes of updates, and settling after a start."""
+"""Periodic gossip, pushes of urgent updates, and the bootstrap of a daemon.
+
+A daemon settles, that is, ends its bootstrap, once it has learned enough from
+peers to serve.
+"""
 
 from __future__ import annotations
 
@@ -65,7 +69,10 @@
 def push_if_due(
     node: _states.Node, now: float, rng: random.Random
 ) -> list[_effects.Effect]:
-    """Push urgent updates without waiting for the next round."""
+    """Push urgent updates without waiting for the next round.
+
+    Pushes of rumours are limited in rate by tokens, one per receiver.
+    """
     effects: list[_effects.Effect] = []
     if node.bundle_push_pending and node.settled:
         # Bundles need no token: only operators can publish them.
@@ -103,6 +110,7 @@
 
 
 def _knows_enough(node: _states.Node, now: float) -> bool:
+    """Return whether the answers of peers, or the time, suffice to settle."""
     waited = now - node.started_at
     if node.fetches:
         return waited >= MAX_SETTLE_WAIT
@@ -154,22 +162,22 @@
     """Gossip with a few peers that have not answered as settled yet."""
     addresses: set[str] = set()
 
-    def unanswered(member: _states.Member) -> bool:
+    def unsettled(member: _states.Member) -> bool:
         address = member.record.address
         return (
             not node.peer_settled_by_address.get(address)
             and address not in addresses
         )
 
-    def unanswered_own(member: _states.Member) -> bool:
+    def unsettled_own(member: _states.Member) -> bool:
         same = member.record.failure_domain == node.local_record.failure_domain
-        return same and unanswered(member)
+        return same and unsettled(member)
 
     node.gossip_round += 1
     filters = (
-        (unanswered_own, unanswered_own, unanswered)
+        (unsettled_own, unsettled_own, unsettled)
         if node.gossip_round <= WIDE_BOOTSTRAP_ROUNDS
-        else (unanswered_own,)
+        else (unsettled_own,)
     )
     for accept in filters:
         vm = _subsets.random_member(node, rng, accept)
@@ -206,6 +214,7 @@
 def _push_to_random(
     node: _states.Node, own_count: int, other_count: int, rng: random.Random
 ) -> list[_effects.Effect]:
+    """Gossip with random peers of the own and of other failure domains."""
     chosen: set[str] = set()
 
     def in_own_domain(member: _states.Member) -> bool:
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -1,4 +1,4 @@
-"""State of one daemon's view of the fleet."""
+"""Data classes of one daemon's state: members, checks, domains, bundles."""
 
 from __future__ import annotations
 
@@ -23,12 +23,14 @@
 
     ``incarnation``, ``revision``, ``liveness``, ``leaving`` and
     ``platform_unreachable`` hold the merged rumours, see ``Rumour``;
-    ``changed_at`` is when a rumour last changed them. ``last_contact_at`` is
-    when this daemon last had contact with the VM, and ``failures`` counts
-    its failed contacts since. ``ejected`` means that the failures were
-    enough to send the VM no work; ``next_probe_at`` is when it is probed
-    again. After its return it gets no work until ``hold_down_until``;
-    ``flaps`` counts its recent returns and lengthens that time.
+    ``changed_at`` is when a rumour last changed any of them. ``record`` is
+    the VM list entry by which this daemon knows the VM; its own state may
+    say "leaving" too. ``last_contact_at`` is when this daemon last had
+    contact with the VM, and ``failures`` counts the failed contacts since.
+    ``ejected`` means that the failures were enough to send the VM no work;
+    ``next_probe_at`` is when the VM is probed again. After its return it
+    gets no work until ``hold_down_until``; ``flaps`` counts its recent
+    returns and lengthens that time.
     """
 
     record: _messages.Record
@@ -111,18 +113,31 @@
 
 @dataclasses.dataclass(slots=True)
 class Node:
-    """In-memory view that one daemon has of the fleet.
-
-    Nothing of it is persisted. ``by_address`` maps addresses of daemons to
-    VMs; ``ejected``, ``not_serving``, ``unshared_records`` (peers may lack
-    their records), ``held_down`` and ``failed_calls`` are sets of VMs.
+    """State of the local daemon, with its in-memory view of the fleet.
+
+    Nothing of it is persisted. ``local_record`` and ``incarnation`` identify
+    this daemon; it raises ``revision`` to refute rumours about itself.
+    ``by_address`` maps addresses of daemons to VMs; ``ejected``,
+    ``not_serving``, ``held_down``, ``failed_calls`` and ``records_to_send``
+    are sets of VMs. The rumours about those in ``records_to_send`` carry the
+    record, because peers may lack it.
     ``transmissions_left`` counts how often each queued rumour is still to
-    be sent. ``listed_states`` is the VM list last applied;
+    be sent. ``push_pending`` and ``bundle_push_pending`` mean that rumours
+    or bundles wait for a push, and ``push_tokens`` limit its rate.
+    ``sync_pending`` means that a fetch of members awaits its reply.
+    ``usability_version`` and ``membership_version`` count the changes that
+    invalidate caches. ``listed_states`` is the VM list that was last read
+    and applied here, and ``vm_list_index`` the platform index of the newest
+    list in effect here, whether read or learned from peers;
     ``restored_index`` and ``restored_states`` belong to a platform restored
-    from an older copy. ``settled`` tells whether the daemon has learned
-    enough from peers to serve, ``settled_by_address`` whether each peer
-    that answered had. ``refusal_reasons`` are by envelope digest, and
-    ``dropped_digests`` by the version that two bundles shared.
+    from an older copy.
+    ``settled`` tells whether the daemon has finished its bootstrap, that is,
+    has learned enough from peers to serve; ``peer_settled_by_address`` tells
+    the same of each peer that answered. ``refusal_reasons`` are by envelope
+    digest, and ``dropped_digests`` by the version that two bundles shared.
+    ``watching`` means that this daemon watches the platform, and
+    ``platform_failures`` counts its consecutive failures to do so or to read
+    the platform.
     """
 
     local_record: _messages.Record
--- a/src/sassafrasstair/decisions/fleet/_subsets.py
+++ b/src/sassafrasstair/decisions/fleet/_subsets.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: gossip partners, watchers and call targets."""
+"""Choice of gossip partners, platform watchers and call targets by hashing."""
 
 from __future__ import annotations
 
@@ -17,9 +17,13 @@
 
     from sassafrasstair.decisions.fleet import _messages
 
+# Rings of the own failure domain, each of which gives one gossip partner.
 OWN_DOMAIN_RINGS = 4
+# Watchers per failure domain: so many that reach the platform, and the most
+# that there may be in all.
 WATCHERS = 2
 MAX_WATCHERS = 4
+# One target in this many is reserved for other failure domains.
 SPILLOVER_DIVISOR = 4
 
 
--- a/src/sassafrasstair/decisions/fleet/_summaries.py
+++ b/src/sassafrasstair/decisions/fleet/_summaries.py
@@ -1,4 +1,4 @@
-"""Building of the gossip summary, and of probes, which carry one."""
+"""Building of the summaries that gossip exchanges, and so probes, carry."""
 
 from __future__ import annotations
 
--- a/src/sassafrasstair/decisions/fleet/_suspicions.py
+++ b/src/sassafrasstair/decisions/fleet/_suspicions.py
@@ -1,10 +1,10 @@
 """Failure detection: liveness checks, suspicion and local ejection.
 
 A VM is suspected only by members of its own failure domain, and only after
-helpers failed to reach it too. A partition between failure domains
-therefore causes no rumours, and nothing has to be retracted when it heals.
-Daemons in other domains eject the VM locally and ask a member of its domain
-for a check.
+helpers failed to reach it too, if there are any to ask. A partition between
+failure domains therefore causes no rumours, and nothing has to be retracted
+when it heals. Daemons in other domains eject the VM locally, that is, send
+it no work, and ask members of its domain for a check.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 GONE_RETENTION = 3600.0
 MIN_PROBE_INTERVAL = 2.0
 MAX_PROBE_INTERVAL = 15.0
-# Consecutive failed contacts after which a VM gets no work from here.
+# Consecutive failed contacts after which a VM gets no work from this daemon.
 FAILURES_TO_EJECT = 2
 # Probes of ejected VMs per tick.
 MAX_PROBES_PER_TICK = 3
@@ -44,7 +44,10 @@
     now: float,
     rng: random.Random,
 ) -> list[_effects.Effect]:
-    """Probe ``vm`` and report to ``reply_to``, unless that is empty."""
+    """Probe ``vm`` and report to ``reply_to``, unless that is empty.
+
+    With ``with_helpers`` other members are asked to probe it as well.
+    """
     member = node.members.get(vm)
     if (
         member is None
@@ -141,10 +144,12 @@
 
 
 def expire_members(node: _states.Node, now: float) -> list[_effects.Effect]:
-    """Mark long suspected members as gone and remove those long gone.
+    """Mark suspected members as gone after a time, and later remove them.
 
-    Each daemon does so by itself: a rumour would add nothing to the
-    suspicion, which has already reached all daemons.
+    The times are ``SUSPICION_TIMEOUT`` and ``GONE_RETENTION``, counted from
+    the last change of any part of the member's merged state. Each daemon
+    does so by itself: a rumour would add nothing to the suspicion, which
+    has already reached all daemons.
     """
     effects: list[_effects.Effect] = []
     for vm in sorted(node.not_serving):
@@ -217,6 +222,8 @@
     chosen: set[str],
     rng: random.Random,
 ) -> str | None:
+    """Return a random reachable helper inside or outside ``domain``."""
+
     def accept(member: _states.Member) -> bool:
         same = member.record.failure_domain == domain
         name = member.record.vm
@@ -235,6 +242,11 @@
 def _record_direct_result(
     node: _states.Node, vm: str, reached: bool
 ) -> list[_effects.Effect]:
+    """Note the result of this daemon's own probe and report it to askers.
+
+    Any contact with ``vm`` during a check counts as that probe. A VM that
+    was reached needs no further check.
+    """
     check = node.checks.get(vm)
     if check is None or check.direct_result is not None:
         return []
@@ -256,7 +268,13 @@
 def _suspect_if_confirmed(
     node: _states.Node, vm: str, now: float
 ) -> list[_effects.Effect]:
-    """Suspect ``vm`` if it is in the own domain and the results suffice."""
+    """Suspect ``vm`` if the results of its check confirm that it failed.
+
+    This needs a VM of the own failure domain, a check with helpers, a failed
+    own probe, and no helper that reached the VM. If helpers were asked, at
+    least one must have answered. If there was none to ask, the failed own
+    probe is enough.
+    """
     check = node.checks.get(vm)
     if (
         check is None
@@ -271,8 +289,9 @@
     if not in_own_domain:
         return []
     # A daemon that is itself partitioned, or a broken link between two
-    # daemons, would deprive a healthy VM of all work. Therefore a helper
-    # must have failed to reach it as well, and none may have reached it.
+    # daemons, would deprive a healthy VM of all work. Therefore a helper, if
+    # any was asked, must have failed to reach the VM as well, and none may
+    # have reached it.
     if any(check.helper_results.values()):
         del node.checks[vm]
         return []
--- a/src/sassafrasstair/decisions/fleet/_versions.py
+++ b/src/sassafrasstair/decisions/fleet/_versions.py
@@ -1,4 +1,4 @@
-"""Which bundles a daemon stores, and which one is in force.
+"""Choice of the bundles that a daemon stores, and of the one in force.
 
 Bundles are totally ordered by version and then by the digest of their
 payload. Daemons keep the greatest, so they agree whatever order the bundles
@@ -39,13 +39,16 @@
 def add_envelope(
     node: _states.Node, envelope: bytes, source: str
 ) -> list[_effects.Effect]:
-    """Store the envelope from ``source`` if it is valid and new."""
+    """Verify ``envelope`` and store its bundle if it is new.
+
+    ``source`` is "platform" or the address of a peer, for the log.
+    """
     envelope_digest = hashlib.sha256(envelope).digest()
     if len(envelope) > bundles.MAX_BUNDLE_BYTES:
         return _refuse(node, envelope_digest, "too large", source)
     if any(
-        envelope_digest == held.envelope_digest
-        for held in node.bundles_by_id.values()
+        envelope_digest == stored_bundle.envelope_digest
+        for stored_bundle in node.bundles_by_id.values()
     ):
         return []
     try:
@@ -60,17 +63,20 @@
 
 
 def update_in_force(node: _states.Node) -> list[_effects.Effect]:
-    """Put the greatest applicable bundle in force if settled."""
+    """Put the greatest applicable bundle in force once settled.
+
+    A bundle applies if its rollout is empty or names the own failure domain.
+    """
     if not node.settled:
         return []
     applicable = [
-        held
-        for held in node.bundles_by_id.values()
-        if _applies(held.bundle, node.local_record.failure_domain)
+        stored
+        for stored in node.bundles_by_id.values()
+        if _applies(stored.bundle, node.local_record.failure_domain)
     ]
     if not applicable:
         return []
-    newest = max(applicable, key=lambda held: held.bundle_id)
+    newest = max(applicable, key=lambda stored: stored.bundle_id)
     current = node.in_force
     if current is not None and newest.bundle_id <= current.bundle_id:
         return []
@@ -104,11 +110,11 @@
     # A staged bundle may arrive before an older one for all domains, which
     # peers may still need from this daemon. Therefore only a bundle for all
     # domains supersedes the older ones.
-    floor = min(
+    id_for_all_domains = min(
         (
-            one
-            for one, held in node.bundles_by_id.items()
-            if not held.bundle.rollout
+            identifier
+            for identifier, stored in node.bundles_by_id.items()
+            if not stored.bundle.rollout
         ),
         default=None,
     )
@@ -116,7 +122,7 @@
         bundle_id
         for bundle_id in ids
         if bundle_id not in node.bundles_by_id
-        and (floor is None or bundle_id > floor)
+        and (id_for_all_domains is None or bundle_id > id_for_all_domains)
     ]
     return sorted(missing, reverse=True)
 
