--- a/tests/decisions/fleet/test_members.py
+++ b/tests/decisions/fleet/test_members.py
@@ -23,10 +23,10 @@
 
 
 def _rumour(
-    incarnation: str, revision: int, life: int, leaving: bool = False
+    incarnation: str, revision: int, liveness: int, leaving: bool = False
 ) -> fleet.Rumour:
     return fleet.Rumour(
-        RECORD.vm, incarnation, revision, life, leaving, record=RECORD
+        RECORD.vm, incarnation, revision, liveness, leaving, record=RECORD
     )
 
 
--- a/tests/decisions/fleet/test_vm_lists.py
+++ b/tests/decisions/fleet/test_vm_lists.py
@@ -34,14 +34,14 @@
         )
         simulation.perform(address, effects)
 
-    def is_member(vm: str) -> bool:
+    def is_live(vm: str) -> bool:
         return node.members[vm].liveness != _messages.GONE
 
     restored_records = records[: len(records) - missing_vms]
     apply_vm_list(index, records)
     apply_vm_list(index - 20, restored_records)
-    assert is_member(new)
-    assert is_member(removed)
+    assert is_live(new)
+    assert is_live(removed)
     apply_vm_list(index - 19, restored_records[1:])
-    assert not is_member(removed)
-    assert is_member(new)
+    assert not is_live(removed)
+    assert is_live(new)
--- a/tests/decisions/fleet/test_watch_start.py
+++ b/tests/decisions/fleet/test_watch_start.py
@@ -21,8 +21,10 @@
     would never be repeated.
     """
     rng = random.Random(1)
-    me = fleet.Record("a-1", "ledger", "pos-a", "tt-north", "10.0.0.1:1")
-    node = fleet.new_node(me, "01", (), _refuse, 0.0, rng)
+    local_record = fleet.Record(
+        "a-1", "ledger", "pos-a", "tt-north", "10.0.0.1:1"
+    )
+    node = fleet.new_node(local_record, "01", (), _refuse, 0.0, rng)
     effects = []
     for step in range(120):
         effects += fleet.tick(node, step / 4, rng)
