--- a/src/sassafrasstair/configservice/_client.py
+++ b/src/sassafrasstair/configservice/_client.py
@@ -1,4 +1,4 @@
-"""Reads and watches of the configuration service over HTTP."""
+"""HTTP client that reads and watches the configuration service."""
 
 from __future__ import annotations
 
@@ -18,47 +18,47 @@
 _Decode = typing.Callable[[str, aiohttp.ClientResponse, bytes], _T]
 
 MAX_VALUE_BYTES = 1_000_000
-"""The platform holds values up to a megabyte; a greater one is refused."""
+"""The platform stores values of up to 1 MB; larger ones are refused."""
 
 MAX_RESPONSE_BYTES = 6_000_000
-"""Room for four greatest values in base64, which is more than we read."""
+"""Fits four values of maximum size in base64, more than is ever read."""
 
 CONNECT_SECONDS = 1.0
 READ_SECONDS = 5.0
 INDEX_SECONDS = 1.0
-"""For an answer that brings no values."""
+"""Read timeout of a response that contains no values."""
 JITTER_SHARE = 1 / 16
-"""A blocking query may last this share longer than asked (Consul)."""
+"""Consul may extend a blocking query by this fraction of its wait."""
 
 INDEX_HEADER = "X-Consul-Index"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """All keys under a prefix at one moment.
+    """All keys under a prefix at one point in time.
 
-    ``index`` is what to pass to the next ``Client.watch``.
+    ``index`` is to be passed to the next ``Client.watch``.
     """
 
     index: int
     values: dict[str, bytes]
 
 
-class _Pair(msgspec.Struct, frozen=True, rename="pascal"):
-    """One entry of the answer; msgspec decodes the base64 of ``value``."""
+class _KeyValue(msgspec.Struct, frozen=True, rename="pascal"):
+    """One entry of the response; msgspec decodes the base64 ``value``."""
 
     key: str
     value: bytes | None
 
 
-_PAIRS = msgspec.json.Decoder(list[_Pair])
+_KEY_VALUES_DECODER = msgspec.json.Decoder(list[_KeyValue])
 
 
 class Client:
     """Client of the configuration service at one or more addresses.
 
-    Each call tries the addresses in order, beginning with the one that
-    last answered.
+    Each call tries the addresses in order, starting with the one that
+    answered last.
     """
 
     def __init__(
@@ -66,14 +66,16 @@
     ) -> None:
         self._http = http
         self._urls = tuple(urls)
-        self._first = 0
+        self._preferred = 0
 
     async def read(self, prefix: str) -> Snapshot:
-        """Return what stands under ``prefix`` now, or raise."""
-        return await self._ask(prefix, {"recurse": "true"}, READ_SECONDS)
+        """Return the current values under ``prefix``, or raise."""
+        return await self._fetch_snapshot(
+            prefix, {"recurse": "true"}, READ_SECONDS
+        )
 
     async def watch(self, prefix: str, index: int, wait: float) -> Snapshot:
-        """Return once the index passes ``index`` or ``wait`` s are over.
+        """Return once the index exceeds ``index`` or ``wait`` seconds pass.
 
         Index 0 returns at once.
         """
@@ -82,12 +84,12 @@
             "index": str(index),
             "wait": f"{max(1, round(wait * 1000))}ms",
         }
-        longest = wait * (1 + JITTER_SHARE) + READ_SECONDS
-        snapshot = await self._ask(prefix, params, longest)
-        # Failure: the service is restored from an older state, its index
-        # goes back, and a watch for the old index would not see changes
-        # until it catches up. Index 0 makes the next watch return at once
-        # with the service's own index.
+        read_seconds = wait * (1 + JITTER_SHARE) + READ_SECONDS
+        snapshot = await self._fetch_snapshot(prefix, params, read_seconds)
+        # When the service is restored from an older state, its index goes
+        # back. A watch with the old index would miss all changes until the
+        # service's index catches up. Index 0 makes the next watch return at
+        # once with the service's current index.
         if snapshot.index < index:
             return Snapshot(0, snapshot.values)
         return snapshot
@@ -95,23 +97,25 @@
     async def read_index(self, prefix: str) -> int:
         """Return the index of ``prefix`` without its values, or raise.
 
-        Sent on a connection that no watch waits on, and answered at once
-        as long as the service is there.
+        The request uses a connection that no watch is waiting on, and an
+        available service answers it at once.
         """
-        return await self._try_all(
-            prefix, {"keys": "true"}, INDEX_SECONDS, _index_of
+        return await self._fetch_from_any(
+            prefix, {"keys": "true"}, INDEX_SECONDS, _read_index
         )
 
     async def close(self) -> None:
         """Close the connections."""
         await self._http.close()
 
-    async def _ask(
+    async def _fetch_snapshot(
         self, prefix: str, params: dict[str, str], read_seconds: float
     ) -> Snapshot:
-        return await self._try_all(prefix, params, read_seconds, _decode)
+        return await self._fetch_from_any(
+            prefix, params, read_seconds, _decode_snapshot
+        )
 
-    async def _try_all(
+    async def _fetch_from_any(
         self,
         prefix: str,
         params: dict[str, str],
@@ -119,23 +123,23 @@
         decode: _Decode[_T],
     ) -> _T:
         error = _errors.PlatformError(
-            _errors.Reason.UNREACHABLE, "no address is set"
+            _errors.Reason.UNREACHABLE, "no address is configured"
         )
         for offset in range(len(self._urls)):
-            position = (self._first + offset) % len(self._urls)
+            position = (self._preferred + offset) % len(self._urls)
             url = self._urls[position]
             try:
-                found = await self._ask_one(
+                result = await self._fetch_from(
                     url, prefix, params, read_seconds, decode
                 )
             except _errors.PlatformError as failure:
                 error = failure
                 continue
-            self._first = position
-            return found
+            self._preferred = position
+            return result
         raise error
 
-    async def _ask_one(
+    async def _fetch_from(
         self,
         url: str,
         prefix: str,
@@ -151,7 +155,7 @@
             async with self._http.get(
                 f"{url}/v1/kv/{path}", params=params, timeout=timeout
             ) as response:
-                body = await _bounded_body(response)
+                body = await _read_bounded_body(response)
         except TimeoutError as error:
             raise _errors.PlatformError(
                 _errors.Reason.TIMEOUT, f"{url}: {error!r}"
@@ -170,39 +174,41 @@
 def open_client(urls: abc.Sequence[str]) -> Client:
     """Return a client for the service at ``urls``, tried in order.
 
-    Called on a running loop.
+    Needs a running event loop.
     """
     return Client(aiohttp.ClientSession(), [url.rstrip("/") for url in urls])
 
 
-async def _bounded_body(response: aiohttp.ClientResponse) -> bytes:
+async def _read_bounded_body(response: aiohttp.ClientResponse) -> bytes:
     body = bytearray()
     async for chunk in response.content.iter_any():
         body += chunk
         if len(body) > MAX_RESPONSE_BYTES:
             raise _errors.PlatformError(
                 _errors.Reason.TOO_LARGE,
-                f"answer is over {MAX_RESPONSE_BYTES} bytes",
+                f"response is over {MAX_RESPONSE_BYTES} bytes",
             )
     return bytes(body)
 
 
-def _decode(
+def _decode_snapshot(
     url: str, response: aiohttp.ClientResponse, body: bytes
 ) -> Snapshot:
-    index = _index_of(url, response, body)
+    index = _read_index(url, response, body)
     if response.status == 404:
         return Snapshot(index, {})
     try:
-        pairs = _PAIRS.decode(body)
+        pairs = _KEY_VALUES_DECODER.decode(body)
     except (msgspec.DecodeError, ValueError) as error:
         raise _errors.PlatformError(
             _errors.Reason.MALFORMED, f"{url}: {error}"
         ) from error
-    return Snapshot(index, _values(pairs))
+    return Snapshot(index, _values_by_key(pairs))
 
 
-def _index_of(url: str, response: aiohttp.ClientResponse, body: bytes) -> int:
+def _read_index(
+    url: str, response: aiohttp.ClientResponse, body: bytes
+) -> int:
     if response.status not in (200, 404):
         raise _errors.PlatformError(
             _errors.Reason.BAD_STATUS, f"{url}: {response.status}"
@@ -218,7 +224,7 @@
     return int(text)
 
 
-def _values(pairs: list[_Pair]) -> dict[str, bytes]:
+def _values_by_key(pairs: list[_KeyValue]) -> dict[str, bytes]:
     values: dict[str, bytes] = {}
     for pair in pairs:
         value = pair.value or b""
--- a/src/sassafrasstair/operators/_application.py
+++ b/src/sassafrasstair/operators/_application.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for operators: read only, three paths."""
+"""Read-only HTTP interface for operators, with three paths."""
 
 from __future__ import annotations
 
@@ -23,8 +23,9 @@
 ) -> litestar.Litestar:
     """Return the ASGI application.
 
-    ``status`` is called for each request. ``/health`` answers 200 while
-    the daemon serves and 503 before its first bundle and while it leaves.
+    ``current_status`` is called for each request to ``/status`` and
+    ``/health``. ``/health`` answers 200 while the daemon serves, and 503
+    before its first bundle and while the daemon leaves.
     """
 
     @litestar.get("/status")
@@ -43,7 +44,7 @@
     @litestar.get("/metrics")
     async def get_metrics() -> response.Stream:
         return response.Stream(
-            _parts(registry), media_type=metrics.CONTENT_TYPE
+            _render_metrics(registry), media_type=metrics.CONTENT_TYPE
         )
 
     return litestar.Litestar(
@@ -53,13 +54,15 @@
     )
 
 
-async def _parts(counts: metrics.Metrics) -> abc.AsyncIterator[bytes]:
+async def _render_metrics(
+    registry: metrics.Metrics,
+) -> abc.AsyncIterator[bytes]:
     """Yield the metrics, letting other tasks run after each part.
 
-    A daemon with many series takes tens of milliseconds to render them.
-    Done in one go, every call under way would wait that long, which
-    shows as a spike at each reading of the metrics.
+    Rendering the many series of a large daemon takes tens of milliseconds.
+    Rendering them without a pause would delay every call in flight by that
+    time, a latency spike at each scrape.
     """
-    for part in counts.render_parts():
+    for part in registry.render_parts():
         yield part
         await asyncio.sleep(0)
--- a/tests/upstreams/test_client.py
+++ b/tests/upstreams/test_client.py
@@ -16,7 +16,7 @@
 
 
 class RawUpstream:
-    """Answers the heads that it gets from a list; b"" closes instead."""
+    """Answers each request with the next of ``answers``; b"" closes."""
 
     def __init__(self, *answers: bytes) -> None:
         self.answers = list(answers)
@@ -40,16 +40,16 @@
 
 def run(
     raw: RawUpstream,
-    story: abc.Callable[[upstreams.Upstream], abc.Awaitable[None]],
+    scenario: abc.Callable[[upstreams.Upstream], abc.Awaitable[None]],
 ) -> None:
-    async def whole() -> None:
+    async def serve_and_run() -> None:
         port = meshes.free_ports(1)[0]
         async with await asyncio.start_server(raw, "127.0.0.1", port):
             upstream = upstreams.connect(f"http://127.0.0.1:{port}")
-            await story(upstream)
+            await scenario(upstream)
             await upstreams.close(upstream)
 
-    asyncio.run(whole())
+    asyncio.run(serve_and_run())
 
 
 def request(
@@ -67,34 +67,35 @@
 
 
 def test_put_that_may_have_run_is_not_sent_again() -> None:
-    """A cover binding is recorded twice, though its daemon sent it once.
+    """Guard against a PUT that runs twice though it was sent once.
 
-    The upstream runs it and dies before its answer, on a connection that
-    was used before; the HTTP library sends an idempotent method again.
+    The upstream runs the request and closes a reused connection before it
+    answers. By default the HTTP library then sends an idempotent method
+    again.
     """
     raw = RawUpstream(OK, b"", OK)
 
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         await read(upstream, request())
         with pytest.raises(upstreams.UpstreamError) as raised:
             await read(upstream, request())
         assert raised.value.outcome is outcomes.Outcome.UNKNOWN
 
-    run(raw, story)
+    run(raw, scenario)
     assert len(raw.heads) == 2
 
 
 def test_request_reaches_the_upstream_unchanged() -> None:
-    """Paths stay encoded as they are, and header values the same bytes."""
+    """Encoded paths and the bytes of header values are not changed."""
     raw = RawUpstream(OK)
     path = "/a%2Fb/%41//c;d=e/../?x=%20&y=+#"[:-1]
     value = "é".encode().decode("latin-1")
     sent = request("GET", path, ("x-name", value), ("expect", "100-continue"))
 
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         await read(upstream, sent)
 
-    run(raw, story)
+    run(raw, scenario)
     head = raw.heads[0].lower()
     assert raw.heads[0].startswith(f"GET {path} HTTP/1.1\r\n".encode())
     assert b"x-name: \xc3\xa9\r\n" in head
@@ -122,14 +123,14 @@
     ],
     ids=["head", "no content", "not modified", "odd bytes"],
 )
-def test_answer_comes_as_it_was_sent(
+def test_response_is_returned_unchanged(
     method: str, answer: bytes, headers: typing.Any, body: bytes
 ) -> None:
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         response, got = await read(upstream, request(method))
         assert (response.headers, got) == (headers, body)
 
-    run(RawUpstream(answer), story)
+    run(RawUpstream(answer), scenario)
 
 
 @pytest.mark.parametrize(
@@ -142,15 +143,15 @@
 def test_refusal_keeps_the_connection(
     header: bytes, outcome: outcomes.Outcome
 ) -> None:
-    """An overloaded upstream gets a new connection for each refusal."""
+    """Guard against a new connection to an overloaded upstream per refusal."""
     refused = b"HTTP/1.1 503 Busy\r\n%scontent-length: 2\r\n\r\nno" % header
     raw = RawUpstream(refused, refused)
 
-    async def story(upstream: upstreams.Upstream) -> None:
+    async def scenario(upstream: upstreams.Upstream) -> None:
         for _ in range(2):
             with pytest.raises(upstreams.UpstreamError) as raised:
                 await upstreams.send(upstream, request())
             assert raised.value.outcome is outcome
 
-    run(raw, story)
+    run(raw, scenario)
     assert (len(raw.heads), raw.connections) == (2, 1)
