--- a/src/sassafrasstair/decisions/fleet/__init__.py
+++ b/src/sassafrasstair/decisions/fleet/__init__.py
@@ -2,8 +2,8 @@
 
 The daemon calls ``tick`` every 250 ms, passes requests of peers to
 ``handle_request``, and passes the result of each of its own exchanges to
-``process_reply`` or ``unreachable``. It carries out the effects that these
-functions return.
+``process_reply`` or ``update_after_failed_exchange``. It carries out the
+effects that these functions return.
 
 These terms have one meaning in all modules of this package:
 
@@ -20,13 +20,15 @@
 - Probe: a gossip exchange with a short timeout that tests one VM.
 - Check: a liveness check of one VM, made of this daemon's own probe and, if
   asked for, of the probes of helpers.
-- Gossip: the periodic exchange of summaries with one peer per round.
+- Gossip: the exchange of summaries with a peer, periodically one per round
+  and several per round during the bootstrap.
 - Push: gossip that is sent at once, because an update is urgent.
 - Sync: anti-entropy. Summaries carry a checksum of the member table; where
   it differs, a daemon fetches the members of the buckets that differ.
-- Rumour: an update about one VM. Each change queues one, and every message
-  of gossip and push, replies included, carries some of those queued. A
-  rumour that only says that a VM serves is an announcement.
+- Rumour: an update about one VM. Every message of gossip and push, replies
+  included, carries some of those that are queued. A change that comes from a
+  sync, or that marks a suspected VM as gone, queues none. A rumour that only
+  says that a VM serves is an announcement.
 """
 
 from __future__ import annotations
--- a/src/sassafrasstair/decisions/fleet/_nodes.py
+++ b/src/sassafrasstair/decisions/fleet/_nodes.py
@@ -163,7 +163,8 @@
 ) -> list[_effects.Effect]:
     """Process the envelopes in the platform's bundle keys.
 
-    ``index`` is the platform index of this read.
+    ``index`` is the platform index of this read. It is not used, because
+    bundles are ordered by their version and digest.
     """
     effects = _platform.process_bundles(node, envelopes)
     return effects + _spreads.push_if_due(node, now, rng)
--- a/src/sassafrasstair/decisions/fleet/_states.py
+++ b/src/sassafrasstair/decisions/fleet/_states.py
@@ -116,7 +116,9 @@
     """State of the local daemon, with its in-memory view of the fleet.
 
     Nothing of it is persisted. ``local_record`` and ``incarnation`` identify
-    this daemon; it raises ``revision`` to refute rumours about itself.
+    this daemon; it raises ``revision`` to override rumours about itself.
+    ``seeds`` are the configured addresses of daemons that it asks first, and
+    ``verify`` decodes an envelope and checks its approvals.
     ``by_address`` maps addresses of daemons to VMs; ``ejected``,
     ``not_serving``, ``held_down``, ``failed_calls`` and ``records_to_send``
     are sets of VMs. The rumours about those in ``records_to_send`` carry the
