--- a/src/sassafrasstair/runtime/_answers.py
+++ b/src/sassafrasstair/runtime/_answers.py
@@ -1,4 +1,4 @@
-"""The answers of the callee's side, each with its load and floor."""
+"""Answers of the callee's side, each with its load and shed floor."""
 
 from __future__ import annotations
 
@@ -18,65 +18,71 @@
 
 
 def upstream_answer(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
     response: upstreams.Response,
     body: bytes,
     *,
-    more: bool,
+    has_more_parts: bool,
 ) -> daemons.RunAnswer:
-    """Return the upstream's answer, or its beginning when ``more``."""
+    """Return the upstream's answer.
+
+    If ``has_more_parts`` is set, ``body`` is only the beginning of its body.
+    """
     return daemons.RunAnswer(
-        attempt_id=attempt.run.attempt_id,
-        incarnation=slot.incarnation,
+        attempt_id=attempt.message.attempt_id,
+        incarnation=callee.incarnation,
         outcome=_Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
         retries_spent=attempt.retries_spent,
-        busy=load.busy(slot.guard),
-        limit=slot.guard.limit,
-        service_seconds=load.service_seconds(slot.guard),
+        busy=load.busy(callee.guard),
+        limit=callee.guard.limit,
+        service_seconds=load.service_seconds(callee.guard),
         floor=_slots.shed_floor(
-            slot, attempt.run.request_class, attempt.run.tenant
+            callee, attempt.message.request_class, attempt.message.tenant
         ),
         status=response.status,
         headers=response.headers,
         body=body,
-        more=more,
+        has_more_parts=has_more_parts,
         digest=attempt.answer_digest.digest(),
     )
 
 
 def refusal(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     message: daemons.Run,
     outcome: outcomes.Outcome,
     reason: outcomes.Reason,
     *,
     spent: int = 0,
-    after: float = 0.0,
+    retry_after: float = 0.0,
 ) -> daemons.RunAnswer:
-    """Return a refusal; ``after`` is in seconds, 0 for the class's rule."""
+    """Return a refusal.
+
+    ``retry_after`` is in seconds; 0 leaves it to the rules of the class.
+    """
     return daemons.RunAnswer(
         attempt_id=message.attempt_id,
-        incarnation=slot.incarnation,
+        incarnation=callee.incarnation,
         outcome=outcome.value,
         reason=reason.value,
-        retry_after_ms=int(after * 1000),
+        retry_after_ms=int(retry_after * 1000),
         retries_spent=spent,
-        busy=load.busy(slot.guard),
-        limit=slot.guard.limit,
-        service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.shed_floor(slot, message.request_class, message.tenant),
+        busy=load.busy(callee.guard),
+        limit=callee.guard.limit,
+        service_seconds=load.service_seconds(callee.guard),
+        floor=_slots.shed_floor(callee, message.request_class, message.tenant),
     )
 
 
 def failure_answer(
-    slot: _slots.Slot,
+    callee: _slots.Callee,
     attempt: _attempts.Attempt,
     result: once.Result,
-    after: float = 0.0,
+    retry_after: float = 0.0,
 ) -> daemons.RunAnswer:
-    """Return the refusal for how an attempt ended."""
+    """Return the answer for an attempt that was refused or failed."""
     outcome = _Outcome.UNKNOWN
     reason = outcomes.Reason.ANSWER_NOT_KEPT
     if isinstance(result, once.NotRun):
@@ -84,30 +90,32 @@
     if isinstance(result, once.NotRun | once.Unknown):
         reason = result.reason
     return refusal(
-        slot,
-        attempt.run,
+        callee,
+        attempt.message,
         outcome,
         reason,
         spent=attempt.retries_spent,
-        after=after,
+        retry_after=retry_after,
     )
 
 
 def stored_answer(
-    slot: _slots.Slot, message: daemons.Run, result: once.Done | once.Summary
+    callee: _slots.Callee,
+    message: daemons.Run,
+    result: once.Done | once.Summary,
 ) -> daemons.RunAnswer:
-    """Return the stored answer of a ticket that was run before."""
+    """Return the stored answer of a ticket that has already been used."""
     if isinstance(result, once.Summary):
-        return refusal(slot, message, _Outcome.DONE, result.reason)
+        return refusal(callee, message, _Outcome.DONE, result.reason)
     return daemons.RunAnswer(
         attempt_id=message.attempt_id,
-        incarnation=slot.incarnation,
+        incarnation=callee.incarnation,
         outcome=_Outcome.DONE.value,
         reason=outcomes.Reason.NONE.value,
-        busy=load.busy(slot.guard),
-        limit=slot.guard.limit,
-        service_seconds=load.service_seconds(slot.guard),
-        floor=_slots.shed_floor(slot, message.request_class, message.tenant),
+        busy=load.busy(callee.guard),
+        limit=callee.guard.limit,
+        service_seconds=load.service_seconds(callee.guard),
+        floor=_slots.shed_floor(callee, message.request_class, message.tenant),
         status=result.status,
         headers=tuple(
             (name.decode("latin-1"), value.decode("latin-1"))
--- a/src/sassafrasstair/runtime/_children.py
+++ b/src/sassafrasstair/runtime/_children.py
@@ -1,4 +1,4 @@
-"""Tickets at the entrance: for callers, and for calls deeper in a chain."""
+"""Tickets that an entrance takes for callers and for child calls."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 async def take_ticket(
     entry: _entries.Entry, service: str, fields: callers.Fields
 ) -> callers.TicketReply | callers.Refusal:
-    """Take a ticket for a caller of once-only work."""
+    """Take a ticket for a caller that requests once-only work."""
     reply = await _take_for_caller(entry, service, fields)
     if isinstance(reply, callers.Refusal):
         _entries.record_refusal(entry, fields.request_class, reply)
@@ -48,57 +48,63 @@
             0.0,
             f"class {fields.request_class!r} needs no ticket",
         )
-    ask = daemons.TicketRequest(
+    ticket_request = daemons.TicketRequest(
         service, fields.request_class, fields.caller, fields.tenant
     )
-    return await _take(entry, bundle, ask)
+    return await _request_ticket(entry, bundle, ticket_request)
 
 
 async def attach_child_ticket(
     entry: _entries.Entry,
-    ready: _entries.PreparedCall,
+    prepared: _entries.PreparedCall,
     request: callers.Request,
 ) -> _entries.PreparedCall | callers.Refusal:
-    """Return a child call of once-only work with its ticket.
+    """Return a once-only child call with its ticket attached.
 
-    The parent's owner is this daemon: it remembers the child's ticket, so
-    that the upstream's repeat of the call carries the same.
+    This daemon owns the parent's ticket and stores the child's ticket with
+    it, so that a repeat of the call by the upstream carries the same one.
     """
-    assert ready.parent is not None
-    parent_ticket = ready.parent.run.ticket
-    service = ready.call.service
+    assert prepared.parent is not None
+    parent_ticket = prepared.parent.message.ticket
+    service = prepared.call.service
     key = request.fields.child_key
-    owner = entry.slot.owner
-    known = once.find_child(owner, parent_ticket, service, key)
-    first_use = known is None
-    if known is None:
-        ask = daemons.TicketRequest(
+    owner = entry.callee.owner
+    child = once.find_child(owner, parent_ticket, service, key)
+    first_use = child is None
+    if child is None:
+        ticket_request = daemons.TicketRequest(
             service,
-            ready.call.request_class,
-            ready.call.caller,
-            ready.call.tenant,
+            prepared.call.request_class,
+            prepared.call.caller,
+            prepared.call.tenant,
         )
-        taken = await _take(entry, ready.bundle, ask)
-        if isinstance(taken, callers.Refusal):
-            return taken
-        known = once.adopt_child(
-            owner, parent_ticket, service, key, taken.ticket
+        reply = await _request_ticket(entry, prepared.bundle, ticket_request)
+        if isinstance(reply, callers.Refusal):
+            return reply
+        child = once.adopt_child(
+            owner, parent_ticket, service, key, reply.ticket
         )
-        first_use = known == taken.ticket
-    if isinstance(known, once.Refused):
-        return callers.Refusal(known.outcome, known.reason)
-    return _entries.with_child_ticket(ready, known, first_use)
+        first_use = child == reply.ticket
+    if isinstance(child, once.Refused):
+        return callers.Refusal(child.outcome, child.reason)
+    return _entries.with_child_ticket(prepared, child, first_use)
 
 
-async def _take(
-    entry: _entries.Entry, bundle: bundles.Bundle, ask: daemons.TicketRequest
+async def _request_ticket(
+    entry: _entries.Entry,
+    bundle: bundles.Bundle,
+    request: daemons.TicketRequest,
 ) -> callers.TicketReply | callers.Refusal:
-    """Ask instances for a ticket; asking again elsewhere runs nothing."""
+    """Request a ticket from up to ``TICKET_TRIES`` instances.
+
+    Another instance may safely be tried, since a request for a ticket does
+    not run any work.
+    """
     tried: list[str] = []
     refusal = _refusal(outcomes.Reason.NO_INSTANCE, 1.0)
     for _ in range(TICKET_TRIES):
         now = entry.clock.monotonic()
-        targets = fleet.targets(entry.node, ask.service, now)
+        targets = fleet.targets(entry.node, request.service, now)
         target = calls.choose_target(
             entry.entrance, targets, tried, now, entry.rng
         )
@@ -106,36 +112,36 @@
             return refusal
         tried.append(target.vm)
         try:
-            given = await entry.ask(target.vm, ask, TICKET_TIMEOUT)
+            response = await entry.exchange(target.vm, request, TICKET_TIMEOUT)
         except daemons.PeerError:
             refusal = _refusal(outcomes.Reason.PEER_UNREACHABLE, 1.0)
             fleet.observe_call(entry.node, target.vm, False, "", now)
             continue
-        if not isinstance(given, daemons.TicketResponse):
+        if not isinstance(response, daemons.TicketResponse):
             continue
-        if given.ticket:
-            expires_in = given.expires_in_ms / 1000
-            return callers.TicketReply(given.ticket, expires_in)
-        refusal = _given_refusal(entry, bundle, ask, given)
+        if response.ticket:
+            expires_in = response.expires_in_ms / 1000
+            return callers.TicketReply(response.ticket, expires_in)
+        refusal = _refusal_of_callee(entry, bundle, request, response)
         if refusal.reason is not outcomes.Reason.LEAVING:
             return refusal
     return refusal
 
 
-def _given_refusal(
+def _refusal_of_callee(
     entry: _entries.Entry,
     bundle: bundles.Bundle,
-    ask: daemons.TicketRequest,
-    given: daemons.TicketResponse,
+    request: daemons.TicketRequest,
+    response: daemons.TicketResponse,
 ) -> callers.Refusal:
-    rules = bundle.classes[ask.request_class].refusal
-    low = max(rules.retry_after_min_ms, given.retry_after_ms) / 1000
-    high = max(low, rules.retry_after_max_ms / 1000)
-    after = entry.rng.uniform(low, high)
-    return _refusal(outcomes.Reason(given.reason), after)
+    rules = bundle.classes[request.request_class].refusal
+    shortest = max(rules.retry_after_min_ms, response.retry_after_ms) / 1000
+    longest = max(shortest, rules.retry_after_max_ms / 1000)
+    retry_after = entry.rng.uniform(shortest, longest)
+    return _refusal(outcomes.Reason(response.reason), retry_after)
 
 
-def _refusal(reason: outcomes.Reason, after: float) -> callers.Refusal:
+def _refusal(reason: outcomes.Reason, retry_after: float) -> callers.Refusal:
     return callers.Refusal(
-        outcomes.Outcome.NOT_RUN, reason, after, "no ticket was issued"
+        outcomes.Outcome.NOT_RUN, reason, retry_after, "no ticket was issued"
     )
--- a/src/sassafrasstair/runtime/_parts.py
+++ b/src/sassafrasstair/runtime/_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a daemon, made from its settings."""
+"""Construction of the parts of a daemon from its settings."""
 
 from __future__ import annotations
 
@@ -24,11 +24,11 @@
 
 MAX_TICKET_RECORDS = 50_000
 MAX_APPROVALS = 64
-UNSET_SLOTS = 1
+INITIAL_SLOTS = 1
 
 
 def in_force(node: fleet.Node, clock: clocks.Clock) -> bundles.Bundle | None:
-    """Return the bundle in force, None before this daemon may serve."""
+    """Return the bundle in force, or None before this daemon may serve."""
     if not fleet.ready_to_serve(node, clock.monotonic()):
         return None
     return fleet.in_force(node)
@@ -41,12 +41,12 @@
     rng: random.Random,
     approvals: dict[bytes, tuple[str, ...]],
 ) -> fleet.Node:
-    """Return the daemon's view of the fleet: itself alone.
+    """Return the initial view of the fleet, which has only this daemon.
 
-    ``approvals`` is given who approved each envelope that held good, by
-    the envelope's SHA-256.
+    For each valid envelope, the names of its approvers are added to
+    ``approvals`` under the envelope's SHA-256.
     """
-    me = fleet.Record(
+    local_record = fleet.Record(
         settings_.vm,
         settings_.service,
         settings_.failure_domain,
@@ -56,7 +56,7 @@
     keys = {key.name: key.raw for key in settings_.keys}
     verify = functools.partial(_verify, keys, approvals)
     return fleet.new_node(
-        me, incarnation, settings_.peers.seeds, verify, now, rng
+        local_record, incarnation, settings_.peers.seeds, verify, now, rng
     )
 
 
@@ -72,15 +72,15 @@
     return approved
 
 
-def new_slot(
+def new_callee(
     settings_: settings.Settings,
     incarnation: str,
     clock: clocks.Clock,
     bundle: typing.Callable[[], bundles.Bundle | None],
     entrance: calls.Entrance,
     counts: metrics.Metrics,
-) -> _slots.Slot:
-    """Return the callee's side, with a new owner of tickets."""
+) -> _slots.Callee:
+    """Return the state of the callee's side with a new ticket owner."""
     now = clock.monotonic()
     owner = once.new_owner(
         settings_.vm,
@@ -88,23 +88,23 @@
         secrets.token_bytes(32),
         MAX_TICKET_RECORDS,
     )
-    return _slots.Slot(
+    return _slots.Callee(
         service=settings_.service,
         incarnation=incarnation,
         clock=clock,
-        guard=load.new_guard(UNSET_SLOTS, now),
+        guard=load.new_guard(INITIAL_SLOTS, now),
         owner=owner,
         upstream=upstreams.connect(settings_.upstream.url),
         bundle=bundle,
         max_callee_floor=functools.partial(
-            _floor_below, settings_.service, entrance, bundle, clock
+            _max_callee_floor, settings_.service, entrance, bundle, clock
         ),
         pauses=calls.Pauses(now),
         counts=counts,
     )
 
 
-def _floor_below(
+def _max_callee_floor(
     service: str,
     entrance: calls.Entrance,
     bundle: typing.Callable[[], bundles.Bundle | None],
--- a/tests/runtime/test_answers.py
+++ b/tests/runtime/test_answers.py
@@ -27,13 +27,13 @@
 def test_answer_keeps_length_and_date_of_the_upstream(
     method: str, path: str, length: str | None
 ) -> None:
-    """A caller that asks for a length by HEAD is told 0.
+    """The upstream's Content-Length and Date reach the caller unchanged.
 
-    The entrance counted the bytes of the body that HEAD does not have, and
-    its server set a second Date beside the upstream's.
+    The entrance reported the length of the empty body for HEAD, and its
+    server added a second Date header.
     """
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with (
             meshes.started(_upstream) as mesh,
             mesh.call("back", path, method=method) as answer,
@@ -41,4 +41,4 @@
             assert answer.headers.get("content-length") == length
             assert len(answer.headers.getall("date")) == 1
 
-    asyncio.run(asyncio.wait_for(story(), meshes.WAIT))
+    asyncio.run(asyncio.wait_for(scenario(), meshes.WAIT))
