--- a/src/sassafrasstair/decisions/fleet/_messages.py
+++ b/src/sassafrasstair/decisions/fleet/_messages.py
@@ -43,8 +43,8 @@
     alone, which does not name processes. ``revision`` is raised only by the
     VM's own daemon, to override what peers report about it or to change
     ``platform_unreachable``; SWIM calls this counter the incarnation.
-    ``leaving`` means that the VM takes no new work,
-    and ``platform_unreachable`` that the daemon on the VM cannot read the
+    ``leaving`` means that the VM takes no new work, and
+    ``platform_unreachable`` that the daemon on the VM cannot read the
     platform. ``record`` is omitted where peers must have it already.
     """
 
