--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -1,4 +1,18 @@
-"""Sends a client's request to instances and handles each attempt's end."""
+"""Sends a client's request to instances and handles each attempt's end.
+
+An instance keeps its id when it restarts, so the id and the start time
+together identify one run of the instance.
+
+The ``rank`` of a request is its importance plus a fraction below 1. A higher
+rank is more important.
+
+A request that has repeatedly been running when an instance crashed is a
+suspect: no other suspect may run beside it, and after further crashes it is
+blocked for a while. When the block ends, its next attempt is a trial.
+``trial_strikes`` is the number of crashes after which the trial is made.
+Another daemon gets it as ``TRIAL_HEADER``, and runs the trial unless it knows
+of more crashes.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +50,9 @@
     """Send the request to an instance that has not been tried yet.
 
     If there is none, the client is answered with ``last_reason``, the
-    reason for which the previous attempt ended.
+    reason for which the previous attempt ended. ``verdict`` says whether the
+    request is suspected of crashing instances, None if no crash is known. A
+    blocked request is refused with ``CRASHES_INSTANCES``.
     """
     now = daemon.clock.monotonic()
     verdict = _crashes.verdict_of_call(daemon, call)
@@ -81,9 +97,9 @@
     )
     call.attempt = attempt
     if host == daemon.settings.host:
-        _send_here(daemon, call, attempt)
+        _submit_locally(daemon, call, attempt)
     else:
-        _send_there(daemon, call, attempt)
+        _send_to_peer(daemon, call, attempt)
 
 
 def fail_attempts_at(daemon: _state.Daemon, instance: str) -> None:
@@ -137,11 +153,12 @@
     return job is not None and job.may_have_been_sent
 
 
-def _send_here(
+def _submit_locally(
     daemon: _state.Daemon,
     call: _records.Call,
     attempt: _records.Attempt,
 ) -> None:
+    """Hand the attempt to the instance on this VM."""
     request = call.exchange.request
     inbound = _records.InboundRequest(
         attempt.metadata,
@@ -163,11 +180,12 @@
     attempt.execution_key = _callee.submit(daemon, inbound, on_done)
 
 
-def _send_there(
+def _send_to_peer(
     daemon: _state.Daemon,
     call: _records.Call,
     attempt: _records.Attempt,
 ) -> None:
+    """Send the attempt to the daemon on the instance's VM."""
     request = call.exchange.request
     fields = [
         *attempt.fields,
@@ -261,7 +279,19 @@
     state: _wire.CalleeState,
     response: httpio.Response | None,
 ) -> None:
-    """Apply the load reported by the callee's daemon, then its result."""
+    """Apply the load reported by the callee's daemon, then its result.
+
+    On an internal route, which only upstreams call (``admission`` says inner
+    route), the load is kept in ``daemon.chains`` by route and importance.
+    This daemon then reports it with the answers of its own upstream, so that
+    it reaches the entrances of the clients' requests. On any other route,
+    the load adjusts the gate, which holds the share of the route's requests
+    that is admitted here. Calls on internal routes are not shed: each is part
+    of a request on which work was already spent.
+
+    The answer's ``incarnation`` is the id of the instance whose daemon
+    answered, '' if none did.
+    """
     attempt = call.attempt
     if attempt is None:
         return
@@ -272,8 +302,10 @@
     )
     busiest = max(own_load, state.downstream_load)
     if state.internal_route:
-        level = math.floor(call.progress.rank)
-        admission.observe_inner_load(daemon.chains, route, level, busiest, now)
+        importance = math.floor(call.progress.rank)
+        admission.observe_inner_load(
+            daemon.chains, route, importance, busiest, now
+        )
     else:
         admission.mark_called_by_clients(daemon.chains, route)
         admission.observe_load(daemon.gates, route, busiest, now)
@@ -362,15 +394,19 @@
 def _is_current(daemon: _state.Daemon, attempt: _records.Attempt) -> bool:
     """Return whether the instance has not restarted since the attempt.
 
-    A late failure of an earlier start under the same id must not eject the
-    current one.
+    A late failure of an earlier run of the instance, which had the same id
+    and an earlier start time (``born``), must not eject the current run.
     """
     born = views.born_at(daemon.view, attempt.instance)
     return not attempt.born or attempt.born == born
 
 
 def retry_window(daemon: _state.Daemon, service: str) -> requests.Window:
-    """Return the retry-budget window of a service."""
+    """Return the retry-budget window of a service.
+
+    Besides a ratio of the requests, the budget allows a few retries, the
+    slack, which all daemons share. A new window gets this daemon's part.
+    """
     window = daemon.retry_windows.get(service)
     if window is None:
         window = daemon.retry_windows[service] = requests.new_window(
--- a/src/sassafrasstair/forwarding/_callee.py
+++ b/src/sassafrasstair/forwarding/_callee.py
@@ -2,7 +2,18 @@
 
 Every request passes the guard of the instance that it names, whether it
 comes from this daemon or another one, so the guard sees all of the
-instance's work.
+instance's work. The guard is the concurrency limiter of this VM's upstream
+with its queue: ``load.offer`` starts, queues or refuses a request, and
+``load.busy`` is the share of the limit in use, with the queue included.
+
+A request without an answer to forward has one of four endings. After the
+first three it has not run, so that a retry is safe:
+
+- ``UNSENT``: it did not reach the upstream, which is leaving, has been
+  replaced or accepts no connection.
+- ``TURNED_AWAY``: this daemon refused it, by the guard or as a suspect.
+- ``REFUSED``: the upstream refused it without running it.
+- ``LOST``: it may have run; only requests of idempotent routes are retried.
 """
 
 from __future__ import annotations
@@ -47,6 +58,13 @@
     """Start or queue a request, and return its key for ``cancel``.
 
     ``on_done`` is called exactly once, possibly before this function returns.
+
+    ``verdict`` says whether the request is suspected of crashing instances.
+    A blocked request is turned away with ``CRASHES_INSTANCES``, unless it is
+    a trial made after as many crashes (``trial_strikes``) as this daemon
+    knows of. A suspect is ``isolated``: while another suspect waits or runs
+    here it is turned away with ``SUSPECT_RUNNING``, so that a crash shows
+    which suspect causes it.
     """
     now = daemon.clock.monotonic()
     metadata = inbound.metadata
@@ -132,7 +150,9 @@
 
     Requests that were sent before the restart get no answer any more. Ending
     them now lets the entrance retry them elsewhere before their deadline.
-    Requests that still wait in the queue have not run.
+    Requests that still wait in the queue have not run: ``load.retire`` turns
+    them away and sets ``guard.leaving``, with which the guard refuses all
+    further requests.
     """
     if not guard.leaving:
         daemon.upstream.drop_idle()
@@ -398,9 +418,16 @@
     ending: requests.Ending | None,
     reason: outcomes.Reason,
 ) -> _wire.CalleeState:
+    """Return the state to report with the answer.
+
+    It includes the load of the busiest service that this VM's upstream calls
+    for requests of the same importance, and whether the route is internal.
+    The entrance or the calling daemon uses both when it handles the answer.
+    A higher rank, and so a higher importance, takes precedence.
+    """
     now = daemon.clock.monotonic()
     guard = _guards.get_guard(daemon, inbound.metadata.instance, now)
-    level = math.floor(inbound.metadata.rank)
+    importance = math.floor(inbound.metadata.rank)
     load_report = calls.LoadReport(
         load.busy(guard),
         limit=load.limit(guard, now),
@@ -410,8 +437,8 @@
         daemon.view.content_revision,
         daemon.upstream_leaving,
         load_report,
-        load.busy_at_or_above(guard, level),
-        admission.busiest_callee_load(daemon.chains, level, now),
+        load.busy_at_or_above(guard, importance),
+        admission.busiest_callee_load(daemon.chains, importance, now),
         admission.is_inner(
             daemon.callers, inbound.metadata.route, daemon.services
         ),
--- a/src/sassafrasstair/forwarding/_policy_checks.py
+++ b/src/sassafrasstair/forwarding/_policy_checks.py
@@ -24,6 +24,9 @@
 ) -> None:
     """Record what an answer with the store's latest state confirms.
 
+    A full read confirms that the active policy is the newest, or shows that
+    it is not. A watch shows only which changes have been read.
+
     ``after`` is the revision from which a watch began, None for a full read.
     """
     view = daemon.view
--- a/src/sassafrasstair/forwarding/_sync.py
+++ b/src/sassafrasstair/forwarding/_sync.py
@@ -1,4 +1,11 @@
-"""Keeps the view current, from the store or the daemon that is followed."""
+"""Keeps the view current, from the store or the daemon that is followed.
+
+Each daemon follows one parent: a daemon that precedes it in the order of the
+failure domain's hosts, or the store if no such daemon can be used. Its
+followers are the daemons whose parent it is, and a peer is any other daemon.
+The feed (``feeds.Feed``) is the state of following. ``_dialect`` is the
+interface to the platform, whose store has the entries and the policy.
+"""
 
 from __future__ import annotations
 
@@ -97,6 +104,10 @@
     stale: bool,
     after: int | None,
 ) -> None:
+    """Apply the store's answer, or record that the call has failed.
+
+    A full read that is not stale also confirms that the policy is the newest.
+    """
     now = daemon.clock.monotonic()
     try:
         result = reading.result()
@@ -122,7 +133,14 @@
 async def _poll_parent(
     daemon: _state.Daemon, host: str, hold_seconds: float, timeout: float
 ) -> None:
-    """Poll the daemon that is followed for changes."""
+    """Poll the daemon that is followed for changes.
+
+    The poll carries ``process_mark``, which identifies this process. In the
+    answer, ``status.lost`` is for how many seconds the parent has considered
+    the store lost, None if it is not lost. The loss is recorded here only if
+    the parent to be chosen next has lost the store too. Otherwise that
+    parent, or the store itself, may still answer.
+    """
     crash_header = _crash_updates.header(daemon, host)
     sender_header = (_feed_wire.SENDER_HEADER, daemon.process_mark)
     after = daemon.view.revision
@@ -140,7 +158,7 @@
         return
     status_header = result.headers.get(_feed_wire.HEADER_LOWER)
     if result.status != 200 or status_header is None:
-        # A daemon of the previous release, which holds no polls open.
+        # A daemon of the previous release does not support long polling.
         _handle_parent_failure(daemon, host, f"status {result.status}")
         return
     try:
@@ -214,13 +232,22 @@
 
 
 def _adopt_own_address(daemon: _state.Daemon, host: str) -> None:
-    """Use ``host`` as the address of this daemon, as the store does."""
+    """Use ``host`` as the address of this daemon, as the store does.
+
+    The daemon at ``host`` answers with ``LOOP_STATUS`` only if the poll has
+    that daemon's own ``process_mark``. The poll has the mark of this process,
+    so ``host`` is this daemon.
+    """
     daemon.journal.note("follows_itself", peer=host, own=daemon.feed.own_host)
     feeds.adopt_address(daemon.feed, host)
 
 
 def _log_parent(daemon: _state.Daemon, previous_parent: str | None) -> None:
-    """Log which daemon, or the store, is followed from now on."""
+    """Log which daemon, or the store, is followed from now on.
+
+    The logged ``rank`` is the number of hosts that precede this one in the
+    failure domain.
+    """
     feed = daemon.feed
     _counters.count_state_change(daemon.counters, "parent_changed")
     daemon.journal.note(
