--- a/src/sassafrasstair/decisions/crashes/_ledger.py
+++ b/src/sassafrasstair/decisions/crashes/_ledger.py
@@ -22,7 +22,9 @@
 """A crash is kept for longer than any request is blocked, so that it is still
 known when the request is tried again."""
 MAX_KEPT_RUNS = 1_200
-"""The most requests in all records together, about 14 KB as reports. A request
+"""The most requests in all records together. As reports they take about 14 KB
+besides the keys of the crashes. A daemon sends all reports in one header, so
+they must stay below the size of a head that other daemons accept. A request
 that crashes three instances with eight others in flight at each adds 27. So 44
 such requests are remembered, and an evicted one may crash three more
 instances."""
@@ -37,10 +39,13 @@
 class Evidence:
     """The evidence that one request causes crashes.
 
-    ``strikes`` is the number of crashes that count against it, ``isolated``
-    the number of those in which it was the only suspect. ``familiar`` is set
-    if an instance had completed it before. ``crashes`` are all crashes that it
-    is not cleared of, the latest of them at ``last_crash_at``.
+    ``strikes`` is the number of crashes that count against it: it was in
+    flight at each of them and no instance has completed it since. For a
+    familiar request only some of these count, see ``_summarize``. ``isolated``
+    is the number of strikes in which it was the only suspect. ``familiar`` is
+    set if an instance had completed it before one of the crashes. ``crashes``
+    are all crashes that it is not cleared of, the latest of them at
+    ``last_crash_at``.
     """
 
     strikes: int
@@ -64,8 +69,10 @@
     is the same in all daemons that have the same records.
 
     ``evidence_cache`` and ``explained_crashes`` are cleared at each change.
-    The latter holds, for each crash that a proven request was in, the strikes
-    of that request.
+    The latter is None until ``decide_standing`` next needs it. It holds each
+    crash that a proven request was in, with the most strikes of such a
+    request. A request is proven to cause crashes when the evidence against it
+    suffices to block it.
     """
 
     crashes: dict[_records.CrashKey, _records.Crash] = dataclasses.field(
@@ -99,7 +106,7 @@
     now: float,
 ) -> bool:
     """Record a crash of an instance; return False if it is not new."""
-    kept = _unique_runs(ledger, runs)
+    kept = _select_runs(ledger, runs)
     bits = sum(
         1 << index
         for index, run in enumerate(kept)
@@ -109,9 +116,9 @@
 
 
 def clear_completed(ledger: Ledger, fingerprint: int) -> bool:
-    """Record that an instance completed a request.
+    """Clear a request of all its crashes: an instance has completed it.
 
-    Return whether that clears the request of a crash.
+    Return whether it was not cleared of one of them before.
     """
     cleared = False
     for crash, index in ledger.runs_by_request.get(fingerprint, ()):
@@ -125,7 +132,12 @@
 def merge_reports(
     ledger: Ledger, reports: abc.Iterable[_records.Report], now: float
 ) -> set[int]:
-    """Merge a peer's reports; return the requests in changed records."""
+    """Merge a peer's reports; return the requests in changed records.
+
+    The bits of a record refer to its requests by index. A report that lists
+    another number of requests for a known crash is ignored, because its
+    indices may stand for other requests.
+    """
     changed_requests: set[int] = set()
     for report in reports:
         if (
@@ -253,10 +265,15 @@
     )
 
 
-def _unique_runs(
+def _select_runs(
     ledger: Ledger, runs: abc.Iterable[_records.Run]
 ) -> tuple[_records.Run, ...]:
-    """Return one run of each request, the one that started first."""
+    """Return the runs to record, one of each request, at most ``RUNS_MAX``.
+
+    Of several runs of a request the one that started first is kept, and not
+    as isolated. Requests with the most strikes come first; of requests with
+    equal strikes, those that started last come first.
+    """
     found: dict[int, _records.Run] = {}
     for run in runs:
         other = found.get(run.fingerprint)
@@ -286,7 +303,7 @@
     _mark_changed(ledger, crash)
     ledger.digest ^= _crash_digest(crash)
     while _is_full(ledger) and len(ledger.crashes) > 1:
-        _evict(ledger, _least_informative(ledger))
+        _evict(ledger, _next_to_evict(ledger))
     return crash.key in ledger.crashes
 
 
@@ -335,10 +352,11 @@
     ledger.explained_crashes = None
 
 
-def _least_informative(ledger: Ledger) -> _records.Crash:
+def _next_to_evict(ledger: Ledger) -> _records.Crash:
     """Return the record to evict first.
 
-    Records in which no request recurs come first, the oldest of them first.
+    Records come first in which no request, except those cleared of the crash,
+    is in any other record; of these the oldest comes first.
     """
 
     def eviction_order(crash: _records.Crash) -> tuple[bool, float]:
--- a/src/sassafrasstair/decisions/crashes/_records.py
+++ b/src/sassafrasstair/decisions/crashes/_records.py
@@ -13,10 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """A request that was under way when an instance crashed.
+    """A request that was in flight at an instance when the instance crashed.
 
-    ``elapsed_seconds`` is for how long it had run. ``isolated`` is set if it
-    was the only request there that had been in two crashes before.
+    ``fingerprint`` identifies the request. ``elapsed_seconds`` is for how long
+    it had run. ``isolated`` is set if it was the only suspect there, the only
+    request that had been in two crashes before.
     """
 
     fingerprint: int
--- a/src/sassafrasstair/decisions/once/_messages.py
+++ b/src/sassafrasstair/decisions/once/_messages.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """The summary of an executed ticket whose answer was too large to keep.
+    """What is kept of an answer to an executed ticket that was too large.
 
     ``digest`` is the BLAKE2b-256 of the body and ``length`` its size in
     bytes, so that a caller can tell whether it already holds the answer.
@@ -36,7 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotRun:
-    """The execution never started: the ticket is void from now on."""
+    """The execution never started: the ticket is void from now on.
+
+    A void ticket can never be executed.
+    """
 
     reason: outcomes.Reason
 
@@ -75,12 +78,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Join:
-    """The ticket is being executed: wait for the end of that execution."""
+    """The ticket is being executed: wait for the end of that execution.
+
+    The caller then calls ``accept_arrival`` again, which returns ``Replay`` or
+    ``Refused`` according to the result of the execution.
+    """
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Replay:
-    """The ticket was executed: return its answer, or the summary of it."""
+    """The ticket was executed: return its stored answer again.
+
+    ``result`` is a ``Summary`` if the answer was too large to keep.
+    """
 
     result: Done | Summary
 
--- a/src/sassafrasstair/decisions/once/_owners.py
+++ b/src/sassafrasstair/decisions/once/_owners.py
@@ -27,16 +27,26 @@
         outcomes.Reason.UPSTREAM_UNREACHABLE,
     }
 )
-"""After the dispatch "not run" is accepted for these reasons only."""
+"""After the dispatch, "not run" is accepted for these reasons only."""
 
 
 @dataclasses.dataclass(slots=True)
 class Counts:
     """How often each decision was taken since the start.
 
-    ``full`` counts tickets refused for lack of room. ``not_sent`` counts
-    refused dispatches, ``not_run_disbelieved`` results of "not run" that
-    became unknown, and ``ended_twice`` results after the first.
+    ``issued`` counts tickets issued, and ``full`` those refused for lack of
+    room. ``ran`` counts first arrivals, including those that are refused and
+    so not executed. ``joined`` counts arrivals during the execution, and
+    ``replayed`` those that got the stored answer. ``voided`` counts results
+    of "not run", and ``unknown`` results of unknown effect.
+
+    ``invalid`` counts arrivals with a malformed or forged ticket or with one
+    for another class, ``expired`` those with an expired ticket that has no
+    record, and ``owner_gone`` those with a ticket of another daemon or
+    incarnation.
+
+    ``not_sent`` counts refused dispatches, ``not_run_disbelieved`` results of
+    "not run" that became unknown, and ``ended_twice`` results after the first.
     """
 
     issued: int = 0
@@ -60,7 +70,9 @@
     """State of one incarnation of the daemon.
 
     ``last_serial`` is that of the last ticket issued, ``latest_instant`` the
-    greatest instant seen. ``leaving`` is set when the owner is about to stop.
+    latest instant that a caller has passed: the time of an owner never goes
+    back. ``leaving`` is set when the owner is about to stop: it issues no more
+    tickets, but still executes those that it has issued.
     """
 
     vm: str
@@ -152,7 +164,7 @@
         owner.counts.owner_gone += 1
         return _unknown(outcomes.Reason.OWNER_GONE)
     if not _tickets.is_genuine(ticket, owner.secret):
-        # Never issued, so never executed under this name.
+        # A ticket that this owner did not issue was never executed.
         owner.counts.invalid += 1
         return _not_run(outcomes.Reason.TICKET_INVALID)
     record = owner.records.by_serial.get(decoded.serial)
@@ -172,10 +184,10 @@
 ) -> _messages.Arrival:
     """Refuse a request that this daemon will not run, for ``reason``.
 
-    A ticket that was not run before is void from now on. For any other
-    ticket the result is that of ``accept_arrival``, and never ``Run``.
-    Otherwise the owner could refuse a repeat as "not run" for lack of memory
-    while an earlier use of the ticket is executed.
+    A ticket that was not run before is void from now on: it can never be
+    executed. For any other ticket the result is that of ``accept_arrival``,
+    and never ``Run``. Otherwise the owner could refuse a repeat as "not run"
+    for lack of memory while an earlier use of the ticket is executed.
     """
     arrival = accept_arrival(owner, ticket, request_class, now)
     if not isinstance(arrival, _messages.Run):
@@ -187,9 +199,9 @@
 def dispatched(owner: Owner, ticket: str, now: float) -> bool:
     """Record that the first byte is about to be sent to the upstream.
 
-    False means that it must not be sent: the ticket was voided since
-    (cancelled while it waited), or it was sent before. Must be called
-    directly before the dispatch, without an await in between.
+    False means that it must not be sent: the ticket was voided after its
+    arrival (the request was cancelled while it waited), or it was sent before.
+    Must be called directly before the dispatch, without an await in between.
     """
     _advance_clock(owner, now)
     record = find_record(owner, ticket)
--- a/src/sassafrasstair/decisions/quotas/_messages.py
+++ b/src/sassafrasstair/decisions/quotas/_messages.py
@@ -27,7 +27,7 @@
 class Ask:
     """A daemon's request for tokens from the allocator of its failure domain.
 
-    ``host`` is the host of the daemon.
+    ``host`` is that of the daemon, and ``needs`` has one entry a customer.
     """
 
     host: str
@@ -59,11 +59,12 @@
 class Update:
     """The changes that an allocator reports to that of another domain.
 
-    ``domain`` and ``host`` are those of the sender. ``mark`` identifies its
-    process and ``serial`` orders its updates. ``claims`` are the shares of the
-    limits that it holds or wants, and ``demands`` are in requests a second.
-    ``whole`` means that customers that are not listed have the equal share and
-    no demand. ``adopting`` is set until the sender holds its share.
+    ``domain`` and ``host`` are those of the sender. ``mark`` is the identity
+    of its process: a restarted process has another. ``serial`` orders its
+    updates. ``claims`` are the shares of the limits that it holds or wants,
+    and ``demands`` are in requests a second. ``whole`` means that customers
+    that are not listed have the equal share and no demand. ``adopting`` is set
+    until the sender has adopted the share that its peers reserve for it.
     """
 
     domain: str
@@ -80,10 +81,10 @@
 class Acknowledged:
     """The answer to an ``Update``.
 
-    ``mark`` identifies the process that answers, and ``adopting`` is its state
-    as in ``Update``. ``redirect`` is the host that allocates for the domain of
-    the receiver, or '' if the receiver does. ``occupied`` is the host that
-    allocates for the domain of the sender, or '' if the sender does.
+    ``mark`` is the identity of the process that answers, and ``adopting`` is
+    its state as in ``Update``. ``redirect`` is the host that allocates for the
+    domain of the receiver, or '' if the receiver does. ``occupied`` is the
+    host that allocates for the domain of the sender, or '' if the sender does.
     ``yours`` are the shares that are reserved for the domain of the sender.
     """
 
--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -9,6 +9,11 @@
 share that it has.
 
 After a long time without contact both sides return to the equal share.
+
+When a process starts to allocate for a domain, it adopts the share that the
+other domains reserve for it. When another process has allocated for the
+domain before, the new one replaces it. The ``mark`` of a process is its
+identity, by which the other domains notice the replacement.
 """
 
 from __future__ import annotations
@@ -32,10 +37,10 @@
 least ``MIN_DEMAND_CHANGE`` requests a second."""
 TAKEOVER_SECONDS = 1.2
 """After this time without an update from the allocator of a domain another
-process may take over."""
+process may replace it."""
 ADOPT_PARTIAL_SECONDS = 2.0
 """After this time the share of the own domain is adopted without the domains
-that do not answer, if a domain that answered is not adopting itself."""
+that do not answer, if a domain that answered has adopted its own."""
 ADOPT_ALONE_SECONDS = 10.0
 """After this time the share is adopted whichever domains have answered."""
 REVERT_SECONDS = 50.0
@@ -48,12 +53,20 @@
 class PeerDomain:
     """The known state of another failure domain.
 
-    ``mark`` identifies the process that allocates there, ``host`` is its VM,
-    and ``serial`` is that of its last update. ``claims`` and ``demands`` are
-    those that it last reported; ``claims_known`` is set once it has reported
-    all of its claims. ``acked_claims`` and ``acked_demands`` are those of the
-    own domain that it has acknowledged; a lowered claim is entered as soon as
-    it is sent. ``all_acked`` says whether it has acknowledged all of them.
+    ``mark`` is the identity of the process that allocates there, ``host`` is
+    its VM, and ``serial`` is that of its last update. ``claims`` and
+    ``demands`` are those that it last reported; ``claims_known`` is set once
+    it has reported all of its claims. ``acked_claims`` and ``acked_demands``
+    are those of the own domain that it has acknowledged. The share of the own
+    domain is never more than its entry in ``acked_claims``, or the equal share
+    without one. A lowered claim is entered as soon as it is sent, and so
+    lowers the share of the own domain at once: the other domain may count on
+    it even if its acknowledgement is lost.
+
+    ``all_acked`` is set once the other domain has acknowledged an update with
+    all claims and demands. Until then each update lists all of them. After
+    that an update lists only those that differ from ``acked_claims`` and
+    ``acked_demands``, so a lowered claim is listed in one update only.
 
     The other domain last sent an update at ``last_update_at`` and an
     acknowledgement at ``last_ack_at``. While the own domain is adopting its
@@ -80,10 +93,10 @@
 class Shares:
     """Shares of one failure domain, by customer.
 
-    ``mark`` identifies this process. ``equal_share`` is the part of a limit
-    that each domain has without a claim. ``adopting`` is set, since
-    ``adopting_since``, until the share of the domain is taken over from the
-    process that allocated before. ``other_allocator`` is the host of another
+    ``mark`` is the identity of this process. ``equal_share`` is the part of a
+    limit that each domain has without a claim. ``adopting`` is set, since
+    ``adopting_since``, until this process has adopted the share that the other
+    domains reserve for its domain. ``other_allocator`` is the host of another
     process that allocates for the domain, or ''. ``serial`` is that of the
     last update sent.
     """
@@ -178,7 +191,11 @@
 
 
 def update_for(shares: Shares, domain: str) -> _messages.Update:
-    """Return the update to send to the allocator of another domain."""
+    """Return the update to send to the allocator of another domain.
+
+    It is ``whole``, with all claims and demands, until the other allocator has
+    acknowledged one such update.
+    """
     peer = shares.peer_domains[domain]
     equal = shares.equal_share
     whole = not peer.all_acked
@@ -227,11 +244,16 @@
 def receive_update(
     shares: Shares, update: _messages.Update, now: float
 ) -> _messages.Acknowledged:
-    """Apply an update from another domain; return its acknowledgement."""
+    """Apply an update from another domain; return its acknowledgement.
+
+    ``occupied`` names the host that allocates for that domain if the sender
+    may not replace it. ``yours`` are the claims of the domain that are
+    reserved for the sender while it is adopting.
+    """
     peer = shares.peer_domains.get(update.domain)
     if peer is None:
         return _messages.Acknowledged(shares.mark, "", "", shares.adopting, {})
-    if peer.mark != update.mark and not _may_take_over(peer, update, now):
+    if peer.mark != update.mark and not _may_replace(peer, update, now):
         return _messages.Acknowledged(
             shares.mark, "", peer.host, shares.adopting, {}
         )
@@ -263,7 +285,12 @@
     answer: _messages.Acknowledged,
     now: float,
 ) -> None:
-    """Apply the acknowledgement of an update that was sent."""
+    """Apply the acknowledgement of an update that was sent.
+
+    ``occupied`` in the answer is the host of another process that the peer
+    takes for the allocator of the own domain. ``yours`` are the claims that
+    the peer reserves for the own domain.
+    """
     peer = shares.peer_domains[domain]
     peer.last_ack_at = now
     if answer.occupied:
@@ -285,19 +312,20 @@
 
 
 def adopt_share(shares: Shares, now: float) -> bool:
-    """Take over the share of the own domain if enough domains answered.
+    """Adopt the share that the other domains reserve for the own domain.
 
-    Return whether the share was taken over in this call.
+    It is adopted once enough domains have answered. Return whether it was
+    adopted in this call.
     """
     if not shares.adopting:
         return False
     peers = list(shares.peer_domains.values())
     replies = [peer for peer in peers if peer.reserved_claims is not None]
     waited = now - shares.adopting_since
-    any_settled = any(not peer.adopting for peer in replies)
+    any_adopted = any(not peer.adopting for peer in replies)
     enough = (
         len(replies) == len(peers)
-        or (any_settled and waited >= ADOPT_PARTIAL_SECONDS)
+        or (any_adopted and waited >= ADOPT_PARTIAL_SECONDS)
         or waited >= ADOPT_ALONE_SECONDS
     )
     if not enough or shares.other_allocator:
@@ -324,7 +352,9 @@
 def tick(shares: Shares, present: abc.Collection[str], now: float) -> None:
     """Return to equal shares after a long time without contact.
 
-    ``present`` are the domains in which daemons are known.
+    ``present`` are the domains in which daemons are known. A silent domain
+    among them keeps its claims: it may still be in contact with a third
+    domain, and then does not return to its equal share.
     """
     equal = shares.equal_share
     peers = shares.peer_domains
@@ -365,10 +395,10 @@
     peer.all_acked = False
 
 
-def _may_take_over(
+def _may_replace(
     peer: PeerDomain, update: _messages.Update, now: float
 ) -> bool:
-    """Return whether another process may now allocate for a domain."""
+    """Return whether the sender may replace the allocator of a domain."""
     if not peer.mark or peer.host == update.host:
         return True
     if now - peer.last_update_at >= TAKEOVER_SECONDS:
--- a/tests/decisions/crashes/test_ledger.py
+++ b/tests/decisions/crashes/test_ledger.py
@@ -17,7 +17,7 @@
 class CrashStep:
     """One crash at ``at`` seconds.
 
-    ``ran`` holds the requests under way and for how many seconds each had run.
+    ``ran`` holds the requests in flight and for how many seconds each had run.
     """
 
     at: float
--- a/tests/decisions/crashes/test_standings.py
+++ b/tests/decisions/crashes/test_standings.py
@@ -16,7 +16,7 @@
 class Case:
     """Crashes one second apart, and the standing of ``BAD`` after them.
 
-    ``ran`` holds the requests under way at each crash, and ``isolated`` the
+    ``ran`` holds the requests in flight at each crash, and ``isolated`` the
     indexes of the crashes at which ``BAD`` was the only suspect. ``familiar``
     is set if an instance had completed ``BAD`` before. ``after`` is in seconds
     from the last crash to the decision.
