--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -30,7 +30,7 @@
 MIN_DEMAND_CHANGE = 0.05
 """A demand is sent again when it has changed by at least this factor and by at
 least ``MIN_DEMAND_CHANGE`` requests a second."""
-TAKEOVER_SECONDS = 1.2
+REPLACE_SECONDS = 1.2
 """After this time without an update from the allocator of a domain another
 process may take over."""
 ADOPT_PARTIAL_SECONDS = 2.0
@@ -371,7 +371,7 @@
     """Return whether another process may now allocate for a domain."""
     if not peer.mark or peer.host == update.host:
         return True
-    if now - peer.last_update_at >= TAKEOVER_SECONDS:
+    if now - peer.last_update_at >= REPLACE_SECONDS:
         return True
     if not peer.adopting:
         return False
--- a/tests/decisions/crashes/test_ledger.py
+++ b/tests/decisions/crashes/test_ledger.py
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_daemons_come_to_know_the_same_in_any_order(seed: int) -> None:
+def test_daemons_have_the_same_records_in_any_order(seed: int) -> None:
     """Four daemons agree when all of their records have been exchanged.
 
     Crashes and completions at the daemons are reported in any order, and more
@@ -124,7 +124,7 @@
         assert len({len(one.crashes) for one in found}) == 1
 
 
-def test_only_changes_are_told_after_a_version() -> None:
+def test_only_changes_after_a_version_are_reported() -> None:
     """A daemon reports only records that changed since the version."""
     ledger = ledger_of(*SEQUENCE)
     version = ledger.version
@@ -136,7 +136,7 @@
     assert (report.key, report.age) == (("i-9", 0), 0.5)
 
 
-def test_old_crashes_are_forgotten_and_not_taken_again() -> None:
+def test_old_crashes_are_removed_and_not_added_again() -> None:
     """A peer that removes a record later may still report it once more."""
     ledger = ledger_of(*SEQUENCE)
     old_reports = crashes.reports_since(ledger, 2.0)
@@ -146,7 +146,7 @@
     assert crashes.merge_reports(ledger, old_reports, 1_900.0) == set()
 
 
-def test_records_that_tell_least_are_pushed_out_first() -> None:
+def test_records_without_recurring_requests_are_evicted_first() -> None:
     """Guards against evicting a request that was in several crashes.
 
     There are more crashes than the ledger keeps.
--- a/tests/decisions/quotas/test_shares.py
+++ b/tests/decisions/quotas/test_shares.py
@@ -91,7 +91,7 @@
     )
 
 
-def test_two_domains_do_not_claim_the_same_room() -> None:
+def test_two_domains_do_not_claim_the_same_unused_share() -> None:
     """Guards against shares that add up to more than the whole limit.
 
     Two domains could raise their shares at the same time by what a third
@@ -117,7 +117,7 @@
     ("pause", "host", "taken"),
     [(0.5, "other", False), (0.5, "a", True), (1.5, "other", True)],
 )
-def test_another_process_takes_over_a_domain(
+def test_another_process_replaces_the_allocator_of_a_domain(
     pause: float, host: str, taken: bool
 ) -> None:
     """Guards against two processes that grant tokens of one domain."""
