--- a/src/sassafrasstair/decisions/calls/_entrances.py
+++ b/src/sassafrasstair/decisions/calls/_entrances.py
@@ -1,10 +1,24 @@
 """The entrance: handles a call from its arrival to its one final answer.
 
 The daemon that receives a call from a caller is the entrance for that call.
-It refuses calls that would be refused further down the chain, picks the
-instance for each attempt, and retries as often as the chain's retry limit
-allows. Once-only calls go to the owner of their ticket alone, and are not
-retried after an attempt that may have run.
+Each hop of a chain has one: an upstream sends its own calls to the daemon on
+its VM. The entrance refuses calls that would be refused further down the
+chain, picks the instance for each attempt, and retries as often as the
+chain's retry limit allows.
+
+A request is what a client asks of the first service of a chain. A call is
+what one service is asked at one hop: the request itself, or a part of it that
+an upstream asks of another service. An attempt sends a call to one instance,
+whose guard treats it as work (see ``load``). A retry is a further attempt
+that the entrance makes for the same call. A repeat is the same call, sent
+again by the caller.
+
+A call of a once-only class (``rules.once``) carries a ticket. The ticket names
+its owner, the one daemon process that may run the call (see ``once``). Such a
+call is sent to the owner alone, and is not retried after an attempt that may
+have run.
+
+The shed floor of an instance is the rank below which it refuses calls.
 """
 
 from __future__ import annotations
@@ -32,6 +46,7 @@
 class PendingCall:
     """One call under way at this entrance.
 
+    ``rank`` decides which calls are refused first (see ``load.rank``).
     ``may_have_run`` is set once an attempt ended without a known outcome.
     ``tried`` are the VMs of all attempts, the latest last; ``attempt_id``
     and ``sent_at`` belong to the latest one, and ``retries_granted`` is how
@@ -53,10 +68,10 @@
 class Entrance:
     """State of an entrance.
 
-    ``routes`` is the state of the instances that it calls. ``pending`` are
-    the calls under way by their keys, ``floors`` the shed floors that
-    callees reported, and ``budgets`` the retry budgets by callee service.
-    ``serial`` numbers the calls.
+    ``routes`` is the state of the instances that it calls; it is unrelated
+    to the routes of a policy. ``pending`` are the calls under way by their
+    keys, ``floors`` the shed floors that callees reported, and ``budgets``
+    the retry budgets by callee service. ``serial`` numbers the calls.
     """
 
     incarnation: str
@@ -88,7 +103,11 @@
 
     The key identifies the call in ``apply_answer`` and ``abandon_call``; it
     is empty if the call is refused. The bundle must contain the service and
-    the class, which this function does not check.
+    the class, which this function does not check. Daemons set ``call.ticket``
+    exactly if ``rules.once`` is set.
+
+    A call with a ticket is not refused for the shed floor: the floor was
+    applied when the ticket was issued, before the caller depended on it.
     """
     rules = bundle.classes[call.request_class]
     if now >= call.deadline:
@@ -96,7 +115,8 @@
     if call.repeat > rules.caller_repeats:
         return "", _refuse(rules, call, outcomes.Reason.TOO_MANY_REPEATS, rng)
     # The version of the bundle serves as the epoch of the rank because all
-    # daemons agree on it.
+    # daemons agree on it. A new version reshuffles the callers, so that
+    # others are shed first within an importance.
     rank = load.rank(rules.importance, call.caller, bundle.version)
     lowest_floor = _floors.of_service(entrance.floors, _floor_key(call), now)
     if not call.ticket and rank < lowest_floor:
@@ -125,7 +145,9 @@
 ) -> _messages.Effect | None:
     """Process the end of an attempt and return what to do.
 
-    Returns None if the answer is late or a duplicate.
+    Returns None if the answer is not for the latest attempt of a call under
+    way: it is a duplicate, or came after the entrance had given up on its
+    attempt.
     """
     pending = entrance.pending.get(key)
     if pending is None or pending.attempt_id != attempt_id:
@@ -251,8 +273,9 @@
 def _retries_spent(pending: PendingCall, answer: _messages.Answer) -> int:
     """Return the retries that an attempt used further down the chain.
 
-    An attempt whose daemon did not answer may have used all retries granted
-    to it. Counting fewer would let the chain exceed its retry limit.
+    An attempt whose daemon did not answer (``incarnation`` is empty) may have
+    used all retries granted to it. Counting fewer would let the chain exceed
+    its retry limit.
     """
     lost = answer.outcome is outcomes.Outcome.UNKNOWN
     if lost and not answer.incarnation:
@@ -268,10 +291,10 @@
     One attempt with an unknown outcome makes the whole call unknown: it may
     have run, even if a later attempt was refused.
 
-    If a repeat of a once-only call can't reach the owner of its ticket, the
-    request with the earlier use of the ticket may still arrive and run.
-    Unless the owner itself reported "not run", this outcome is therefore
-    correct only for the first use of a ticket.
+    "Not run" from the owner of a ticket is passed on; ``incarnation`` is set
+    only if the remote daemon itself answered. Without such an answer, "not
+    run" holds only for the first use of the ticket. For a repeat, the result
+    is "unknown", because an earlier use may still reach the owner and run.
     """
     if pending.may_have_run:
         return outcomes.Outcome.UNKNOWN
@@ -333,6 +356,11 @@
     rng: random.Random,
     floor: float = 0.0,
 ) -> _messages.Refuse:
+    """Return the refusal of a call that this entrance has not sent.
+
+    A call without a ticket was not run. Of a call with one, this is known
+    for the first use of the ticket only (see ``_final_outcome``).
+    """
     retry_after = _retries.retry_after(rules.refusal, call.repeat, rng)
     outcome = outcomes.Outcome.NOT_RUN
     if call.ticket:
--- a/src/sassafrasstair/decisions/calls/_messages.py
+++ b/src/sassafrasstair/decisions/calls/_messages.py
@@ -19,9 +19,11 @@
     ``call_id`` names the root request of the chain and is the same at each
     hop. ``caller`` is the stable identity that load shedding hashes, so that
     the requests of one caller are admitted or refused together. ``repeat``
-    counts the caller's own repeats, from 0. ``retries`` is the number of
-    retries that the chain has left, and ``depth`` the number of hops before
-    this one. ``ticket`` is empty unless the class is once-only.
+    counts how often the caller has sent the call again, from 0; ``retries``
+    is the number of further attempts that the entrances of the chain may
+    still make. ``depth`` is the number of hops before this one. ``ticket`` is
+    set exactly if the class is once-only, and names the one daemon process
+    that may run the call.
     """
 
     call_id: str
@@ -68,8 +70,8 @@
     """The end of one attempt, as the entrance's transport reports it.
 
     ``retries_spent`` is the number of retries used further down the chain.
-    ``incarnation`` is that of the callee's daemon, and empty if the daemon
-    did not answer.
+    ``incarnation`` is that of the callee's daemon. It is set exactly if that
+    daemon itself answered, and is tested as a truth value for this.
     """
 
     outcome: outcomes.Outcome
--- a/src/sassafrasstair/decisions/calls/_peers.py
+++ b/src/sassafrasstair/decisions/calls/_peers.py
@@ -104,6 +104,8 @@
 class Routes:
     """State that an entrance keeps about the instances that it calls.
 
+    A route in ``admission`` is something else, an endpoint of the policy.
+
     ``failure_domain`` and ``region`` are those of the entrance itself.
     ``usability_changes`` counts how often an instance became usable or
     unusable. With ``try_unreachable``, instances whose pings fail are tried
--- a/src/sassafrasstair/decisions/requests/_budgets.py
+++ b/src/sassafrasstair/decisions/requests/_budgets.py
@@ -4,6 +4,9 @@
 requests for a service, plus a fixed number of repeats, the slack. Each daemon
 may repeat a ratio of its own requests and use its part of the slack. This
 keeps the total within the budget, however requests are distributed.
+
+A repeat is a further attempt of a daemon here, which ``calls`` calls a retry;
+there, a repeat is a request that the caller itself sends again.
 """
 
 from __future__ import annotations
