--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -1,8 +1,12 @@
 """The guard of one upstream instance: starts, queues or refuses its work.
 
-Words used here: a level is an importance, the integer part of a rank. The
-slot interval is the average time until a slot becomes free. A queue is
-standing if it has not been empty for a while.
+Words used here: work is one attempt that arrived for the upstream. Its rank
+decides when it is shed, which means refused for overload; the level is the
+integer part of the rank, its importance, and the fraction is a hash of the
+caller (see ``load.rank``). A shed floor is the rank below which work is
+refused. The slot interval is the average time until a slot becomes free. A
+queue is standing if it has not been empty for a while: it then delays all
+work instead of absorbing a burst.
 """
 
 from __future__ import annotations
@@ -17,8 +21,10 @@
 from sassafrasstair.decisions.load import _queues
 from sassafrasstair import outcomes
 
+# Reported with each refusal: after this time the work may be sent again.
 RETRY_AFTER_SECONDS = 0.5
-WARM_SECONDS = 5.0
+# The default duration of the warm-up ramp of a cold instance.
+WARM_UP_SECONDS = 5.0
 # Without new samples, an estimate of the service time halves in this time.
 ESTIMATE_HALF_LIFE = 1.0
 ESTIMATE_WEIGHT = 0.2
@@ -27,18 +33,19 @@
 QUEUE_PER_SLOT = 2
 PATIENT_QUEUE_PER_SLOT = 10
 # The queue of a level is standing if work of that level or above has been
-# waiting without interruption for this long, in seconds and in slot intervals.
+# waiting without interruption for the longer one of these two times.
 STANDING_SECONDS = 0.3
 STANDING_SLOT_INTERVALS = 8.0
 # If a level is partly shed and its queue is standing, waiting longer than a
 # few slot intervals gains nothing (Nichols and Jacobson, "Controlling Queue
-# Delay", 2012). The second limit applies during overload to other levels that
-# have no room to spare.
+# Delay", 2012). During overload, the second limit applies to all other work
+# whose level has no room to spare.
 MAX_WAIT_SLOT_INTERVALS = 2.0
-MAX_WAIT_SLOT_INTERVALS_ABOVE = 3.0
+MAX_WAIT_SLOT_INTERVALS_OVERLOADED = 3.0
 # Levels whose total demand, with that of all levels above, is below this share
 # of the service rate have room to spare: their work queues only briefly and
-# may wait for as long as the bundle allows.
+# may wait for as long as the bundle allows. Whether a slot is free at this
+# moment is not considered.
 ROOM_SHARE = 0.7
 # The admitted work may exceed the served work within this time, so that some
 # work is waiting when a slot becomes free.
@@ -58,15 +65,17 @@
     last sample was taken at ``sampled_at``.
 
     Work was last refused for overload at ``overloaded_at``. ``emptied_at``
-    holds for each level when no work of it or above was last waiting.
-    ``lowest_level_with_room`` is computed by each ``tick``, the last of which
-    was at ``ticked_at``. A guard that is ``leaving`` refuses all new work.
+    holds for each level the last time at which no work of this level or above
+    was waiting; level 0 covers the whole queue. ``lowest_level_with_room`` is
+    computed by each ``tick``, the last of which was at ``ticked_at``. A guard
+    is ``leaving`` if the daemon stops or the instance has ended, and refuses
+    all new work.
 
     A ``patient`` guard lets work wait for as long as its request allows and
-    refuses none by rank. It is for callers that can't tell which request a
-    call is part of: refusing the call would fail a request on which work was
-    already spent. Entrances reduce their requests by the reported load
-    instead.
+    refuses none by rank. ``forwarding`` makes all its guards patient. It is
+    for callers that can't tell which request a call is part of: refusing the
+    call would fail a request on which work was already spent. Entrances
+    reduce their requests by the reported load instead (see ``admission``).
     """
 
     limit_state: _limits.Limit
@@ -103,10 +112,14 @@
     slots: int,
     now: float,
     cold: bool = False,
-    warm_seconds: float = WARM_SECONDS,
+    warm_seconds: float = WARM_UP_SECONDS,
     patient: bool = False,
 ) -> Guard:
-    """Return the guard of an instance with ``slots``."""
+    """Return the guard of an instance with ``slots``.
+
+    A ``cold`` instance is slow at first, so its limit rises to the full value
+    within ``warm_seconds``.
+    """
     limit_state = _limits.new_limit(slots, now, cold, warm_seconds)
     floors = _floors.new_floors(now)
     emptied = [now] * (bundles.IMPORTANCE_MAX + 1)
@@ -123,7 +136,7 @@
 def offer(
     guard: Guard, work: _messages.Work, now: float
 ) -> list[_messages.Effect]:
-    """Start, queue or refuse an arriving attempt."""
+    """Start, queue or refuse an attempt, once, when it arrives."""
     _floors.count_offer(
         guard.floors, work.tenant, work.tenant_share, work.rank
     )
@@ -133,7 +146,7 @@
         return [_turn_away(work, outcomes.Reason.DEADLINE_PASSED)]
     if now + _estimate(guard, work, now) > work.deadline:
         return [_turn_away(work, outcomes.Reason.DEADLINE_TOO_SHORT)]
-    if not guard.waiting and _has_room(guard, now):
+    if not guard.waiting and _has_free_slot(guard, now):
         return [_start(guard, work, now)]
     return _enqueue(guard, work, now)
 
@@ -165,8 +178,9 @@
     """Drop a waiting attempt whose caller has gone, or abort a running one."""
     waiter = guard.waiting.pop(attempt_id, None)
     if waiter is not None:
-        # Without this effect the end of the attempt would never be reported:
-        # callers that joined it and a planned stop would wait forever.
+        # Without this effect the end of the attempt would never be reported.
+        # A planned stop waits for it, and so do repeats of a once-only call
+        # that joined the first use of their ticket.
         return [_turn_away(waiter.work, outcomes.Reason.CANCELLED)]
     if attempt_id in guard.running:
         return [_messages.Abort(attempt_id)]
@@ -174,7 +188,7 @@
 
 
 def retire(guard: Guard, reason: outcomes.Reason) -> list[_messages.Effect]:
-    """Refuse all waiting and all future work: the instance has ended."""
+    """Refuse all waiting and all future work, as the instance has ended."""
     guard.leaving = True
     waiting, guard.waiting = guard.waiting, {}
     return [_turn_away(waiter.work, reason) for waiter in waiting.values()]
@@ -233,7 +247,7 @@
     return guard.current_service_seconds
 
 
-def _has_room(guard: Guard, now: float) -> bool:
+def _has_free_slot(guard: Guard, now: float) -> bool:
     return len(guard.running) + 1 <= _limits.current(guard.limit_state, now)
 
 
@@ -276,12 +290,12 @@
     standing_level = max(
         _partly_shed_level(guard, now), _highest_standing_level(guard, now)
     )
-    while guard.waiting and _has_room(guard, now):
+    while guard.waiting and _has_free_slot(guard, now):
         waiter = _queues.next_to_start(
             guard.waiting, guard.running_by_tenant, standing_level
         )
         del guard.waiting[waiter.work.attempt_id]
-        if _is_late(guard, waiter, now):
+        if _has_expired(guard, waiter, now):
             effects.append(_turn_away_expired(guard, waiter, now))
         else:
             effects.append(_start(guard, waiter.work, now))
@@ -290,19 +304,19 @@
 
 
 def _expire(guard: Guard, now: float) -> list[_messages.Effect]:
-    late = [
+    expired = [
         waiter
         for waiter in guard.waiting.values()
-        if _is_late(guard, waiter, now)
+        if _has_expired(guard, waiter, now)
     ]
     effects = []
-    for waiter in late:
+    for waiter in expired:
         del guard.waiting[waiter.work.attempt_id]
         effects.append(_turn_away_expired(guard, waiter, now))
     return effects
 
 
-def _is_late(guard: Guard, waiter: _queues.Waiter, now: float) -> bool:
+def _has_expired(guard: Guard, waiter: _queues.Waiter, now: float) -> bool:
     work = waiter.work
     estimate = _estimate(guard, work, now)
     max_wait_seconds = _max_wait_seconds(guard, math.floor(work.rank), now)
@@ -310,7 +324,11 @@
 
 
 def _max_wait_seconds(guard: Guard, level: int, now: float) -> float:
-    """Return how long work of the level may wait, in seconds."""
+    """Return how long work of the level may wait, in seconds.
+
+    The first limit depends on whether the whole queue is standing, which is
+    the queue of level 0, and is tested by ``STANDING_SECONDS`` alone.
+    """
     if guard.patient:
         return math.inf
     is_standing = now - guard.emptied_at[0] >= STANDING_SECONDS
@@ -318,7 +336,7 @@
         return MAX_WAIT_SLOT_INTERVALS * _slot_interval(guard, now)
     has_room = level >= guard.lowest_level_with_room
     if now - guard.overloaded_at < OVERLOAD_SECONDS and not has_room:
-        return MAX_WAIT_SLOT_INTERVALS_ABOVE * _slot_interval(guard, now)
+        return MAX_WAIT_SLOT_INTERVALS_OVERLOADED * _slot_interval(guard, now)
     return math.inf
 
 
@@ -330,7 +348,11 @@
 
 
 def _highest_standing_level(guard: Guard, now: float) -> int:
-    """Return the highest level with a standing queue, -1 if there is none."""
+    """Return the highest level with a standing queue, -1 if there is none.
+
+    The queue of a level includes the levels above it, so all lower levels
+    have a standing queue too.
+    """
     intervals = STANDING_SLOT_INTERVALS * _slot_interval(guard, now)
     since = now - max(STANDING_SECONDS, intervals)
     return sum(emptied <= since for emptied in guard.emptied_at) - 1
@@ -344,7 +366,7 @@
 
 
 def _partly_shed_level(guard: Guard, now: float) -> int:
-    """Return the level that is partly shed, -1 if there is none."""
+    """Return the level that the shed floor lies in, -1 if there is none."""
     value = floor(guard, now)
     return math.floor(value) if value > 0.0 else -1
 
--- a/src/sassafrasstair/decisions/load/_messages.py
+++ b/src/sassafrasstair/decisions/load/_messages.py
@@ -1,8 +1,9 @@
 """Inputs and effects of the guard of one upstream instance.
 
 The guard is part of the daemon on the instance's VM, and every request for
-the upstream passes it. Instants and durations are float seconds of the local
-monotonic clock.
+the upstream passes it. Work is an attempt as the guard sees it; an entrance
+makes one or more attempts for each call (see ``calls._entrances``). Instants
+and durations are float seconds of the local monotonic clock.
 """
 
 from __future__ import annotations
@@ -37,7 +38,9 @@
 class End(enum.Enum):
     """How a started attempt ended at the upstream.
 
-    Only ``DONE`` counts for the service time, and only ``REFUSED`` cuts the
+    ``REFUSED`` means that the upstream did not take the attempt although the
+    guard had started it; refusals of the guard itself are ``TurnAway``. Only
+    ``DONE`` counts for the service time, and only ``REFUSED`` cuts the
     concurrency limit.
     """
 
@@ -56,7 +59,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TurnAway:
-    """Effect: refuse the attempt, which was not run."""
+    """Effect: refuse the attempt, which the guard has not started.
+
+    ``retry_after`` is in seconds.
+    """
 
     attempt_id: str
     reason: outcomes.Reason
--- a/src/sassafrasstair/decisions/load/_rank.py
+++ b/src/sassafrasstair/decisions/load/_rank.py
@@ -19,8 +19,9 @@
 def rank(importance: int, caller: str, epoch: int) -> float:
     """Return the rank in [0, 10); a higher rank is shed later.
 
-    A change of ``epoch`` changes the hash, so that it is not always the same
-    callers that are shed.
+    The integer part is the importance, and the fraction a hash of the epoch
+    and the caller. A change of ``epoch`` changes the hash, so that it is not
+    always the same callers that are shed.
     """
     bounded = min(max(importance, 0), bundles.IMPORTANCE_MAX)
     digest = hashlib.blake2b(
