--- a/src/sassafrasstair/decisions/admission/_admissions.py
+++ b/src/sassafrasstair/decisions/admission/_admissions.py
@@ -3,8 +3,12 @@
 When a service deep in a chain is overloaded, it fails requests on which much
 work was already spent. Each answer reports the load of the busiest instance
 in its chain. The entrance adjusts the admitted share of the route's requests
-so that this load stays at a target, and cuts the least important routes
-first.
+so that this load stays at a target, and lowers (cuts) the shares of the least
+important routes first. Requests that are not admitted are refused; such a
+refusal for overload is called shedding.
+
+A route is an endpoint of the policy (``policies.Route``). ``calls.Routes`` is
+something else, the state of the instances that an entrance calls.
 """
 
 from __future__ import annotations
@@ -21,15 +25,15 @@
 FULL_WAIT_SECONDS = 0.05
 """The waiting time at an instance that adds 1 to its load, as much as all of
 its slots in use. With 0.1 s, calls of important requests were refused for
-waiting too long before their routes were cut. A wait of 10 ms in the queue of
-a fast instance is no reason to refuse anything."""
+waiting too long before the shares of their routes were cut. A wait of 10 ms
+in the queue of a fast instance is no reason to refuse anything."""
 TARGET_LOAD = 1.0
-"""The load to aim for, as computed by ``pressure``: all slots in use and no
+"""The load to aim for, as returned by ``pressure``: all slots in use and no
 queue on average."""
 TARGET_LOAD_STEP = 1.0
 """By how much the target of a route is raised for each level of importance
-above the least. More important routes also get smaller cuts, so that they
-shed requests only if shedding on the less important routes was not enough."""
+above the least. More important routes also get smaller cuts, so that their
+requests are refused only if refusing less important ones was not enough."""
 MIN_WEIGHT = 0.02
 """The least weight of one answer in the average, even if many answers arrive
 at the same moment."""
@@ -49,9 +53,9 @@
 The growth depends on the elapsed time and not on the number of updates. An
 entrance that gets two requests per second on a route makes only as many
 updates; with a fixed growth for each of them, its gate took 10 s or more to
-open. With growth by time, the entrances serve 0.92 to 0.93 of the worth that
-``tests/loads/chains`` assigns to requests while all instances are cold (130
-entrances, mean of three seeds)."""
+open. With growth by time, requests with 0.92 to 0.93 of the total worth are
+served while all instances are cold (130 entrances, mean of three seeds); the
+worth is a weight that ``tests/loads/chains`` gives each kind of request."""
 MIN_SHARE = 0.02
 """The share never falls below this: without any requests no answer would
 report the load."""
@@ -84,7 +88,8 @@
 def pressure(busy: float, service_seconds: float) -> float:
     """Return the load of an instance, where 1 means full without a queue.
 
-    ``busy`` is its running and waiting work as a share of its concurrency
+    All loads of this module and of ``_chains`` are on this scale. ``busy`` is
+    the instance's running and waiting work as a share of its concurrency
     limit, and ``service_seconds`` the service time of one call. Above the
     limit, the load depends on the waiting time and not on the queue length.
     """
@@ -131,7 +136,7 @@
 
 
 def shedding(admission: Admission) -> list[tuple[str, Gate]]:
-    """Return the routes that are partly refused, with their gates."""
+    """Return the routes with a share below 1, with their gates."""
     return [
         (route, gate)
         for route, gate in admission.gates.items()
