--- a/src/sassafrasstair/decisions/quotas/_shares.py
+++ b/src/sassafrasstair/decisions/quotas/_shares.py
@@ -30,7 +30,7 @@
 MIN_DEMAND_CHANGE = 0.05
 """A demand is sent again when it has changed by at least this factor and by at
 least ``MIN_DEMAND_CHANGE`` requests a second."""
-TAKEOVER_SECONDS = 1.2
+REPLACE_SECONDS = 1.2
 """After this time without an update from the allocator of a domain another
 process may take over."""
 ADOPT_PARTIAL_SECONDS = 2.0
@@ -226,15 +226,13 @@
 
 def receive_update(
     shares: Shares, update: _messages.Update, now: float
-) -> _messages.Acknowledgement:
+) -> _messages.Acknowledged:
     """Apply an update from another domain; return its acknowledgement."""
     peer = shares.peer_domains.get(update.domain)
     if peer is None:
-        return _messages.Acknowledgement(
-            shares.mark, "", "", shares.adopting, {}
-        )
+        return _messages.Acknowledged(shares.mark, "", "", shares.adopting, {})
     if peer.mark != update.mark and not _may_take_over(peer, update, now):
-        return _messages.Acknowledgement(
+        return _messages.Acknowledged(
             shares.mark, "", peer.host, shares.adopting, {}
         )
     reserved = dict(peer.claims) if update.adopting else {}
@@ -253,7 +251,7 @@
                 peer.claims_known = True
             peer.claims.update(update.claims)
             peer.demands.update(update.demands)
-    return _messages.Acknowledgement(
+    return _messages.Acknowledged(
         shares.mark, "", "", shares.adopting, reserved
     )
 
@@ -262,7 +260,7 @@
     shares: Shares,
     domain: str,
     update: _messages.Update,
-    answer: _messages.Acknowledgement,
+    answer: _messages.Acknowledged,
     now: float,
 ) -> None:
     """Apply the acknowledgement of an update that was sent."""
@@ -373,7 +371,7 @@
     """Return whether another process may now allocate for a domain."""
     if not peer.mark or peer.host == update.host:
         return True
-    if now - peer.last_update_at >= TAKEOVER_SECONDS:
+    if now - peer.last_update_at >= REPLACE_SECONDS:
         return True
     if not peer.adopting:
         return False
