--- a/src/sassafrasstair/decisions/load/_guards.py
+++ b/src/sassafrasstair/decisions/load/_guards.py
@@ -141,11 +141,11 @@
         guard.floors, work.tenant, work.tenant_share, work.rank
     )
     if guard.leaving:
-        return [_turn_away(work, outcomes.Reason.LEAVING)]
+        return [_refuse(work, outcomes.Reason.LEAVING)]
     if now >= work.deadline:
-        return [_turn_away(work, outcomes.Reason.DEADLINE_PASSED)]
+        return [_refuse(work, outcomes.Reason.DEADLINE_PASSED)]
     if now + _estimate(guard, work, now) > work.deadline:
-        return [_turn_away(work, outcomes.Reason.DEADLINE_TOO_SHORT)]
+        return [_refuse(work, outcomes.Reason.DEADLINE_TOO_SHORT)]
     if not guard.waiting and _has_free_slot(guard, now):
         return [_start(guard, work, now)]
     return _enqueue(guard, work, now)
@@ -181,7 +181,7 @@
         # Without this effect the end of the attempt would never be reported.
         # A planned stop waits for it, and so do repeats of a once-only call
         # that joined the first use of their ticket.
-        return [_turn_away(waiter.work, outcomes.Reason.CANCELLED)]
+        return [_refuse(waiter.work, outcomes.Reason.CANCELLED)]
     if attempt_id in guard.running:
         return [_messages.Abort(attempt_id)]
     return []
@@ -191,7 +191,7 @@
     """Refuse all waiting and all future work, as the instance has ended."""
     guard.leaving = True
     waiting, guard.waiting = guard.waiting, {}
-    return [_turn_away(waiter.work, reason) for waiter in waiting.values()]
+    return [_refuse(waiter.work, reason) for waiter in waiting.values()]
 
 
 def tick(guard: Guard, now: float) -> list[_messages.Effect]:
@@ -267,7 +267,7 @@
 ) -> list[_messages.Effect]:
     if work.rank < floor(guard, now, work.tenant):
         guard.overloaded_at = now
-        return [_turn_away(work, outcomes.Reason.SHED_AT_CALLEE)]
+        return [_refuse(work, outcomes.Reason.SHED_AT_CALLEE)]
     guard.waiting[work.attempt_id] = _queues.Waiter(work, now)
     effects = _dispatch(guard, now)
     per_slot = PATIENT_QUEUE_PER_SLOT if guard.patient else QUEUE_PER_SLOT
@@ -278,7 +278,7 @@
         guard.waiting, guard.running_by_tenant
     ).work
     del guard.waiting[refused.attempt_id]
-    return effects + [_turn_away(refused, outcomes.Reason.QUEUE_FULL)]
+    return effects + [_refuse(refused, outcomes.Reason.QUEUE_FULL)]
 
 
 def _dispatch(guard: Guard, now: float) -> list[_messages.Effect]:
@@ -296,7 +296,7 @@
         )
         del guard.waiting[waiter.work.attempt_id]
         if _has_expired(guard, waiter, now):
-            effects.append(_turn_away_expired(guard, waiter, now))
+            effects.append(_refuse_expired(guard, waiter, now))
         else:
             effects.append(_start(guard, waiter.work, now))
     _record_emptied(guard, now)
@@ -312,7 +312,7 @@
     effects = []
     for waiter in expired:
         del guard.waiting[waiter.work.attempt_id]
-        effects.append(_turn_away_expired(guard, waiter, now))
+        effects.append(_refuse_expired(guard, waiter, now))
     return effects
 
 
@@ -371,13 +371,13 @@
     return math.floor(value) if value > 0.0 else -1
 
 
-def _turn_away_expired(
+def _refuse_expired(
     guard: Guard, waiter: _queues.Waiter, now: float
 ) -> _messages.Effect:
     guard.overloaded_at = now
     if now >= waiter.work.deadline:
-        return _turn_away(waiter.work, outcomes.Reason.DEADLINE_PASSED)
-    return _turn_away(waiter.work, outcomes.Reason.QUEUE_DELAY)
+        return _refuse(waiter.work, outcomes.Reason.DEADLINE_PASSED)
+    return _refuse(waiter.work, outcomes.Reason.QUEUE_DELAY)
 
 
 def _abort_overdue(guard: Guard, now: float) -> list[_messages.Effect]:
@@ -458,7 +458,7 @@
     return (served + math.sqrt(served) + 0.5) / SLACK_SECONDS
 
 
-def _turn_away(
+def _refuse(
     work: _messages.Work, reason: outcomes.Reason
 ) -> _messages.TurnAway:
     return _messages.TurnAway(work.attempt_id, reason, RETRY_AFTER_SECONDS)
