--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -13,7 +13,14 @@
 from sassafrasstair import metrics
 from sassafrasstair import settings
 
-DOCS = pathlib.Path(__file__).parents[1] / "docs"
+ROOT = pathlib.Path(__file__).parents[1]
+DOCS = ROOT / "docs"
+PAGES = sorted(DOCS.rglob("*.md"))
+SOURCES = ("src", "tests", "deploy", "examples")
+SPAN = re.compile(r"`([^`\n]+)`")
+IDENTIFIER = re.compile(r"[A-Za-z_]*(?:_|[a-z][A-Z])\w*")
+FOREIGN = {"CLOCK_MONOTONIC", "MALLOC_ARENA_MAX", "VmHWM"}
+"""Names of the system that the docs quote."""
 ROW = re.compile(r"^\| `([^`]+)` \|(?:.*\| ([^|]*) \|)?", re.MULTILINE)
 
 
@@ -49,6 +56,44 @@
     return found
 
 
+def source_words() -> set[str]:
+    """Return all words of the sources, and the names of their files."""
+    files = [
+        path
+        for folder in SOURCES
+        for path in (ROOT / folder).rglob("*")
+        if path.suffix in {".py", ".toml", ".json", ".sh"}
+    ]
+    words = {path.stem for path in files}
+    for path in files:
+        words |= set(re.findall(r"\w+", path.read_text()))
+    return words
+
+
+def exists(name: str, words: set[str]) -> bool:
+    """Return whether a source has the name, or one that it abbreviates.
+
+    The pages shorten names of metrics and log events to a prefix or suffix.
+    """
+    name = name.removeprefix("sassafrasstair_")
+    if name in words:
+        return True
+    if name.startswith("_"):
+        return name[1:] in words or any(word.endswith(name) for word in words)
+    return name.endswith("_") and any(word.startswith(name) for word in words)
+
+
+@pytest.mark.parametrize("page", PAGES, ids=lambda page: page.stem)
+def test_named_identifiers_exist(page: pathlib.Path) -> None:
+    words = source_words() | FOREIGN
+    named = {
+        name
+        for span in SPAN.findall(page.read_text())
+        for name in IDENTIFIER.findall(span)
+    }
+    assert not {name for name in named if not exists(name, words)}
+
+
 @pytest.mark.parametrize(
     ("page", "kind"),
     [
