--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -35,11 +35,11 @@
     """
 
     fleet: fleet_module.Fleet
-    name: str
-    rates: dict[str, float] = dataclasses.field(default_factory=dict)
-    sent: list[float] = dataclasses.field(default_factory=list)
-    ran: list[float] = dataclasses.field(default_factory=list)
-    ends: collections.Counter[outcomes.Reason] = dataclasses.field(
+    customer_name: str
+    rate_by_host: dict[str, float] = dataclasses.field(default_factory=dict)
+    sent_times: list[float] = dataclasses.field(default_factory=list)
+    admitted_times: list[float] = dataclasses.field(default_factory=list)
+    reason_counts: collections.Counter[outcomes.Reason] = dataclasses.field(
         default_factory=collections.Counter
     )
     rng: random.Random = dataclasses.field(
@@ -48,54 +48,58 @@
 
     def spread(self, rate: float, hosts: typing.Sequence[str]) -> None:
         """Send so many requests a second, from these hosts alike."""
-        self.rates = {host: rate / len(hosts) for host in hosts}
+        self.rate_by_host = {host: rate / len(hosts) for host in hosts}
 
     async def run(self, seconds: float) -> None:
         """Send for some time; arrivals are random."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
-            total = sum(self.rates.values())
+            total = sum(self.rate_by_host.values())
             pause = self.rng.expovariate(total) if total else 0.1
             await asyncio.sleep(min(pause, 0.5))
             if total and pause <= 0.5:
-                hosts = list(self.rates)
-                weights = list(self.rates.values())
+                hosts = list(self.rate_by_host)
+                weights = list(self.rate_by_host.values())
                 self.send(self.rng.choices(hosts, weights)[0])
 
     def send(self, host: str) -> None:
         """Send one request; it finds nobody where the daemon is away."""
         loop = asyncio.get_running_loop()
-        self.sent.append(loop.time())
+        self.sent_times.append(loop.time())
         daemon = self.fleet.daemons.get(host)
         if daemon is None:
-            self.ends[outcomes.Reason.NO_INSTANCE] += 1
+            self.reason_counts[outcomes.Reason.NO_INSTANCE] += 1
             return
         table = daemon.view.table
         found = {} if table is None else table.customers_by_key_digest or {}
-        known = {each.name: each for each in found.values()}.get(self.name)
+        known = {each.name: each for each in found.values()}.get(
+            self.customer_name
+        )
         if known is None:
-            self.ends[outcomes.Reason.KEY_UNKNOWN] += 1
+            self.reason_counts[outcomes.Reason.KEY_UNKNOWN] += 1
         elif known.rate <= 0.0:
-            self._ended(outcomes.Reason.NONE)
+            self._record_outcome(outcomes.Reason.NONE)
         else:
-            _quotas.take_token(daemon, known, functools.partial(self._ended))
+            _quotas.take_token(
+                daemon, known, functools.partial(self._record_outcome)
+            )
 
-    def served(self, since: float) -> float:
+    def admitted_rate(self, since: float) -> float:
         """Return how many requests a second were admitted since then."""
         now = asyncio.get_running_loop().time()
-        return sum(at >= since for at in self.ran) / (now - since)
+        return sum(at >= since for at in self.admitted_times) / (now - since)
 
-    def asked(self, since: float) -> float:
+    def sent_rate(self, since: float) -> float:
         """Return how many requests a second were sent since then."""
         now = asyncio.get_running_loop().time()
-        return sum(at >= since for at in self.sent) / (now - since)
+        return sum(at >= since for at in self.sent_times) / (now - since)
 
     def most(self, since: float = 0.0) -> int:
         """Return the most requests that ran in any window of the rules."""
         window: collections.deque[float] = collections.deque()
         most = 0
-        for at in self.ran:
+        for at in self.admitted_times:
             if at < since:
                 continue
             window.append(at)
@@ -104,10 +108,10 @@
             most = max(most, len(window))
         return most
 
-    def _ended(self, reason: outcomes.Reason) -> None:
-        self.ends[reason] += 1
+    def _record_outcome(self, reason: outcomes.Reason) -> None:
+        self.reason_counts[reason] += 1
         if reason is outcomes.Reason.NONE:
-            self.ran.append(asyncio.get_running_loop().time())
+            self.admitted_times.append(asyncio.get_running_loop().time())
 
 
 def bound(rate: float, burst: float) -> float:
--- a/tests/fleets/fleet.py
+++ b/tests/fleets/fleet.py
@@ -55,7 +55,7 @@
         at = forwarding.Address(self._host, PORT)
         return forwarding.Settings(
             vm=self._host,
-            host=self._fleet.known_as.get(self._host, self._host),
+            host=self._fleet.advertised_hosts.get(self._host, self._host),
             service=self._fleet.service_of(self._host),
             failure_domain=self._domain,
             regions=self._fleet.regions,
@@ -73,8 +73,8 @@
                 self._fleet.bound,
                 10.0,
                 requests.BudgetRules(),
-                self._fleet.revocation,
-                self._fleet.quota,
+                self._fleet.revocation_bound,
+                self._fleet.quota_rules,
             ),
         )
 
@@ -89,8 +89,8 @@
 class Fleet:
     """A fleet of ``count`` VMs in ``domains`` failure domains."""
 
-    count: int
-    domains: int
+    vm_count: int
+    domain_count: int
     seed: int = 1
     bound: float = BOUND
     store: stores.Store = dataclasses.field(default_factory=stores.Store)
@@ -101,48 +101,50 @@
     tasks: dict[str, list[asyncio.Task[None]]] = dataclasses.field(
         default_factory=dict
     )
-    services: typing.Callable[[str], str] = lambda host: "s"
+    service_for_host: typing.Callable[[str], str] = lambda host: "s"
     idempotent: bool = True
     attempts_max: int = 2
-    known_as: dict[str, str] = dataclasses.field(default_factory=dict)
-    upstreams: dict[str, httpio.Pool] = dataclasses.field(default_factory=dict)
-    version: int = 0
+    advertised_hosts: dict[str, str] = dataclasses.field(default_factory=dict)
+    upstream_pools: dict[str, httpio.Pool] = dataclasses.field(
+        default_factory=dict
+    )
+    policy_version: int = 0
     customers: tuple[policies.Customer, ...] | None = None
-    revocation: float | None = None
-    quota: quotas.Rules = dataclasses.field(default_factory=quotas.Rules)
+    revocation_bound: float | None = None
+    quota_rules: quotas.Rules = dataclasses.field(default_factory=quotas.Rules)
 
     def service_of(self, host: str) -> str:
         """Return the service of the instance on a host."""
-        return self.services(host)
+        return self.service_for_host(host)
 
     @property
     def regions(self) -> dict[str, str]:
         """The region of each failure domain."""
-        return {f"d{domain}": "r" for domain in range(self.domains)}
+        return {f"d{domain}": "r" for domain in range(self.domain_count)}
 
     @property
     def hosts(self) -> list[str]:
         """All hosts, those of one failure domain next to each other."""
         return [
             f"10.{domain}.0.{vm + 1}"
-            for domain in range(self.domains)
-            for vm in range(self.count // self.domains)
+            for domain in range(self.domain_count)
+            for vm in range(self.vm_count // self.domain_count)
         ]
 
     async def start(self, settle: float = 8.0) -> None:
         """Start all VMs at once, and wait until all is calm."""
         rng = random.Random(self.seed)
-        self.policy()
+        self.publish_policy()
         loop = asyncio.get_running_loop()
         for host in self.hosts:
             loop.call_later(0.3 * rng.random(), self.restart, host)
-            loop.call_later(0.8 * rng.random(), self.entry, host)
+            loop.call_later(0.8 * rng.random(), self.write_instance, host)
         await asyncio.sleep(settle)
 
     def restart(self, host: str) -> None:
         """Start a daemon that knows nothing."""
         self.kill(host)
-        self.network.dead.discard(host)
+        self.network.dead_hosts.discard(host)
         loop = asyncio.get_running_loop()
         clock = loops.VirtualClock(typing.cast("loops.VirtualLoop", loop))
         dialect = Dialect(self, host, domain_of(host))
@@ -151,40 +153,42 @@
             dialect.settings(),
             clock,
             random.Random(f"{self.seed} {host} {loop.time()}"),
-            _events.Journal(_drop),
+            _events.Journal(_discard),
         )
         daemon.pools = networks.Pools(self.network, host)
-        daemon.upstream = self.upstreams.get(host, daemon.upstream)
+        daemon.upstream = self.upstream_pools.get(host, daemon.upstream)
         self.daemons[host] = daemon
-        self.network.serve[host] = functools.partial(_inbound.handle, daemon)
+        self.network.handlers[host] = functools.partial(
+            _inbound.handle, daemon
+        )
         work = (
             _sync.update_view_forever(daemon),
             _peers.pull_while_store_lost(daemon),
             _peers.compare_with_peers(daemon),
             _crash_broadcast.broadcast_forever(daemon),
-            _tick(daemon),
+            _tick_forever(daemon),
         )
         self.tasks[host] = [loop.create_task(each) for each in work]
 
     def kill(self, host: str) -> None:
         """End a daemon; its VM refuses connections."""
-        self.network.dead.add(host)
+        self.network.dead_hosts.add(host)
         for task in self.tasks.pop(host, []):
             task.cancel()
         old = self.daemons.pop(host, None)
         if old is not None:
             old.held_polls.clear()
 
-    def entry(
+    def write_instance(
         self,
         host: str,
         state: views.InstanceState = views.InstanceState.READY,
-        cold: float = 0.0,
-        key: str = "",
+        cold_seconds: float = 0.0,
+        instance_id: str = "",
     ) -> None:
         """Write the entry of the instance on a host."""
         made = views.Instance(
-            key or f"i-{host}",
+            instance_id or f"i-{host}",
             self.service_of(host),
             host,
             80,
@@ -193,13 +197,13 @@
             "r",
             8,
             state,
-            cold,
+            cold_seconds,
         )
         self.store.put(made.id, made)
 
-    def policy(self) -> int:
+    def publish_policy(self) -> int:
         """Put the next policy in force; return its version."""
-        self.version += 1
+        self.policy_version += 1
         routes = tuple(
             place.route(
                 f"/{name}/",
@@ -212,38 +216,40 @@
         self.store.put(
             "policy",
             policies.Policy(
-                self.version,
+                self.policy_version,
                 routes,
                 place.LIMITS,
                 customers=self.customers,
             ),
         )
-        return self.version
+        return self.policy_version
 
-    def behind(self) -> list[str]:
+    def hosts_behind(self) -> list[str]:
         """Return the live hosts that don't know the policy in force."""
         return [
             host
             for host, daemon in self.daemons.items()
-            if host not in self.network.frozen
-            and version_of(daemon) < self.version
+            if host not in self.network.frozen_hosts
+            and policy_version_of(daemon) < self.policy_version
         ]
 
-    async def spread(self, without: set[str] | None = None) -> float:
+    async def measure_propagation(
+        self, excluded: set[str] | None = None
+    ) -> float:
         """Return how long a new policy takes to reach all.
 
         ``without`` are hosts that need not get it.
         """
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        self.policy()
-        while set(self.behind()) - (without or set()):
+        self.publish_policy()
+        while set(self.hosts_behind()) - (excluded or set()):
             await asyncio.sleep(0.01)
             if loop.time() > begun + 30.0:
                 return 30.0
         return loop.time() - begun
 
-    def reader(self, domain: str) -> str:
+    def first_reader(self, domain: str) -> str:
         """Return the first host of a failure domain that reads the store."""
         found = [
             host
@@ -252,7 +258,7 @@
         ]
         return feeds.reader_hosts(found)[0]
 
-    def readers(self) -> list[str]:
+    def store_readers(self) -> list[str]:
         """Return all hosts that read the store."""
         return [
             host
@@ -260,16 +266,16 @@
             if feeds.reads_store(daemon.feed)
         ]
 
-    def of_domain(self, domain: str) -> set[str]:
+    def hosts_in_domain(self, domain: str) -> set[str]:
         """Return the hosts of a failure domain."""
         return {host for host in self.hosts if domain_of(host) == domain}
 
-    def cut_off(self, hosts: set[str]) -> None:
+    def partition(self, hosts: set[str]) -> None:
         """Cut hosts off from all others, not from each other."""
         rest = set(self.hosts) - hosts
         for one in hosts:
             for other in rest:
-                self.network.cut |= {(one, other), (other, one)}
+                self.network.blocked_links |= {(one, other), (other, one)}
 
 
 def domain_of(host: str) -> str:
@@ -277,13 +283,13 @@
     return "d" + host.split(".")[1]
 
 
-def version_of(daemon: _state.Daemon) -> int:
+def policy_version_of(daemon: _state.Daemon) -> int:
     """Return the version of the policy that a daemon has in force."""
     table = daemon.view.table
     return -1 if table is None else table.policy.version
 
 
-async def _tick(daemon: _state.Daemon) -> None:
+async def _tick_forever(daemon: _state.Daemon) -> None:
     while True:
         await asyncio.sleep(TICK_SECONDS)
         now = daemon.clock.monotonic()
@@ -296,5 +302,5 @@
         _learning.apply_news(daemon, views.expire(daemon.view, now), "time")
 
 
-def _drop(data: bytes) -> int:
+def _discard(data: bytes) -> int:
     return len(data)
--- a/tests/fleets/instances.py
+++ b/tests/fleets/instances.py
@@ -27,13 +27,13 @@
 class Arrival:
     """A request that an instance began to run."""
 
-    at: float
+    time: float
     target: bytes
     host: str
 
 
 @dataclasses.dataclass
-class Plant:
+class Upstreams:
     """All instances of a fleet.
 
     A request for a target of ``crashing`` crashes the instance so many
@@ -42,40 +42,40 @@
     """
 
     fleet: fleet_module.Fleet
-    seconds: float = 0.03
-    crashing: dict[bytes, float] = dataclasses.field(default_factory=dict)
-    calls: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
+    service_seconds: float = 0.03
+    crash_delays: dict[bytes, float] = dataclasses.field(default_factory=dict)
+    nested_calls: dict[bytes, bytes] = dataclasses.field(default_factory=dict)
     arrivals: list[Arrival] = dataclasses.field(default_factory=list)
     crashes: list[Arrival] = dataclasses.field(default_factory=list)
     instances: dict[str, Instance] = dataclasses.field(default_factory=dict)
 
-    def build(self) -> None:
+    def install(self) -> None:
         """Put an instance on each host of the fleet, before it starts."""
         for host in self.fleet.hosts:
             made = self.instances[host] = Instance(self, host)
             pool = typing.cast("httpio.Pool", made)
-            self.fleet.upstreams[host] = pool
+            self.fleet.upstream_pools[host] = pool
 
-    def arrived(self, target: bytes, since: float = 0.0) -> int:
+    def arrival_count(self, target: bytes, since: float = 0.0) -> int:
         """Return how often the target was begun since then."""
         return sum(
-            each.target == target and each.at >= since
+            each.target == target and each.time >= since
             for each in self.arrivals
         )
 
     def crash_times(self, target: bytes) -> list[float]:
         """Return when instances crashed under the target."""
-        return [each.at for each in self.crashes if each.target == target]
+        return [each.time for each in self.crashes if each.target == target]
 
 
 class Instance:
     """The instance on one host, as the pool that its daemon sends by."""
 
-    def __init__(self, plant: Plant, host: str) -> None:
+    def __init__(self, upstreams: Upstreams, host: str) -> None:
         self.host = host
         self.connections_opened = 0
         self.down = False
-        self._plant = plant
+        self._upstreams = upstreams
         self._running: dict[httpio.Job, asyncio.TimerHandle] = {}
 
     def send(self, job: httpio.Job) -> None:
@@ -84,42 +84,50 @@
         if self.down:
             loop.call_later(CONNECT_SECONDS, job.end, httpio.Failure.NOT_SENT)
             return
-        request = networks.parse(job.data)
-        plant = self._plant
-        plant.arrivals.append(Arrival(loop.time(), request.target, self.host))
+        request = networks.parse_request(job.data)
+        upstreams = self._upstreams
+        upstreams.arrivals.append(
+            Arrival(loop.time(), request.target, self.host)
+        )
         job._connection = typing.cast("typing.Any", _Connection(self, job))
-        crashing = plant.crashing.get(request.target)
-        if crashing is not None:
-            work = loop.call_later(crashing, self.crash, request.target)
-        elif request.target in plant.calls:
-            work = loop.call_later(plant.seconds, self._call, job, request)
+        crash_delay = upstreams.crash_delays.get(request.target)
+        if crash_delay is not None:
+            timer = loop.call_later(crash_delay, self.crash, request.target)
+        elif request.target in upstreams.nested_calls:
+            timer = loop.call_later(
+                upstreams.service_seconds, self._call_nested, job, request
+            )
         else:
-            work = loop.call_later(plant.seconds, self._answer, job, request)
-        self._running[job] = work
+            timer = loop.call_later(
+                upstreams.service_seconds, self._answer, job, request
+            )
+        self._running[job] = timer
 
     send_on_new = send
 
     def crash(self, target: bytes = b"") -> None:
         """End all that runs, and start anew under another id."""
         loop = asyncio.get_running_loop()
-        self._plant.crashes.append(Arrival(loop.time(), target, self.host))
+        self._upstreams.crashes.append(Arrival(loop.time(), target, self.host))
         self.down = True
         running, self._running = self._running, {}
         for job, work in running.items():
             work.cancel()
             job.end(httpio.Failure.LOST)
-        daemon = self._plant.fleet.daemons.get(self.host)
+        daemon = self._upstreams.fleet.daemons.get(self.host)
         known = [] if daemon is None else list(daemon.view.instances.values())
         ids = [each.id for each in known if each.host == self.host]
         loop.call_later(AWAY_SECONDS, self._start)
         for key in ids:
-            loop.call_later(LAPSE_SECONDS, self._plant.fleet.store.remove, key)
+            loop.call_later(
+                LAPSE_SECONDS, self._upstreams.fleet.store.remove, key
+            )
 
-    def forget(self, job: httpio.Job) -> None:
+    def cancel(self, job: httpio.Job) -> None:
         """Stop a request whose connection was cut."""
-        work = self._running.pop(job, None)
-        if work is not None:
-            work.cancel()
+        timer = self._running.pop(job, None)
+        if timer is not None:
+            timer.cancel()
 
     def try_connect(self, done: typing.Callable[[bool], None]) -> None:
         """Say whether a connection can be made."""
@@ -134,12 +142,14 @@
 
     def _start(self) -> None:
         self.down = False
-        self._plant.fleet.entry(self.host, key=f"i-{next(_serial)}")
+        self._upstreams.fleet.write_instance(
+            self.host, instance_id=f"i-{next(_serial)}"
+        )
 
-    def _call(self, job: httpio.Job, request: httpio.Request) -> None:
-        plant = self._plant
-        target = plant.calls[request.target]
-        called = call(plant.fleet, self.host, target)
+    def _call_nested(self, job: httpio.Job, request: httpio.Request) -> None:
+        upstreams = self._upstreams
+        target = upstreams.nested_calls[request.target]
+        called = call(upstreams.fleet, self.host, target)
 
         def done(status: asyncio.Future[int]) -> None:
             if job in self._running:
@@ -152,7 +162,7 @@
         self, job: httpio.Job, request: httpio.Request, status: int = 200
     ) -> None:
         self._running.pop(job, None)
-        names = self._plant.fleet.daemons[self.host].header_keys
+        names = self._upstreams.fleet.daemons[self.host].header_keys
         fields = [
             (names.request_id, request.headers[names.request_id]),
             (names.signature, b"s"),
@@ -169,7 +179,7 @@
         self._job = job
 
     def abort(self) -> None:
-        self._instance.forget(self._job)
+        self._instance.cancel(self._job)
 
 
 class _Exchange:
@@ -204,7 +214,7 @@
     ]
     method = b"POST" if body else b"GET"
     head = httpio.request_head(method, target, fields, len(body))
-    request = networks.parse(head + body, daemon.clock.monotonic())
+    request = networks.parse_request(head + body, daemon.clock.monotonic())
     exchange = _Exchange(request)
     _entrance.handle(daemon, typing.cast("httpio.Exchange", exchange))
     return exchange.status
--- a/tests/fleets/networks.py
+++ b/tests/fleets/networks.py
@@ -11,9 +11,9 @@
 
 LINK_SECONDS = 0.001
 CONNECT_SECONDS = 0.4
-AGAIN_SECONDS = 0.3
+RESEND_SECONDS = 0.3
 
-Serve = typing.Callable[[httpio.Exchange], None]
+Handler = typing.Callable[[httpio.Exchange], None]
 
 
 @dataclasses.dataclass
@@ -26,32 +26,38 @@
     the messages is sent again by TCP, and comes a third of a second later.
     """
 
-    serve: dict[str, Serve] = dataclasses.field(default_factory=dict)
-    frozen: set[str] = dataclasses.field(default_factory=set)
-    dead: set[str] = dataclasses.field(default_factory=set)
-    cut: set[tuple[str, str]] = dataclasses.field(default_factory=set)
-    slow: dict[str, float] = dataclasses.field(default_factory=dict)
-    lost: float = 0.0
+    handlers: dict[str, Handler] = dataclasses.field(default_factory=dict)
+    frozen_hosts: set[str] = dataclasses.field(default_factory=set)
+    dead_hosts: set[str] = dataclasses.field(default_factory=set)
+    blocked_links: set[tuple[str, str]] = dataclasses.field(
+        default_factory=set
+    )
+    extra_seconds: dict[str, float] = dataclasses.field(default_factory=dict)
+    resent_share: float = 0.0
     rng: random.Random = dataclasses.field(
         default_factory=lambda: random.Random(1)
     )
-    sent: dict[str, int] = dataclasses.field(default_factory=dict)
-    bodies: int = 0
-    questions: int = 0
+    sent_bytes: dict[str, int] = dataclasses.field(default_factory=dict)
+    body_bytes: int = 0
+    request_count: int = 0
 
-    def passes(self, one: str, other: str) -> bool:
+    def delivers(self, sender: str, receiver: str) -> bool:
         """Return whether a message of ``one`` reaches ``other``."""
-        away = self.frozen & {one, other}
-        return not away and (one, other) not in self.cut
+        frozen = self.frozen_hosts & {sender, receiver}
+        return not frozen and (sender, receiver) not in self.blocked_links
 
-    def seconds(self, one: str, other: str) -> float:
+    def delay_seconds(self, sender: str, receiver: str) -> float:
         """Return how long a message takes."""
-        again = AGAIN_SECONDS if self.rng.random() < self.lost else 0.0
-        slow = self.slow.get(one, 0.0) + self.slow.get(other, 0.0)
-        return LINK_SECONDS + slow + again
+        resend = (
+            RESEND_SECONDS if self.rng.random() < self.resent_share else 0.0
+        )
+        slow = self.extra_seconds.get(sender, 0.0) + self.extra_seconds.get(
+            receiver, 0.0
+        )
+        return LINK_SECONDS + slow + resend
 
 
-def parse(data: bytes, began: float = 0.0) -> httpio.Request:
+def parse_request(data: bytes, began: float = 0.0) -> httpio.Request:
     """Return the request that a job sends."""
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.split(b"\r\n")
@@ -68,13 +74,13 @@
     """A question as the daemon that is asked gets it."""
 
     def __init__(
-        self, network: Network, asker: str, asked: str, job: httpio.Job
+        self, network: Network, sender: str, receiver: str, job: httpio.Job
     ) -> None:
-        self.request = parse(job.data)
-        self.peer_host = asker
+        self.request = parse_request(job.data)
+        self.peer_host = sender
         self.gone: typing.Callable[[], None] | None = None
         self._network = network
-        self._asked = asked
+        self._receiver = receiver
         self._job = job
 
     def respond(
@@ -85,46 +91,56 @@
         close: bool = False,
     ) -> None:
         """Send the answer."""
-        network, asked = self._network, self._asked
-        if not network.passes(asked, self.peer_host) or asked in network.dead:
+        network, receiver = self._network, self._receiver
+        if (
+            not network.delivers(receiver, self.peer_host)
+            or receiver in network.dead_hosts
+        ):
             return
-        network.bodies += len(body)
+        network.body_bytes += len(body)
         size = len(body) + sum(len(n) + len(v) for n, v in fields)
-        network.sent[asked] = network.sent.get(asked, 0) + size
+        network.sent_bytes[receiver] = (
+            network.sent_bytes.get(receiver, 0) + size
+        )
         parsed = [(name.lower(), name, value) for name, value in fields]
         found = {lower: value for lower, _, value in parsed}
         answer = httpio.Response(status, parsed, found, body)
         asyncio.get_running_loop().call_later(
-            network.seconds(asked, self.peer_host), self._arrive, answer
+            network.delay_seconds(receiver, self.peer_host),
+            self._deliver,
+            answer,
         )
 
-    def _arrive(self, answer: httpio.Response) -> None:
-        if self._network.passes(self._asked, self.peer_host):
+    def _deliver(self, answer: httpio.Response) -> None:
+        if self._network.delivers(self._receiver, self.peer_host):
             self._job.end(answer)
 
 
 class Pool:
     """Connections of one daemon to another."""
 
-    def __init__(self, network: Network, own: str, host: str) -> None:
+    def __init__(self, network: Network, sender: str, receiver: str) -> None:
         self._network = network
-        self._own = own
-        self._host = host
+        self._sender = sender
+        self._receiver = receiver
 
     def send(self, job: httpio.Job) -> None:
         """Send a question."""
         network = self._network
-        network.questions += 1
+        network.request_count += 1
         loop = asyncio.get_running_loop()
-        if self._host in network.dead or self._host not in network.serve:
+        if (
+            self._receiver in network.dead_hosts
+            or self._receiver not in network.handlers
+        ):
             loop.call_later(LINK_SECONDS, job.end, httpio.Failure.NOT_SENT)
-        elif network.passes(self._own, self._host):
-            seconds = network.seconds(self._own, self._host)
-            loop.call_later(seconds, self._arrive, job)
+        elif network.delivers(self._sender, self._receiver):
+            seconds = network.delay_seconds(self._sender, self._receiver)
+            loop.call_later(seconds, self._deliver, job)
 
     def send_on_new(self, job: httpio.Job) -> None:
         """Send a question on a new connection."""
-        if not self._network.passes(self._own, self._host):
+        if not self._network.delivers(self._sender, self._receiver):
             asyncio.get_running_loop().call_later(
                 CONNECT_SECONDS, job.end, httpio.Failure.NOT_SENT
             )
@@ -137,21 +153,23 @@
     def sweep(self, now: float) -> None:
         """No connections are kept."""
 
-    def _arrive(self, job: httpio.Job) -> None:
-        network, host = self._network, self._host
-        if host in network.dead or not network.passes(self._own, host):
+    def _deliver(self, job: httpio.Job) -> None:
+        network, receiver = self._network, self._receiver
+        if receiver in network.dead_hosts or not network.delivers(
+            self._sender, receiver
+        ):
             return
-        exchange = Exchange(network, self._own, host, job)
-        network.serve[host](typing.cast("httpio.Exchange", exchange))
+        exchange = Exchange(network, self._sender, receiver, job)
+        network.handlers[receiver](typing.cast("httpio.Exchange", exchange))
 
 
 class Pools(dict[str, httpio.Pool]):
     """The pools of one daemon, each made when it is asked for."""
 
-    def __init__(self, network: Network, own: str) -> None:
+    def __init__(self, network: Network, sender: str) -> None:
         super().__init__()
         self._network = network
-        self._own = own
+        self._sender = sender
 
     def get(self, host: str, default: typing.Any = None) -> typing.Any:
-        return Pool(self._network, self._own, host)
+        return Pool(self._network, self._sender, host)
--- a/tests/fleets/stores.py
+++ b/tests/fleets/stores.py
@@ -18,12 +18,12 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Copy:
+class Backup:
     """What a store held at one moment."""
 
     revision: int
     items: dict[str, views.Change]
-    log: tuple[tuple[int, views.Change], ...]
+    history: tuple[tuple[int, views.Change], ...]
 
 
 @dataclasses.dataclass
@@ -41,31 +41,33 @@
 
     revision: int = 1
     items: dict[str, views.Change] = dataclasses.field(default_factory=dict)
-    log: list[tuple[int, views.Change]] = dataclasses.field(
+    history: list[tuple[int, views.Change]] = dataclasses.field(
         default_factory=list
     )
-    floor: int = 0
-    silent: set[str] = dataclasses.field(default_factory=set)
-    refused: set[str] = dataclasses.field(default_factory=set)
+    history_floor: int = 0
+    silent_hosts: set[str] = dataclasses.field(default_factory=set)
+    refused_hosts: set[str] = dataclasses.field(default_factory=set)
     down: bool = False
-    deaf: bool = False
-    slow: float = ANSWER_SECONDS
-    left: collections.Counter[str] = dataclasses.field(
+    watches_stalled: bool = False
+    answer_seconds: float = ANSWER_SECONDS
+    hang_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
-    cuts: collections.Counter[str] = dataclasses.field(
+    reset_counts: collections.Counter[str] = dataclasses.field(
         default_factory=collections.Counter
     )
     calls: list[tuple[float, str, str]] = dataclasses.field(
         default_factory=list
     )
-    waiting: set[asyncio.Event] = dataclasses.field(default_factory=set)
+    waiting_watches: set[asyncio.Event] = dataclasses.field(
+        default_factory=set
+    )
     era: int = 1
-    lagging: Copy | None = None
-    keeps_watches: bool = False
+    stale_backup: Backup | None = None
+    keeps_watches_on_restore: bool = False
 
     @property
-    def position(self) -> int:
+    def packed_revision(self) -> int:
         """The revision with its era."""
         return views.pack_revision(self.era, self.revision)
 
@@ -73,66 +75,66 @@
         """Write one item."""
         self.revision += 1
         self.items[key] = change
-        self._log(change)
+        self._record_change(change)
 
     def remove(self, key: str) -> None:
         """Remove one instance."""
         self.revision += 1
         self.items.pop(key, None)
-        self._log(views.Removed(key))
+        self._record_change(views.Removed(key))
 
     def drop_history(self) -> None:
         """Forget all changes so far: watches from before get an error."""
-        self.floor = self.revision
-        self.log.clear()
-        self._wake()
+        self.history_floor = self.revision
+        self.history.clear()
+        self._wake_watches()
 
-    def copy(self) -> Copy:
+    def back_up(self) -> Backup:
         """Return what the store holds now."""
-        return Copy(self.revision, dict(self.items), tuple(self.log))
+        return Backup(self.revision, dict(self.items), tuple(self.history))
 
-    def restore(self, copy: Copy) -> dict[str, views.Change]:
+    def restore(self, backup: Backup) -> dict[str, views.Change]:
         """Go on from an older copy; return the changes that it lacks."""
-        lost = {
+        missing = {
             key: change
             for key, change in self.items.items()
-            if copy.items.get(key) != change
+            if backup.items.get(key) != change
         }
-        lost |= {
+        missing |= {
             key: views.Removed(key)
-            for key in copy.items
+            for key in backup.items
             if key not in self.items
         }
         self.era += 1
-        self.revision = copy.revision
-        self.items = dict(copy.items)
-        self.log = list(copy.log)
-        self._wake()
-        return lost
+        self.revision = backup.revision
+        self.items = dict(backup.items)
+        self.history = list(backup.history)
+        self._wake_watches()
+        return missing
 
-    def write_again(self, lost: dict[str, views.Change]) -> None:
+    def rewrite(self, changes: dict[str, views.Change]) -> None:
         """Write what a copy lacked, as its writers do."""
-        for key, change in lost.items():
+        for key, change in changes.items():
             if isinstance(change, views.Removed):
                 self.remove(key)
             else:
                 self.put(key, change)
 
-    def leave(self, hosts: abc.Iterable[str]) -> None:
+    def stop_answering(self, hosts: abc.Iterable[str]) -> None:
         """Answer some hosts no more, not even what waits already."""
-        self.silent |= set(hosts)
-        self.left.update(hosts)
+        self.silent_hosts |= set(hosts)
+        self.hang_counts.update(hosts)
 
-    def reset(self, hosts: abc.Iterable[str]) -> None:
+    def reset_connections(self, hosts: abc.Iterable[str]) -> None:
         """Refuse some hosts, and cut what waits."""
-        self.refused |= set(hosts)
-        self.cuts.update(hosts)
-        self._wake()
+        self.refused_hosts |= set(hosts)
+        self.reset_counts.update(hosts)
+        self._wake_watches()
 
-    def back(self) -> None:
+    def answer_all_hosts(self) -> None:
         """Answer all again."""
-        self.silent.clear()
-        self.refused.clear()
+        self.silent_hosts.clear()
+        self.refused_hosts.clear()
 
     def calls_since(self, since: float) -> collections.Counter[str]:
         """Return how many calls were made, by verb."""
@@ -140,13 +142,13 @@
             verb for when, _, verb in self.calls if when >= since
         )
 
-    def _log(self, change: views.Change) -> None:
-        self.log.append((self.revision, change))
-        if not self.deaf:
-            self._wake()
+    def _record_change(self, change: views.Change) -> None:
+        self.history.append((self.revision, change))
+        if not self.watches_stalled:
+            self._wake_watches()
 
-    def _wake(self) -> None:
-        for event in self.waiting:
+    def _wake_watches(self) -> None:
+        for event in self.waiting_watches:
             event.set()
 
 
@@ -161,13 +163,13 @@
         """Return all items."""
         await self._call("stale" if stale else "read", CALL_SECONDS)
         store = self._store
-        if stale and store.lagging is not None:
-            old = store.lagging
+        if stale and store.stale_backup is not None:
+            old = store.stale_backup
             revision = views.pack_revision(store.era, old.revision)
             items = tuple(old.items.values())
             return forwarding.Reading(items, revision, revision, True)
         items = tuple(store.items.values())
-        revision = store.position
+        revision = store.packed_revision
         return forwarding.Reading(items, revision, revision, True)
 
     async def watch(self, after: int, wait: float) -> forwarding.Reading:
@@ -175,30 +177,34 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + wait
         store, host = self._store, self._host
-        left, cuts, era = store.left[host], store.cuts[host], store.era
+        left, cuts, era = (
+            store.hang_counts[host],
+            store.reset_counts[host],
+            store.era,
+        )
         await self._call("watch", wait + CALL_SECONDS)
         while True:
             begin = views.number_in_era(after)
-            if not store.floor <= begin <= store.revision:
+            if not store.history_floor <= begin <= store.revision:
                 raise forwarding.SourceError(
                     forwarding.SourceReason.HISTORY_GONE
                 )
-            found = [(r, c) for r, c in store.log if r > begin]
-            if (found and not store.deaf) or loop.time() >= until:
+            found = [(r, c) for r, c in store.history if r > begin]
+            if (found and not store.watches_stalled) or loop.time() >= until:
                 break
-            await self._changed(until - loop.time())
-            silent = store.down or host in store.silent
-            if silent or store.left[host] != left:
+            await self._wait_for_change(until - loop.time())
+            silent = store.down or host in store.silent_hosts
+            if silent or store.hang_counts[host] != left:
                 await asyncio.sleep(until + CALL_SECONDS - loop.time())
                 raise forwarding.SourceError(forwarding.SourceReason.TIMEOUT)
-            restored = store.era != era and not store.keeps_watches
-            if store.cuts[host] != cuts or restored:
+            restored = store.era != era and not store.keeps_watches_on_restore
+            if store.reset_counts[host] != cuts or restored:
                 raise forwarding.SourceError(forwarding.SourceReason.LOST)
         if store.era != views.era_of(after):
             raise forwarding.SourceError(forwarding.SourceReason.HISTORY_GONE)
-        if store.deaf:
+        if store.watches_stalled:
             found = []
-        number = found[-1][0] if found else max(begin, store.floor)
+        number = found[-1][0] if found else max(begin, store.history_floor)
         revision = views.pack_revision(era, number)
         content = revision if found else -1
         changes = tuple(change for _, change in found)
@@ -208,37 +214,40 @@
         """Return the store's revision."""
         verb = "check_latest" if latest else "check"
         await self._call(verb, CALL_SECONDS)
-        return self._store.position
+        return self._store.packed_revision
 
     async def policy(self) -> forwarding.Reading:
         """Return the latest policy alone."""
         await self._call("policy", CALL_SECONDS)
         store = self._store
         return forwarding.Reading(
-            (store.items["policy"],), store.position, store.position, False
+            (store.items["policy"],),
+            store.packed_revision,
+            store.packed_revision,
+            False,
         )
 
     def close(self) -> None:
         """Nothing is open."""
 
-    async def _changed(self, seconds: float) -> None:
+    async def _wait_for_change(self, seconds: float) -> None:
         event = asyncio.Event()
-        self._store.waiting.add(event)
+        self._store.waiting_watches.add(event)
         try:
             async with asyncio.timeout(seconds):
                 await event.wait()
         except TimeoutError:
             pass
         finally:
-            self._store.waiting.discard(event)
+            self._store.waiting_watches.discard(event)
 
     async def _call(self, verb: str, seconds: float) -> None:
         store = self._store
         now = asyncio.get_running_loop().time()
         store.calls.append((now, self._host, verb))
-        if store.down or self._host in store.silent:
+        if store.down or self._host in store.silent_hosts:
             await asyncio.sleep(seconds)
             raise forwarding.SourceError(forwarding.SourceReason.TIMEOUT)
-        await asyncio.sleep(store.slow)
-        if self._host in store.refused:
+        await asyncio.sleep(store.answer_seconds)
+        if self._host in store.refused_hosts:
             raise forwarding.SourceError(forwarding.SourceReason.REFUSED)
--- a/tests/fleets/test_absences.py
+++ b/tests/fleets/test_absences.py
@@ -22,62 +22,62 @@
 
 
 def _silent(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts)
+    fleet.store.stop_answering(fleet.hosts)
 
 
 def _reset(fleet: Fleet) -> None:
-    fleet.store.reset(fleet.hosts)
+    fleet.store.reset_connections(fleet.hosts)
 
 
 def _silent_for_half(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts[::2])
+    fleet.store.stop_answering(fleet.hosts[::2])
 
 
 def _silent_for_the_first_domain(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.of_domain("d0"))
+    fleet.store.stop_answering(fleet.hosts_in_domain("d0"))
 
 
 def _silent_for_all_readers(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.readers())
+    fleet.store.stop_answering(fleet.store_readers())
 
 
-KINDS = (
+ABSENCES = (
     _silent,
     _reset,
     _silent_for_half,
     _silent_for_the_first_domain,
     _silent_for_all_readers,
 )
-Kind = typing.Callable[[Fleet], None]
+Absence = typing.Callable[[Fleet], None]
 
 
-async def _calm(fleet: Fleet) -> None:
+async def _start_with_aligned_watches(fleet: Fleet) -> None:
     """Start, and wait until all readers watch since the same moment."""
     await fleet.start()
-    await fleet.spread()
+    await fleet.measure_propagation()
     await asyncio.sleep(2.0 * fleet.bound)
-    await fleet.spread()
+    await fleet.measure_propagation()
     await asyncio.sleep(0.3 * fleet.bound)
 
 
-async def _spread_after(
-    fleet: Fleet, seconds: float, kind: Kind = _silent
+async def _measure_after_absence(
+    fleet: Fleet, seconds: float, kind: Absence = _silent
 ) -> float:
     """Return how long changes take right after an absence of the store."""
-    await _calm(fleet)
+    await _start_with_aligned_watches(fleet)
     kind(fleet)
     await asyncio.sleep(seconds)
-    fleet.store.back()
+    fleet.store.answer_all_hosts()
     for _ in range(SERIES - 1):
-        fleet.policy()
+        fleet.publish_policy()
         await asyncio.sleep(SERIES_SECONDS)
-    return await fleet.spread()
+    return await fleet.measure_propagation()
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.4, 1.2, 3.0, 5.1, 8.6, 25.0])
-@pytest.mark.parametrize("kind", KINDS)
+@pytest.mark.parametrize("kind", ABSENCES)
 def test_change_after_an_absence_is_in_force_in_time(
-    kind: Kind, seconds: float
+    kind: Absence, seconds: float
 ) -> None:
     """Requests were handled by a policy that was replaced 2.6 s before.
 
@@ -92,7 +92,7 @@
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        assert await _spread_after(fleet, seconds, kind) < fleet.bound
+        assert await _measure_after_absence(fleet, seconds, kind) < fleet.bound
 
     loops.run(test())
 
@@ -106,33 +106,33 @@
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        assert await _spread_after(fleet, seconds) < bound
+        assert await _measure_after_absence(fleet, seconds) < bound
 
     loops.run(test())
 
 
-@pytest.mark.parametrize("kind", KINDS[2:])
+@pytest.mark.parametrize("kind", ABSENCES[2:])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES[:2])
 def test_change_during_an_absence_reaches_who_hears_of_it(
-    kind: Kind, count: int, domains: int, bound: float
+    kind: Absence, count: int, domains: int, bound: float
 ) -> None:
     """The store turns some daemons away while it serves the others."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        await _calm(fleet)
+        await _start_with_aligned_watches(fleet)
         kind(fleet)
         for pause in (0.3, 1.0, 2.5, 6.0):
             await asyncio.sleep(pause)
-            assert await fleet.spread() < bound
+            assert await fleet.measure_propagation() < bound
 
     loops.run(test())
 
 
-@pytest.mark.parametrize("kind", KINDS[:2])
+@pytest.mark.parametrize("kind", ABSENCES[:2])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES)
 def test_store_that_is_away_gets_few_calls(
-    kind: Kind, count: int, domains: int, bound: float
+    kind: Absence, count: int, domains: int, bound: float
 ) -> None:
     """All calls are paid for, and the store's rate is for all daemons.
 
@@ -142,17 +142,17 @@
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        await _calm(fleet)
+        await _start_with_aligned_watches(fleet)
         kind(fleet)
         loop = asyncio.get_running_loop()
         begun = loop.time()
         await asyncio.sleep(20.0)
         calls = fleet.store.calls_since(begun)
-        pause = _checks.INTERVAL_JITTER_MIN * _checks_pause(fleet)
+        pause = _checks.INTERVAL_JITTER_MIN * _check_interval(fleet)
         callers = domains * _feeds.READERS_MAX
         assert calls["check"] <= callers * 20.0 / pause
         begun = loop.time()
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         await asyncio.sleep(2.0)
         calls = fleet.store.calls_since(begun)
         assert calls["watch"] + calls["read"] <= 3 * callers
@@ -161,7 +161,7 @@
     loops.run(test())
 
 
-def _checks_pause(fleet: Fleet) -> float:
+def _check_interval(fleet: Fleet) -> float:
     return next(iter(fleet.daemons.values())).feed.timing.check_interval
 
 
@@ -174,15 +174,18 @@
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
-        fleet.store.slow = 1.5
+        await _start_with_aligned_watches(fleet)
+        fleet.store.answer_seconds = 1.5
         for _ in range(3):
             await asyncio.sleep(4.0)
-            assert await fleet.spread() < fleet.bound + fleet.store.slow
+            assert (
+                await fleet.measure_propagation()
+                < fleet.bound + fleet.store.answer_seconds
+            )
         begun = asyncio.get_running_loop().time()
         await asyncio.sleep(10.0)
         calls = fleet.store.calls_since(begun)
-        assert calls["watch"] <= len(fleet.readers()) * 10
+        assert calls["watch"] <= len(fleet.store_readers()) * 10
 
     loops.run(test())
 
@@ -196,14 +199,14 @@
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
+        await _start_with_aligned_watches(fleet)
         begun = asyncio.get_running_loop().time()
         for _ in range(80):
             fleet.store.revision += 1
             await asyncio.sleep(0.5)
         calls = fleet.store.calls_since(begun)
         assert calls["watch"] <= 3 * 40 / 5
-        assert await fleet.spread() < fleet.bound
+        assert await fleet.measure_propagation() < fleet.bound
 
     loops.run(test())
 
@@ -217,16 +220,16 @@
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
-        fleet.store.leave(fleet.hosts)
+        await _start_with_aligned_watches(fleet)
+        fleet.store.stop_answering(fleet.hosts)
         await asyncio.sleep(6.0)
         for host in fleet.hosts:
             fleet.store.remove(f"i-{host}")
         await asyncio.sleep(2.0)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         for host in fleet.hosts:
             await asyncio.sleep(2.0 / len(fleet.hosts))
-            fleet.entry(host)
+            fleet.write_instance(host)
         await asyncio.sleep(fleet.bound)
         for daemon in fleet.daemons.values():
             assert len(daemon.view.instances) == len(fleet.hosts)
@@ -242,14 +245,14 @@
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
-        fleet.store.leave(fleet.hosts)
+        await _start_with_aligned_watches(fleet)
+        fleet.store.stop_answering(fleet.hosts)
         for host in fleet.hosts:
             fleet.restart(host)
         await asyncio.sleep(seconds)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         # A first reading that waits in vain is found out by its time limit.
-        assert await fleet.spread() < 2.0 + fleet.bound
+        assert await fleet.measure_propagation() < 2.0 + fleet.bound
 
     loops.run(test())
 
@@ -262,16 +265,16 @@
 
     async def test() -> None:
         fleet = Fleet(36, 3, seed=seed, bound=2.0)
-        await _calm(fleet)
-        domain = fleet.of_domain("d0")
-        reader = fleet.reader("d0")
-        fleet.cut_off(domain)
-        fleet.store.leave(fleet.hosts)
+        await _start_with_aligned_watches(fleet)
+        domain = fleet.hosts_in_domain("d0")
+        reader = fleet.first_reader("d0")
+        fleet.partition(domain)
+        fleet.store.stop_answering(fleet.hosts)
         await asyncio.sleep(8.6)
-        fleet.store.back()
-        fleet.store.leave({reader})
+        fleet.store.answer_all_hosts()
+        fleet.store.stop_answering({reader})
         for pause in (0.0, 1.0, 3.0):
             await asyncio.sleep(pause)
-            assert await fleet.spread() < fleet.bound
+            assert await fleet.measure_propagation() < fleet.bound
 
     loops.run(test())
--- a/tests/fleets/test_crashes.py
+++ b/tests/fleets/test_crashes.py
@@ -18,9 +18,9 @@
 
 STABLE_SECONDS = 3.0
 """After which all daemons have to know of the third crash."""
-LATE_MAX = 3
+LATE_ARRIVALS_MAX = 3
 """Arrivals at instances that are allowed later than that."""
-TOLD_SECONDS = 0.1
+BROADCAST_SECONDS = 0.1
 """After which all daemons know of a crash while all links are sound."""
 BAD = b"/s/bad"
 POPULAR = b"/s/popular"
@@ -29,31 +29,31 @@
 GOOD_PER_SECOND = 40.0
 
 
-async def start(
+async def start_fleet(
     count: int,
     domains: int,
     seed: int = 1,
     attempts_max: int = 2,
     services: typing.Callable[[str], str] = lambda host: "s",
     idempotent: bool = True,
-) -> tuple[fleet_module.Fleet, instances.Plant]:
+) -> tuple[fleet_module.Fleet, instances.Upstreams]:
     """Return a fleet that is calm, with its instances."""
     fleet = fleet_module.Fleet(
         count,
         domains,
         seed=seed,
         bound=2.0,
-        services=services,
+        service_for_host=services,
         idempotent=idempotent,
         attempts_max=attempts_max,
     )
-    plant = instances.Plant(fleet)
-    plant.build()
+    upstreams = instances.Upstreams(fleet)
+    upstreams.install()
     await fleet.start()
-    return fleet, plant
+    return fleet, upstreams
 
 
-async def send_often(
+async def send_at_rate(
     fleet: fleet_module.Fleet,
     targets: typing.Iterator[bytes],
     per_second: float,
@@ -72,20 +72,20 @@
     return list(await asyncio.gather(*sent))
 
 
-def unique() -> typing.Iterator[bytes]:
+def unique_targets() -> typing.Iterator[bytes]:
     """Yield targets that never come again."""
     return (b"/s/good-%d" % number for number in itertools.count())
 
 
-def late(plant: instances.Plant, target: bytes) -> int:
+def late_arrivals(upstreams: instances.Upstreams, target: bytes) -> int:
     """Return the arrivals that come too long after the third crash."""
-    times = plant.crash_times(target)
+    times = upstreams.crash_times(target)
     if len(times) < 3:
         return 0
-    return plant.arrived(target, times[2] + STABLE_SECONDS)
+    return upstreams.arrival_count(target, times[2] + STABLE_SECONDS)
 
 
-SUSPICIONS = {"crashes_instances", "suspect_running"}
+CRASH_REASONS = {"crashes_instances", "suspect_running"}
 SERVED_SHARE = 0.98
 
 
@@ -95,7 +95,7 @@
         count
         for daemon in fleet.daemons.values()
         for (_, _, reason), count in daemon.counters.answers.items()
-        if reason in SUSPICIONS
+        if reason in CRASH_REASONS
     )
 
 
@@ -104,11 +104,14 @@
     return statuses.count(200) / len(statuses)
 
 
-def begun_before(plant: instances.Plant, target: bytes, number: int) -> int:
+def arrivals_before_crash_known(
+    upstreams: instances.Upstreams, target: bytes, number: int
+) -> int:
     """Return the arrivals until a crash of that number, from 1, was known."""
-    known = plant.crash_times(target)[number - 1] + TOLD_SECONDS
+    known = upstreams.crash_times(target)[number - 1] + BROADCAST_SECONDS
     return sum(
-        each.target == target and each.at < known for each in plant.arrivals
+        each.target == target and each.time < known
+        for each in upstreams.arrivals
     )
 
 
@@ -119,13 +122,17 @@
     """One request takes down instance after instance while it comes."""
 
     async def test() -> None:
-        fleet, plant = await start(count, domains)
-        plant.crashing[BAD] = CRASH_SECONDS
-        bad = send_often(fleet, itertools.repeat(BAD), BAD_PER_SECOND, 12.0)
-        good = send_often(fleet, unique(), GOOD_PER_SECOND, 12.0, seed=2)
+        fleet, upstreams = await start_fleet(count, domains)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
+        bad = send_at_rate(fleet, itertools.repeat(BAD), BAD_PER_SECOND, 12.0)
+        good = send_at_rate(
+            fleet, unique_targets(), GOOD_PER_SECOND, 12.0, seed=2
+        )
         _, statuses = await asyncio.gather(bad, good)
-        assert late(plant, BAD) <= LATE_MAX
-        assert plant.arrived(BAD) <= begun_before(plant, BAD, 3)
+        assert late_arrivals(upstreams, BAD) <= LATE_ARRIVALS_MAX
+        assert upstreams.arrival_count(BAD) <= arrivals_before_crash_known(
+            upstreams, BAD, 3
+        )
         assert share_served(statuses) > SERVED_SHARE
 
     loops.run(test())
@@ -139,12 +146,16 @@
     """The request comes seldom or often, and crashes soon or late."""
 
     async def test() -> None:
-        fleet, plant = await start(65, 5)
-        plant.crashing[BAD] = crash_seconds
-        bad = send_often(fleet, itertools.repeat(BAD), per_second, 10.0)
-        good = send_often(fleet, unique(), GOOD_PER_SECOND, 10.0, seed=2)
+        fleet, upstreams = await start_fleet(65, 5)
+        upstreams.crash_delays[BAD] = crash_seconds
+        bad = send_at_rate(fleet, itertools.repeat(BAD), per_second, 10.0)
+        good = send_at_rate(
+            fleet, unique_targets(), GOOD_PER_SECOND, 10.0, seed=2
+        )
         _, statuses = await asyncio.gather(bad, good)
-        assert plant.arrived(BAD) <= begun_before(plant, BAD, 3)
+        assert upstreams.arrival_count(BAD) <= arrivals_before_crash_known(
+            upstreams, BAD, 3
+        )
         assert share_served(statuses) > SERVED_SHARE
 
     loops.run(test())
@@ -154,14 +165,14 @@
     """A request with a body, which is never sent on, comes again and again."""
 
     async def test() -> None:
-        fleet, plant = await start(13, 1, idempotent=False)
-        plant.crashing[BAD] = CRASH_SECONDS
+        fleet, upstreams = await start_fleet(13, 1, idempotent=False)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
         statuses = []
         for number in range(40):
             host = fleet.hosts[number % 13]
             statuses.append(await instances.call(fleet, host, BAD, b"body"))
             await asyncio.sleep(0.25)
-        assert plant.arrived(BAD) == 3
+        assert upstreams.arrival_count(BAD) == 3
         assert statuses.count(502) == 3
         assert statuses.count(503) == 37
 
@@ -172,17 +183,21 @@
     """Five requests by turns crash what runs them, beside a popular one."""
 
     async def test() -> None:
-        fleet, plant = await start(65, 5)
+        fleet, upstreams = await start_fleet(65, 5)
         bad = [BAD + b"-%d" % number for number in range(5)]
-        plant.crashing.update(dict.fromkeys(bad, CRASH_SECONDS))
-        sent = send_often(fleet, itertools.cycle(bad), 10.0, 12.0)
-        popular = send_often(
+        upstreams.crash_delays.update(dict.fromkeys(bad, CRASH_SECONDS))
+        sent = send_at_rate(fleet, itertools.cycle(bad), 10.0, 12.0)
+        popular = send_at_rate(
             fleet, itertools.repeat(POPULAR), 20.0, 12.0, seed=3
         )
-        good = send_often(fleet, unique(), GOOD_PER_SECOND, 12.0, seed=2)
+        good = send_at_rate(
+            fleet, unique_targets(), GOOD_PER_SECOND, 12.0, seed=2
+        )
         _, of_popular, of_good = await asyncio.gather(sent, popular, good)
         for target in bad:
-            assert plant.arrived(target) <= begun_before(plant, target, 3)
+            assert upstreams.arrival_count(
+                target
+            ) <= arrivals_before_crash_known(upstreams, target, 3)
         assert share_served(of_popular) > SERVED_SHARE
         assert share_served(of_good) > SERVED_SHARE
 
@@ -193,17 +208,21 @@
     """An instance calls on as it runs, and the call crashes what runs it."""
 
     async def test() -> None:
-        fleet, plant = await start(26, 2, services=_front_or_deep)
-        plant.crashing[b"/deep/bad"] = CRASH_SECONDS
-        plant.calls[b"/front/bad"] = b"/deep/bad"
+        fleet, upstreams = await start_fleet(26, 2, services=_front_or_deep)
+        upstreams.crash_delays[b"/deep/bad"] = CRASH_SECONDS
+        upstreams.nested_calls[b"/front/bad"] = b"/deep/bad"
         front = itertools.repeat(b"/front/bad")
-        bad = send_often(fleet, front, BAD_PER_SECOND, 10.0)
+        bad = send_at_rate(fleet, front, BAD_PER_SECOND, 10.0)
         good = (b"/deep/good-%d" % number for number in itertools.count())
-        sent = send_often(fleet, good, GOOD_PER_SECOND, 10.0, seed=2)
+        sent = send_at_rate(fleet, good, GOOD_PER_SECOND, 10.0, seed=2)
         _, statuses = await asyncio.gather(bad, sent)
-        arrived = plant.arrived(b"/deep/bad")
-        assert 3 <= arrived <= begun_before(plant, b"/deep/bad", 3)
-        assert plant.crash_times(b"/front/bad") == []
+        arrived = upstreams.arrival_count(b"/deep/bad")
+        assert (
+            3
+            <= arrived
+            <= arrivals_before_crash_known(upstreams, b"/deep/bad", 3)
+        )
+        assert upstreams.crash_times(b"/front/bad") == []
         assert share_served(statuses) > SERVED_SHARE
 
     loops.run(test())
@@ -218,17 +237,17 @@
     """All daemons are restarted, one after the other, while it comes."""
 
     async def test() -> None:
-        fleet, plant = await start(26, 2)
-        plant.crashing[BAD] = CRASH_SECONDS
+        fleet, upstreams = await start_fleet(26, 2)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
 
         async def restart_all() -> None:
             for host in fleet.hosts:
                 await asyncio.sleep(pause)
                 fleet.restart(host)
 
-        bad = send_often(fleet, itertools.repeat(BAD), BAD_PER_SECOND, 18.0)
+        bad = send_at_rate(fleet, itertools.repeat(BAD), BAD_PER_SECOND, 18.0)
         await asyncio.gather(bad, restart_all())
-        assert late(plant, BAD) == 0
+        assert late_arrivals(upstreams, BAD) == 0
 
     loops.run(test())
 
@@ -238,22 +257,24 @@
     """It crashes three instances outside, and comes inside after the cut."""
 
     async def test() -> None:
-        fleet, plant = await start(36, 3)
-        plant.crashing[BAD] = CRASH_SECONDS
-        inside = fleet.of_domain(domain)
-        fleet.cut_off(inside)
+        fleet, upstreams = await start_fleet(36, 3)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
+        inside = fleet.hosts_in_domain(domain)
+        fleet.partition(inside)
         await asyncio.sleep(1.0)
         outside = sorted(set(fleet.hosts) - inside)
         for number in range(12):
             await instances.call(fleet, outside[number % 24], BAD)
             await asyncio.sleep(0.25)
-        assert plant.arrived(BAD) <= begun_before(plant, BAD, 3)
-        fleet.network.cut.clear()
+        assert upstreams.arrival_count(BAD) <= arrivals_before_crash_known(
+            upstreams, BAD, 3
+        )
+        fleet.network.blocked_links.clear()
         await asyncio.sleep(STABLE_SECONDS)
-        before = plant.arrived(BAD)
+        before = upstreams.arrival_count(BAD)
         for host in sorted(inside):
             assert await instances.call(fleet, host, BAD) == 503
-        assert plant.arrived(BAD) == before
+        assert upstreams.arrival_count(BAD) == before
 
     loops.run(test())
 
@@ -262,13 +283,13 @@
     """It comes on both sides of a cut at once."""
 
     async def test() -> None:
-        fleet, plant = await start(36, 3)
-        plant.crashing[BAD] = CRASH_SECONDS
-        inside = fleet.of_domain("d1")
-        fleet.cut_off(inside)
+        fleet, upstreams = await start_fleet(36, 3)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
+        inside = fleet.hosts_in_domain("d1")
+        fleet.partition(inside)
         await asyncio.sleep(1.0)
-        await send_often(fleet, itertools.repeat(BAD), 8.0, 8.0)
-        crashed = [each.host in inside for each in plant.crashes]
+        await send_at_rate(fleet, itertools.repeat(BAD), 8.0, 8.0)
+        crashed = [each.host in inside for each in upstreams.crashes]
         assert crashed.count(True) <= 4
         assert crashed.count(False) <= 4
 
@@ -302,25 +323,25 @@
     """Popular requests are under way at each instance that crashes."""
 
     async def test() -> None:
-        fleet, plant = await start(13, 1)
-        plant.seconds = seconds
+        fleet, upstreams = await start_fleet(13, 1)
+        upstreams.service_seconds = seconds
         rng = random.Random(7)
 
         async def crash_often() -> None:
             await asyncio.sleep(2.0)
             for _ in range(storm.times):
                 for host in rng.sample(fleet.hosts, storm.count):
-                    if not plant.instances[host].down:
-                        plant.instances[host].crash()
+                    if not upstreams.instances[host].down:
+                        upstreams.instances[host].crash()
                 await asyncio.sleep(storm.pause)
             await asyncio.sleep(instances.AWAY_SECONDS)
 
         popular = itertools.cycle([POPULAR, POPULAR + b"-2"])
-        sent = send_often(fleet, popular, 40.0, 14.0)
-        good = send_often(fleet, unique(), 20.0, 14.0, seed=2)
+        sent = send_at_rate(fleet, popular, 40.0, 14.0)
+        good = send_at_rate(fleet, unique_targets(), 20.0, 14.0, seed=2)
         await asyncio.gather(sent, good, crash_often())
         assert refused_on_suspicion(fleet) == 0
-        statuses = await send_often(fleet, popular, 40.0, 3.0)
+        statuses = await send_at_rate(fleet, popular, 40.0, 3.0)
         assert share_served(statuses) == 1.0
 
     loops.run(test())
@@ -330,14 +351,16 @@
     """Both are under way at each instance that crashes."""
 
     async def test() -> None:
-        fleet, plant = await start(13, 1)
+        fleet, upstreams = await start_fleet(13, 1)
         popular = itertools.repeat(POPULAR)
-        await send_often(fleet, popular, 60.0, 2.0)
-        plant.crashing[BAD] = CRASH_SECONDS
-        bad = send_often(fleet, itertools.repeat(BAD), BAD_PER_SECOND, 10.0)
-        sent = send_often(fleet, popular, 60.0, 10.0, seed=2)
+        await send_at_rate(fleet, popular, 60.0, 2.0)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
+        bad = send_at_rate(fleet, itertools.repeat(BAD), BAD_PER_SECOND, 10.0)
+        sent = send_at_rate(fleet, popular, 60.0, 10.0, seed=2)
         _, statuses = await asyncio.gather(bad, sent)
-        assert plant.arrived(BAD) <= begun_before(plant, BAD, 3)
+        assert upstreams.arrival_count(BAD) <= arrivals_before_crash_known(
+            upstreams, BAD, 3
+        )
         assert share_served(statuses) > SERVED_SHARE
 
     loops.run(test())
@@ -347,12 +370,12 @@
     """What all instances have completed crashes them from some moment on."""
 
     async def test() -> None:
-        fleet, plant = await start(13, 1)
+        fleet, upstreams = await start_fleet(13, 1)
         popular = itertools.repeat(POPULAR)
-        await send_often(fleet, popular, 20.0, 4.0)
-        plant.crashing[POPULAR] = CRASH_SECONDS
-        await send_often(fleet, popular, 20.0, 12.0)
-        assert late(plant, POPULAR) == 0
+        await send_at_rate(fleet, popular, 20.0, 4.0)
+        upstreams.crash_delays[POPULAR] = CRASH_SECONDS
+        await send_at_rate(fleet, popular, 20.0, 12.0)
+        assert late_arrivals(upstreams, POPULAR) == 0
 
     loops.run(test())
 
@@ -361,16 +384,16 @@
     """A later release runs what crashed the one before."""
 
     async def test() -> None:
-        fleet, plant = await start(13, 1)
-        plant.crashing[BAD] = CRASH_SECONDS
+        fleet, upstreams = await start_fleet(13, 1)
+        upstreams.crash_delays[BAD] = CRASH_SECONDS
         bad = itertools.repeat(BAD)
-        await send_often(fleet, bad, BAD_PER_SECOND, 5.0)
-        assert plant.arrived(BAD) == 3
-        await send_often(fleet, bad, BAD_PER_SECOND, 150.0)
-        assert 4 <= plant.arrived(BAD) <= 5
-        del plant.crashing[BAD]
-        await send_often(fleet, bad, BAD_PER_SECOND, 500.0)
-        statuses = await send_often(fleet, bad, BAD_PER_SECOND, 5.0)
+        await send_at_rate(fleet, bad, BAD_PER_SECOND, 5.0)
+        assert upstreams.arrival_count(BAD) == 3
+        await send_at_rate(fleet, bad, BAD_PER_SECOND, 150.0)
+        assert 4 <= upstreams.arrival_count(BAD) <= 5
+        del upstreams.crash_delays[BAD]
+        await send_at_rate(fleet, bad, BAD_PER_SECOND, 500.0)
+        statuses = await send_at_rate(fleet, bad, BAD_PER_SECOND, 5.0)
         assert share_served(statuses) == 1.0
 
     loops.run(test())
@@ -380,10 +403,10 @@
     """Hundreds of requests each crash what runs them."""
 
     async def test() -> None:
-        fleet, plant = await start(13, 1)
+        fleet, upstreams = await start_fleet(13, 1)
         bad = [BAD + b"-%d" % number for number in range(400)]
-        plant.crashing.update(dict.fromkeys(bad, CRASH_SECONDS))
-        await send_often(fleet, itertools.cycle(bad), 60.0, 20.0)
+        upstreams.crash_delays.update(dict.fromkeys(bad, CRASH_SECONDS))
+        await send_at_rate(fleet, itertools.cycle(bad), 60.0, 20.0)
         for daemon in fleet.daemons.values():
             ledger = daemon.crash_ledger
             assert len(ledger.crashes) <= 256
--- a/tests/fleets/test_faults.py
+++ b/tests/fleets/test_faults.py
@@ -38,69 +38,69 @@
     value: object
 
 
-async def _nothing(daemon: _state.Daemon) -> None:
+async def _sleep_forever(daemon: _state.Daemon) -> None:
     await asyncio.sleep(NEVER)
 
 
-def _never(daemon: _state.Daemon, now: float) -> None:
+def _skip_tick(daemon: _state.Daemon, now: float) -> None:
     pass
 
 
 async def _freeze_reader(fleet: Fleet) -> set[str]:
-    reader = fleet.reader("d0")
-    fleet.network.frozen.add(reader)
+    reader = fleet.first_reader("d0")
+    fleet.network.frozen_hosts.add(reader)
     return {reader}
 
 
 async def _kill_reader(fleet: Fleet) -> set[str]:
-    fleet.kill(fleet.reader("d0"))
+    fleet.kill(fleet.first_reader("d0"))
     return set()
 
 
 async def _slow_reader(fleet: Fleet) -> set[str]:
-    fleet.network.slow[fleet.reader("d0")] = 1.0
+    fleet.network.extra_seconds[fleet.first_reader("d0")] = 1.0
     return set()
 
 
 async def _reader_without_store(fleet: Fleet) -> set[str]:
-    fleet.store.silent.add(fleet.reader("d0"))
+    fleet.store.silent_hosts.add(fleet.first_reader("d0"))
     return set()
 
 
 async def _watch_of_a_reader_dies(fleet: Fleet) -> set[str]:
     """Its connection falls silent for good while new ones work."""
-    await fleet.spread()
-    await asyncio.sleep(1.05 * _timing(fleet).watch_interval)
-    leading = fleet.daemons[fleet.reader("d0")].feed.checks_for_all
-    fleet.store.leave({fleet.reader("d1" if leading else "d0")})
-    fleet.store.back()
+    await fleet.measure_propagation()
+    await asyncio.sleep(1.05 * _feed_timing(fleet).watch_interval)
+    leading = fleet.daemons[fleet.first_reader("d0")].feed.checks_for_all
+    fleet.store.stop_answering({fleet.first_reader("d1" if leading else "d0")})
+    fleet.store.answer_all_hosts()
     return set()
 
 
-def _timing(fleet: Fleet) -> feeds.Timing:
+def _feed_timing(fleet: Fleet) -> feeds.Timing:
     return feeds.timing_for_bound(fleet.bound)
 
 
 async def _all_readers_without_store(fleet: Fleet) -> set[str]:
-    fleet.store.leave(fleet.readers())
+    fleet.store.stop_answering(fleet.store_readers())
     return set()
 
 
 async def _reader_refused(fleet: Fleet) -> set[str]:
-    fleet.store.reset({fleet.reader("d0")})
+    fleet.store.reset_connections({fleet.first_reader("d0")})
     await asyncio.sleep(REFUSED_SECONDS)
     return set()
 
 
 async def _reader_without_followers(fleet: Fleet) -> set[str]:
-    reader = fleet.reader("d0")
-    for host in fleet.of_domain("d0") - {reader}:
-        fleet.network.cut |= {(reader, host), (host, reader)}
+    reader = fleet.first_reader("d0")
+    for host in fleet.hosts_in_domain("d0") - {reader}:
+        fleet.network.blocked_links |= {(reader, host), (host, reader)}
     return set()
 
 
 async def _reader_stops(fleet: Fleet) -> set[str]:
-    reader = fleet.reader("d0")
+    reader = fleet.first_reader("d0")
     daemon = fleet.daemons[reader]
     daemon.leaving = True
     _polls.answer_all(daemon)
@@ -110,25 +110,25 @@
 
 
 async def _reader_restarts(fleet: Fleet) -> set[str]:
-    fleet.restart(fleet.reader("d0"))
+    fleet.restart(fleet.first_reader("d0"))
     return set()
 
 
 async def _all_readers_of_a_domain(fleet: Fleet) -> set[str]:
-    first = set(feeds.reader_hosts(fleet.of_domain("d0")))
-    fleet.network.frozen |= first
+    first = set(feeds.reader_hosts(fleet.hosts_in_domain("d0")))
+    fleet.network.frozen_hosts |= first
     return first
 
 
 async def _half_of_a_domain(fleet: Fleet) -> set[str]:
-    hosts = fleet.of_domain("d0")
+    hosts = fleet.hosts_in_domain("d0")
     half = set(_orders.first_hosts(hosts, len(hosts) // 2))
-    fleet.network.frozen |= half
+    fleet.network.frozen_hosts |= half
     return half
 
 
 async def _half_refused(fleet: Fleet) -> set[str]:
-    fleet.store.reset(fleet.hosts[::2])
+    fleet.store.reset_connections(fleet.hosts[::2])
     await asyncio.sleep(REFUSED_SECONDS)
     return set()
 
@@ -139,14 +139,14 @@
 
 
 async def _lossy_and_slow(fleet: Fleet) -> set[str]:
-    fleet.network.lost = 0.2
+    fleet.network.resent_share = 0.2
     for host in fleet.hosts[::3]:
-        fleet.network.slow[host] = 0.1
+        fleet.network.extra_seconds[host] = 0.1
     return set()
 
 
 async def _lossy_and_reader_frozen(fleet: Fleet) -> set[str]:
-    fleet.network.lost = 0.2
+    fleet.network.resent_share = 0.2
     return await _freeze_reader(fleet)
 
 
@@ -172,7 +172,7 @@
 Fault = typing.Callable[[Fleet], typing.Coroutine[None, None, "set[str]"]]
 
 
-async def _worst(
+async def _worst_propagation(
     fault: Fault, count: int, domains: int, seeds: range
 ) -> float:
     """Return the longest time that a policy takes right after a fault."""
@@ -183,7 +183,7 @@
         # At another moment of the holds and of the pace for each seed.
         await asyncio.sleep(0.23 * seed)
         excused = await fault(fleet)
-        worst = max(worst, await fleet.spread(excused))
+        worst = max(worst, await fleet.measure_propagation(excused))
         await _stop(fleet)
     return worst
 
@@ -194,13 +194,15 @@
     await asyncio.sleep(0)
 
 
-def _measure(
+def _measure_worst(
     fault: Fault, count: int = 36, domains: int = 3, seeds: int = 5
 ) -> float:
     found: list[float] = []
 
     async def test() -> None:
-        taken = await _worst(fault, count, domains, range(1, seeds + 1))
+        taken = await _worst_propagation(
+            fault, count, domains, range(1, seeds + 1)
+        )
         found.append(taken)
 
     loops.run(test())
@@ -214,15 +216,15 @@
     The followers are sound and have a way to the store, so requests that
     they send by the old policy break a promise.
     """
-    assert _measure(fault) < BOUND
+    assert _measure_worst(fault) < BOUND
 
 
 @pytest.mark.parametrize(
     ("fault", "domains", "guard"),
     [
         (_freeze_reader, 3, Guard(_feeds, "peer_failed", lambda *_: None)),
-        (_watch_of_a_reader_dies, 3, Guard(_peers, "compare", _nothing)),
-        (_all_readers_without_store, 3, Guard(_checks, "tick", _never)),
+        (_watch_of_a_reader_dies, 3, Guard(_peers, "compare", _sleep_forever)),
+        (_all_readers_without_store, 3, Guard(_checks, "tick", _skip_tick)),
         (_half_of_a_domain, 1, Guard(_feeds, "FAILURES_TO_READ", NEVER)),
         (_reader_refused, 1, Guard(_feeds, "peer_answered", None)),
     ],
@@ -234,18 +236,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Each guard is there for a fault that shows as soon as it is not."""
-    assert _measure(fault, 36, domains, 2) < BOUND
+    assert _measure_worst(fault, 36, domains, 2) < BOUND
     owner: typing.Any = guard.owner
     value = guard.value
     if guard.name == "peer_answered":
-        value = _told_without_lost(owner.peer_answered)
+        value = _peer_answered_without_lost(owner.peer_answered)
     monkeypatch.setattr(owner, guard.name, value)
     if hasattr(feeds, guard.name):
         monkeypatch.setattr(feeds, guard.name, value)
-    assert _measure(fault, 36, domains, 2) >= BOUND
+    assert _measure_worst(fault, 36, domains, 2) >= BOUND
 
 
-def _told_without_lost(
+def _peer_answered_without_lost(
     told: typing.Callable[..., None],
 ) -> typing.Callable[..., None]:
     """Return a ``told`` that passes over who has lost the store."""
@@ -264,7 +266,7 @@
     A follower that happened to poll after the others had been told waited
     at the stopping daemon until its process was gone.
     """
-    assert _measure(_reader_stops) < 0.2
+    assert _measure_worst(_reader_stops) < 0.2
 
 
 def test_daemon_known_by_another_address_does_not_follow_itself() -> None:
@@ -273,11 +275,11 @@
     async def test() -> None:
         fleet = Fleet(12, 2)
         for number, host in enumerate(fleet.hosts):
-            fleet.known_as[host] = f"10.9.9.{number}"
+            fleet.advertised_hosts[host] = f"10.9.9.{number}"
         await fleet.start()
         for daemon in fleet.daemons.values():
             assert daemon.feed.parent != daemon.settings.daemons.host
         for _ in range(3):
-            assert await fleet.spread() < BOUND
+            assert await fleet.measure_propagation() < BOUND
 
     loops.run(test())
--- a/tests/fleets/test_feeds.py
+++ b/tests/fleets/test_feeds.py
@@ -34,17 +34,17 @@
     async def test() -> None:
         fleet = Fleet(36, 3)
         await fleet.start()
-        domain = fleet.of_domain("d0")
-        fleet.cut_off(domain)
-        fleet.store.silent |= domain
-        assert await fleet.spread(domain) < BOUND
+        domain = fleet.hosts_in_domain("d0")
+        fleet.partition(domain)
+        fleet.store.silent_hosts |= domain
+        assert await fleet.measure_propagation(domain) < BOUND
         await asyncio.sleep(12.0)
-        assert set(fleet.behind()) == domain
-        fleet.network.cut.clear()
-        fleet.store.silent.clear()
+        assert set(fleet.hosts_behind()) == domain
+        fleet.network.blocked_links.clear()
+        fleet.store.silent_hosts.clear()
         loop = asyncio.get_running_loop()
         begun = loop.time()
-        while fleet.behind():
+        while fleet.hosts_behind():
             await asyncio.sleep(0.01)
         assert loop.time() - begun < BOUND
 
@@ -57,9 +57,9 @@
     async def test() -> None:
         fleet = Fleet(36, 3)
         await fleet.start()
-        fleet.store.silent.add(fleet.reader("d1"))
+        fleet.store.silent_hosts.add(fleet.first_reader("d1"))
         for _ in range(5):
-            assert await fleet.spread() < BOUND
+            assert await fleet.measure_propagation() < BOUND
             await asyncio.sleep(0.7)
 
     loops.run(test())
@@ -85,7 +85,7 @@
         assert away <= 3 * _feeds.READERS_MAX * 10
         fleet.store.down = False
         begun = loop.time()
-        assert await fleet.spread() < BOUND
+        assert await fleet.measure_propagation() < BOUND
         assert fleet.store.calls_since(begun).total() <= 60
 
     loops.run(test())
@@ -97,14 +97,14 @@
     async def test() -> None:
         fleet = Fleet(96, 3)
         await fleet.start()
-        fleet.store.refused |= set(fleet.hosts)
+        fleet.store.refused_hosts |= set(fleet.hosts)
         await asyncio.sleep(_feeds.WATCH_SECONDS + 4.0)
         begun = asyncio.get_running_loop().time()
         await asyncio.sleep(10.0)
         calls = fleet.store.calls_since(begun).total()
         assert calls <= 3 * _feeds.READERS_MAX * 10 * 2
-        fleet.store.refused.clear()
-        assert await fleet.spread() < BOUND
+        fleet.store.refused_hosts.clear()
+        assert await fleet.measure_propagation() < BOUND
 
     loops.run(test())
 
@@ -115,20 +115,20 @@
     async def test() -> None:
         fleet = Fleet(12, 3)
         await fleet.start()
-        reader = fleet.reader("d0")
-        hosts = fleet.of_domain("d0") - {reader}
-        fleet.store.silent.add(reader)
-        fleet.network.frozen.add(reader)
-        await fleet.spread({reader})
-        fleet.network.frozen.clear()
+        reader = fleet.first_reader("d0")
+        hosts = fleet.hosts_in_domain("d0") - {reader}
+        fleet.store.silent_hosts.add(reader)
+        fleet.network.frozen_hosts.add(reader)
+        await fleet.measure_propagation({reader})
+        fleet.network.frozen_hosts.clear()
         seen = {host: 0 for host in hosts}
         for _ in range(200):
             await asyncio.sleep(0.02)
             for host in hosts:
-                version = fleet_module.version_of(fleet.daemons[host])
+                version = fleet_module.policy_version_of(fleet.daemons[host])
                 assert version >= seen[host]
                 seen[host] = version
-        assert not fleet.behind()
+        assert not fleet.hosts_behind()
 
     loops.run(test())
 
@@ -143,11 +143,11 @@
     async def test() -> None:
         fleet = Fleet(12, 3)
         await fleet.start()
-        fleet.store.refused |= set(fleet.hosts)
+        fleet.store.refused_hosts |= set(fleet.hosts)
         await asyncio.sleep(_feeds.WATCH_SECONDS + 2.0)
         gone = fleet.hosts[-1]
         fleet.store.remove(f"i-{gone}")
-        fleet.store.refused.clear()
+        fleet.store.refused_hosts.clear()
         trusted: dict[str, bool] = {}
         for _ in range(200):
             await asyncio.sleep(0.02)
@@ -170,18 +170,18 @@
     async def test() -> None:
         fleet = Fleet(96, 3)
         await fleet.start()
-        reader = fleet.reader("d0")
-        sent = fleet.network.bodies
+        reader = fleet.first_reader("d0")
+        sent = fleet.network.body_bytes
         fleet.store.remove(f"i-{reader}")
         fleet.kill(reader)
         await asyncio.sleep(_feeds.VANISHED_HOST_SECONDS + BOUND)
-        await fleet.spread()
+        await fleet.measure_propagation()
         await asyncio.sleep(BOUND)
         moved = sum(
             daemon.feed.parent_since > 8.0 for daemon in fleet.daemons.values()
         )
         assert moved > 10
-        assert fleet.network.bodies - sent < 60_000
+        assert fleet.network.body_bytes - sent < 60_000
 
     loops.run(test())
 
@@ -193,12 +193,12 @@
         fleet = Fleet(194, 6)
         await fleet.start()
         begun = asyncio.get_running_loop().time()
-        asked = fleet.network.questions
+        asked = fleet.network.request_count
         await asyncio.sleep(20.0)
-        assert len(fleet.readers()) == 6
+        assert len(fleet.store_readers()) == 6
         assert fleet.store.calls_since(begun).total() <= 6 * 5
         # One in a hold from each follower, and the readers' comparisons.
-        per_second = (fleet.network.questions - asked) / 20.0
+        per_second = (fleet.network.request_count - asked) / 20.0
         assert per_second < 194 / fleet_module.BOUND * 4 + 6 * 3
 
     loops.run(test())
@@ -215,17 +215,19 @@
         fleet = Fleet(36, 3)
         await fleet.start()
         for host in fleet.hosts[::2]:
-            fleet.network.serve[host] = _as_before(fleet.network.serve[host])
-        asked = fleet.network.questions
+            fleet.network.handlers[host] = _without_poll_header(
+                fleet.network.handlers[host]
+            )
+        asked = fleet.network.request_count
         for _ in range(4):
-            assert await fleet.spread() < BOUND
+            assert await fleet.measure_propagation() < BOUND
             await asyncio.sleep(2.0)
-        assert fleet.network.questions - asked < 36 * 8 * 4
+        assert fleet.network.request_count - asked < 36 * 8 * 4
 
     loops.run(test())
 
 
-def _as_before(serve: networks.Serve) -> networks.Serve:
+def _without_poll_header(serve: networks.Handler) -> networks.Handler:
     """Return a daemon's service without the field that asks to wait."""
 
     def served(exchange: httpio.Exchange) -> None:
@@ -244,11 +246,11 @@
     async def test() -> None:
         fleet = Fleet(12, 1)
         await fleet.start()
-        reader = fleet.reader("d0")
+        reader = fleet.first_reader("d0")
         fleet.tasks[reader][0].cancel()
         await asyncio.sleep(0.1)
         limit = _feeds.PEER_AGE_SECONDS_MAX + BOUND
-        assert await fleet.spread({reader}) < limit
+        assert await fleet.measure_propagation({reader}) < limit
 
     loops.run(test())
 
@@ -270,7 +272,9 @@
         fleet = Fleet(12, 1)
         await fleet.start()
         monkeypatch.setattr(_learning, "take_reading", faulty)
-        assert await fleet.spread() < BOUND + 3 * _sync.FAULT_SECONDS
+        assert (
+            await fleet.measure_propagation() < BOUND + 3 * _sync.FAULT_SECONDS
+        )
         assert len(raised) == 3
 
     loops.run(test())
@@ -294,10 +298,10 @@
         loop = asyncio.get_running_loop()
         begun = loop.time()
         for number, host in enumerate(fleet.hosts):
-            loop.call_later(1.0 + number / 100, fleet.entry, host)
+            loop.call_later(1.0 + number / 100, fleet.write_instance, host)
         await asyncio.sleep(4.0)
-        assert not fleet.behind()
-        assert len(fleet.readers()) <= 3 * _feeds.READERS_MAX
+        assert not fleet.hosts_behind()
+        assert len(fleet.store_readers()) <= 3 * _feeds.READERS_MAX
         assert fleet.store.calls_since(begun).total() <= 60
 
     loops.run(test())
@@ -316,14 +320,14 @@
         await fleet.start()
         # Changes that concern nobody move the store's revision only; the
         # reader has read the whole as it was in the middle of them.
-        reader = fleet.daemons[fleet.reader("d0")]
+        reader = fleet.daemons[fleet.first_reader("d0")]
         old = fleet.store.revision + 5
         fleet.store.revision += 20
         for daemon in fleet.daemons.values():
             daemon.view.revision = fleet.store.revision
         reader.view.content_revision = reader.view.revision = old
-        asked = fleet.network.questions
+        asked = fleet.network.request_count
         await asyncio.sleep(3.0)
-        assert fleet.network.questions - asked < 12 * 3 * 4
+        assert fleet.network.request_count - asked < 12 * 3 * 4
 
     loops.run(test())
--- a/tests/fleets/test_older_copies.py
+++ b/tests/fleets/test_older_copies.py
@@ -19,18 +19,18 @@
 
 RETURN_PAUSE = 0.5
 CALLS_SECONDS = 5.0
-READERS_EACH = 3
+READERS_PER_DOMAIN = 3
 """Daemons of a failure domain that may call the store, once a second."""
-LOST = (1, 4, 12)
+MISSING_CHANGES = (1, 4, 12)
 """Changes that the copy lacks."""
 
 
 def _cut(fleet: Fleet) -> None:
-    fleet.store.reset(fleet.hosts)
+    fleet.store.reset_connections(fleet.hosts)
 
 
 def _unanswered(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts)
+    fleet.store.stop_answering(fleet.hosts)
 
 
 def _unnoticed(fleet: Fleet) -> None:
@@ -39,14 +39,14 @@
 
 def _unnoticed_by_watches(fleet: Fleet) -> None:
     """Let watches wait on, for a revision that comes again."""
-    fleet.store.keeps_watches = True
+    fleet.store.keeps_watches_on_restore = True
 
 
 ABSENCES = (_cut, _unanswered, _unnoticed, _unnoticed_by_watches)
 Absence = typing.Callable[[Fleet], None]
 
 
-async def _calm(fleet: Fleet) -> None:
+async def _start_settled(fleet: Fleet) -> None:
     await fleet.start()
     await asyncio.sleep(2.0 * fleet.bound)
 
@@ -55,20 +55,20 @@
     fleet: Fleet, lost: int, absence: Absence, away: float = 2.5
 ) -> None:
     """Take the store away, and bring a copy back without the last changes."""
-    copy = fleet.store.copy()
+    copy = fleet.store.back_up()
     for _ in range(lost):
-        await fleet.spread()
+        await fleet.measure_propagation()
     absence(fleet)
     await asyncio.sleep(away)
     missing = fleet.store.restore(copy)
-    fleet.store.back()
-    fleet.store.write_again(missing)
+    fleet.store.answer_all_hosts()
+    fleet.store.rewrite(missing)
 
 
-async def _restored(absence: Absence, lost: int) -> Fleet:
+async def _start_restored(absence: Absence, lost: int) -> Fleet:
     """Return a fleet whose store came back older, and is stable again."""
     fleet = Fleet(16, 4, bound=BOUND)
-    await _calm(fleet)
+    await _start_settled(fleet)
     await _bring_back_older(fleet, lost, absence)
     await asyncio.sleep(STABLE_SECONDS)
     return fleet
@@ -78,7 +78,7 @@
     return views.era_of(fleet.daemons[host].view.revision) == fleet.store.era
 
 
-def _users(fleet: Fleet, key: str) -> list[str]:
+def _hosts_using(fleet: Fleet, key: str) -> list[str]:
     """Return the hosts of the daemons that would send work to an instance."""
     return [
         host
@@ -87,7 +87,7 @@
     ]
 
 
-@pytest.mark.parametrize("lost", LOST)
+@pytest.mark.parametrize("lost", MISSING_CHANGES)
 @pytest.mark.parametrize("absence", ABSENCES)
 def test_change_after_the_store_came_back_older_is_in_force_in_time(
     absence: Absence, lost: int
@@ -95,15 +95,15 @@
     """Changes got revisions that the views held already, and were lost."""
 
     async def test() -> None:
-        fleet = await _restored(absence, lost)
+        fleet = await _start_restored(absence, lost)
         for _ in range(lost):
-            assert await fleet.spread() < fleet.bound
+            assert await fleet.measure_propagation() < fleet.bound
             await asyncio.sleep(1.0)
 
     loops.run(test())
 
 
-@pytest.mark.parametrize("lost", LOST)
+@pytest.mark.parametrize("lost", MISSING_CHANGES)
 @pytest.mark.parametrize("absence", ABSENCES)
 def test_instance_that_leaves_after_the_store_came_back_older(
     absence: Absence, lost: int
@@ -111,11 +111,11 @@
     """The instance got work until its entry was removed."""
 
     async def test() -> None:
-        fleet = await _restored(absence, lost)
+        fleet = await _start_restored(absence, lost)
         leaver = fleet.hosts[-1]
-        fleet.entry(leaver, views.InstanceState.LEAVING)
+        fleet.write_instance(leaver, views.InstanceState.LEAVING)
         await asyncio.sleep(fleet.bound)
-        assert not _users(fleet, f"i-{leaver}")
+        assert not _hosts_using(fleet, f"i-{leaver}")
 
     loops.run(test())
 
@@ -132,22 +132,22 @@
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        await _calm(fleet)
+        await _start_settled(fleet)
         loop = asyncio.get_running_loop()
-        copy = fleet.store.copy()
-        await fleet.spread()
+        copy = fleet.store.back_up()
+        await fleet.measure_propagation()
         await _bring_back_older(fleet, 4, absence)
         begun = loop.time()
         if returns > 1:
             await asyncio.sleep(RETURN_PAUSE)
-            fleet.store.write_again(fleet.store.restore(copy))
+            fleet.store.rewrite(fleet.store.restore(copy))
         late = loop.time() + bound
         while not all(_knows_era(fleet, host) for host in fleet.daemons):
             assert loop.time() < late
             await asyncio.sleep(0.01)
         await asyncio.sleep(begun + CALLS_SECONDS - loop.time())
         calls = fleet.store.calls_since(begun).total()
-        assert calls <= READERS_EACH * domains * CALLS_SECONDS
+        assert calls <= READERS_PER_DOMAIN * domains * CALLS_SECONDS
 
     loops.run(test())
 
@@ -162,10 +162,10 @@
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        await _calm(fleet)
+        await _start_settled(fleet)
         await _bring_back_older(fleet, 4, _unanswered)
         await asyncio.sleep(STABLE_SECONDS)
-        assert await fleet.spread() < bound
+        assert await fleet.measure_propagation() < bound
 
     loops.run(test())
 
@@ -175,19 +175,19 @@
 
     async def test() -> None:
         fleet = Fleet(16, 4, bound=BOUND)
-        await _calm(fleet)
-        domain = fleet.of_domain("d1")
-        copy = fleet.store.copy()
-        await fleet.spread()
-        fleet.cut_off(domain)
-        fleet.store.leave(domain)
+        await _start_settled(fleet)
+        domain = fleet.hosts_in_domain("d1")
+        copy = fleet.store.back_up()
+        await fleet.measure_propagation()
+        fleet.partition(domain)
+        fleet.store.stop_answering(domain)
         await asyncio.sleep(1.0)
-        fleet.store.write_again(fleet.store.restore(copy))
-        await fleet.spread(domain)
+        fleet.store.rewrite(fleet.store.restore(copy))
+        await fleet.measure_propagation(domain)
         await asyncio.sleep(10.0)
-        fleet.network.cut.clear()
+        fleet.network.blocked_links.clear()
         await asyncio.sleep(STABLE_SECONDS)
-        assert await fleet.spread() < fleet.bound
+        assert await fleet.measure_propagation() < fleet.bound
 
     loops.run(test())
 
@@ -201,23 +201,23 @@
 
     async def test() -> None:
         fleet = Fleet(16, 4, bound=BOUND)
-        await _calm(fleet)
+        await _start_settled(fleet)
         leaver = fleet.hosts[-1]
-        copy = fleet.store.copy()
-        fleet.entry(leaver, views.InstanceState.LEAVING)
+        copy = fleet.store.back_up()
+        fleet.write_instance(leaver, views.InstanceState.LEAVING)
         if removed:
             fleet.store.remove(f"i-{leaver}")
         await asyncio.sleep(fleet.bound)
         absence(fleet)
         await asyncio.sleep(1.0)
         missing = fleet.store.restore(copy)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         for _ in range(30):
             await asyncio.sleep(0.1)
-            assert not _users(fleet, f"i-{leaver}")
-        fleet.store.write_again(missing)
+            assert not _hosts_using(fleet, f"i-{leaver}")
+        fleet.store.rewrite(missing)
         await asyncio.sleep(fleet.bound)
-        assert not _users(fleet, f"i-{leaver}")
+        assert not _hosts_using(fleet, f"i-{leaver}")
 
     loops.run(test())
 
@@ -230,18 +230,18 @@
 
     async def test() -> None:
         fleet = Fleet(16, 4, seed=seed, bound=BOUND)
-        await _calm(fleet)
-        copy = fleet.store.copy()
+        await _start_settled(fleet)
+        copy = fleet.store.back_up()
         for _ in range(12):
-            await fleet.spread()
-        fleet.store.lagging = fleet.store.copy()
-        fleet.store.write_again(fleet.store.restore(copy))
+            await fleet.measure_propagation()
+        fleet.store.stale_backup = fleet.store.back_up()
+        fleet.store.rewrite(fleet.store.restore(copy))
         await asyncio.sleep(1.0)
         for host in fleet.hosts[::3]:
             fleet.restart(host)
         await asyncio.sleep(STABLE_SECONDS)
         for _ in range(12):
-            assert await fleet.spread() < fleet.bound
+            assert await fleet.measure_propagation() < fleet.bound
             await asyncio.sleep(0.3)
 
     loops.run(test())
--- a/tests/fleets/test_quotas.py
+++ b/tests/fleets/test_quotas.py
@@ -31,13 +31,13 @@
         domains,
         bound=2.5,
         customers=(demands.customer(NAME, rate, burst),),
-        quota=demands.RULES,
+        quota_rules=demands.RULES,
     )
 
 
 def _limit(fleet: Fleet, rate: float, burst: float) -> None:
     fleet.customers = (demands.customer(NAME, rate, burst),)
-    fleet.policy()
+    fleet.publish_policy()
 
 
 async def _settled(fleet: Fleet, demand: demands.Demand) -> float:
@@ -55,7 +55,7 @@
 
 
 def _one_domain(fleet: Fleet) -> list[str]:
-    return sorted(fleet.of_domain("d1"))
+    return sorted(fleet.hosts_in_domain("d1"))
 
 
 def _one_daemon(fleet: Fleet) -> list[str]:
@@ -82,8 +82,8 @@
         demand.spread(rate / 1.6, place(fleet))
         since = await _settled(fleet, demand)
         await demand.run(REQUESTS / rate + 10.0)
-        asked = demand.asked(since)
-        assert demand.served(since) >= SERVED_LEAST * min(rate, asked)
+        asked = demand.sent_rate(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST * min(rate, asked)
 
     loops.run(test())
 
@@ -103,7 +103,7 @@
         demand.spread(7.5 * rate / 1.6, place(fleet))
         since = asyncio.get_running_loop().time()
         await demand.run(12.0)
-        assert demand.served(since) >= SERVED_LEAST * rate
+        assert demand.admitted_rate(since) >= SERVED_LEAST * rate
         assert demand.most() <= demands.bound(rate, rate)
 
     loops.run(test())
@@ -157,8 +157,8 @@
         await demand.run(4.0)
         since = asyncio.get_running_loop().time()
         await demand.run(8.0)
-        asked = demand.asked(since)
-        assert demand.served(since) >= SERVED_LEAST * asked
+        asked = demand.sent_rate(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST * asked
 
     loops.run(test())
 
@@ -174,11 +174,11 @@
         demand = demands.Demand(fleet, NAME)
         demand.spread(rate / 1.6, fleet.hosts)
         await _settled(fleet, demand)
-        fleet.cut_off(fleet.of_domain("d2"))
+        fleet.partition(fleet.hosts_in_domain("d2"))
         since = asyncio.get_running_loop().time()
         await demand.run(15.0)
-        asked = demand.asked(since)
-        assert demand.served(since) >= SERVED_LEAST_IN_CUT * asked
+        asked = demand.sent_rate(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST_IN_CUT * asked
         demand.spread(7.5 * rate, fleet.hosts)
         await demand.run(15.0)
         assert demand.most() <= demands.bound(rate, rate)
@@ -199,12 +199,14 @@
         since = asyncio.get_running_loop().time()
         await demand.run(12.0)
         assert demand.most(since) <= demands.bound(10.0, 10.0)
-        assert demand.served(since) >= SERVED_LEAST * 10.0
+        assert demand.admitted_rate(since) >= SERVED_LEAST * 10.0
         _limit(fleet, 100.0, 100.0)
         await demand.run(3.0)
         since = asyncio.get_running_loop().time()
         await demand.run(8.0)
-        assert demand.served(since) >= SERVED_LEAST * demand.asked(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST * demand.sent_rate(
+            since
+        )
 
     loops.run(test())
 
@@ -260,13 +262,15 @@
 def _happen(
     fleet: Fleet, demand: demands.Demand, event: Event, rate: float
 ) -> None:
-    domain = fleet.of_domain(f"d{event.place}")
+    domain = fleet.hosts_in_domain(f"d{event.place}")
     if event.kind == "cut":
-        fleet.cut_off(domain)
+        fleet.partition(domain)
     elif event.kind == "split":
-        fleet.cut_off(domain | fleet.of_domain(f"d{(event.place + 1) % 4}"))
+        fleet.partition(
+            domain | fleet.hosts_in_domain(f"d{(event.place + 1) % 4}")
+        )
     elif event.kind == "heal":
-        fleet.network.cut.clear()
+        fleet.network.blocked_links.clear()
     elif event.kind == "kill":
         for host in fleet.hosts[event.place :: 3]:
             fleet.restart(host)
--- a/tests/fleets/test_revocations.py
+++ b/tests/fleets/test_revocations.py
@@ -15,8 +15,8 @@
 Fleet = fleet_module.Fleet
 REVOCATION = 5.0
 KEY = policies.digest_key(b"k")
-OTHER = policies.digest_key(b"other")
-OWED_SHARE = 0.6
+OTHER_KEY = policies.digest_key(b"other")
+MIN_SERVING_SHARE = 0.6
 """The part of the bound for which a daemon without the store must serve."""
 
 
@@ -25,8 +25,8 @@
         count,
         4,
         bound=2.5,
-        customers=_customers(KEY, OTHER),
-        revocation=REVOCATION,
+        customers=_customers(KEY, OTHER_KEY),
+        revocation_bound=REVOCATION,
     )
 
 
@@ -43,47 +43,47 @@
     return _confirmations.is_fresh(daemon, daemon.clock.monotonic())
 
 
-async def _calm(fleet: Fleet) -> None:
+async def _start_settled(fleet: Fleet) -> None:
     await fleet.start()
     await asyncio.sleep(4.0)
 
 
 def _revoke(fleet: Fleet) -> float:
-    fleet.customers = _customers(OTHER)
-    fleet.policy()
+    fleet.customers = _customers(OTHER_KEY)
+    fleet.publish_policy()
     return asyncio.get_running_loop().time()
 
 
 def _all_silent(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts)
+    fleet.store.stop_answering(fleet.hosts)
 
 
 def _third_silent(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts[::3])
+    fleet.store.stop_answering(fleet.hosts[::3])
 
 
 def _readers_reset(fleet: Fleet) -> None:
-    fleet.store.reset(fleet.readers())
+    fleet.store.reset_connections(fleet.store_readers())
 
 
 def _domain_cut(fleet: Fleet) -> None:
-    domain = fleet.of_domain("d1")
-    fleet.cut_off(domain)
-    fleet.store.leave(domain)
+    domain = fleet.hosts_in_domain("d1")
+    fleet.partition(domain)
+    fleet.store.stop_answering(domain)
 
 
 def _domain_cut_from_peers(fleet: Fleet) -> None:
-    fleet.cut_off(fleet.of_domain("d1"))
+    fleet.partition(fleet.hosts_in_domain("d1"))
 
 
 def _watches_stall(fleet: Fleet) -> None:
-    fleet.store.deaf = True
+    fleet.store.watches_stalled = True
 
 
 def _reader_alone(fleet: Fleet) -> None:
-    reader = fleet.reader("d2")
-    fleet.cut_off({reader})
-    fleet.store.leave({reader})
+    reader = fleet.first_reader("d2")
+    fleet.partition({reader})
+    fleet.store.stop_answering({reader})
 
 
 FAULTS = (
@@ -105,7 +105,7 @@
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
+        await _start_settled(fleet)
         fault(fleet)
         await asyncio.sleep(pause)
         revoked = _revoke(fleet)
@@ -124,7 +124,7 @@
 
     async def test() -> None:
         fleet = _fleet(count)
-        await _calm(fleet)
+        await _start_settled(fleet)
         for _ in range(300):
             await asyncio.sleep(0.05)
             assert all(_accepts(fleet, host) for host in fleet.daemons)
@@ -138,7 +138,7 @@
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
+        await _start_settled(fleet)
         fault(fleet)
         for _ in range(200):
             await asyncio.sleep(0.05)
@@ -152,7 +152,7 @@
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
+        await _start_settled(fleet)
         _all_silent(fleet)
         begun = asyncio.get_running_loop().time()
         share = 0.0
@@ -163,7 +163,7 @@
             assert share == 1.0
         await asyncio.sleep(2.0 * REVOCATION)
         assert not any(_accepts(fleet, host) for host in fleet.daemons)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         await asyncio.sleep(2.5)
         assert all(_accepts(fleet, host) for host in fleet.daemons)
 
@@ -175,9 +175,9 @@
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
-        host = sorted(fleet.of_domain("d1"))[0]
-        fleet.cut_off({host})
+        await _start_settled(fleet)
+        host = sorted(fleet.hosts_in_domain("d1"))[0]
+        fleet.partition({host})
         fleet.restart(host)
         for _ in range(100):
             await asyncio.sleep(0.02)
@@ -194,7 +194,7 @@
 
     async def test() -> None:
         fleet = _fleet(96)
-        await _calm(fleet)
+        await _start_settled(fleet)
         begun = asyncio.get_running_loop().time()
         await asyncio.sleep(20.0)
         calls = fleet.store.calls_since(begun)
@@ -212,20 +212,20 @@
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
-        fleet.store.reset(fleet.hosts)
-        copy = fleet.store.copy()
+        await _start_settled(fleet)
+        fleet.store.reset_connections(fleet.hosts)
+        copy = fleet.store.back_up()
         revoked = _revoke(fleet)
         await asyncio.sleep(away)
         missing = fleet.store.restore(copy)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         loop = asyncio.get_running_loop()
-        again = loop.call_later(1.8, fleet.store.write_again, missing)
+        again = loop.call_later(1.8, fleet.store.rewrite, missing)
         while loop.time() < revoked + 3.0 * REVOCATION:
             await asyncio.sleep(0.05)
             if loop.time() > revoked + REVOCATION:
                 assert not [h for h in fleet.daemons if _accepts(fleet, h)]
         assert again.when() < loop.time()
-        assert all(_accepts(fleet, h, OTHER) for h in fleet.daemons)
+        assert all(_accepts(fleet, h, OTHER_KEY) for h in fleet.daemons)
 
     loops.run(test())
