--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -1,4 +1,4 @@
-"""Requests of customers with quotas, at daemons of a modelled fleet."""
+"""Generate requests of customers with quotas at a modelled fleet."""
 
 from __future__ import annotations
 
@@ -21,17 +21,19 @@
 
 
 def customer(name: str, rate: float, burst: float) -> policies.Customer:
-    """Return a customer with a limit."""
+    """Return a customer with a rate limit."""
     key = policies.digest_key(name.encode())
     return policies.Customer(name, (key,), rate, burst)
 
 
 @dataclasses.dataclass
 class Demand:
-    """Requests of one customer, a second and host, and what became of them.
+    """The traffic of one customer and its outcomes.
 
-    ``ran`` are the instants at which requests were admitted, ``sent`` those
-    of all.
+    ``rate_by_host`` holds the requests per second that each host gets.
+    ``sent_times`` are the times of all requests, ``admitted_times`` those
+    at which requests were admitted. ``reason_counts`` counts the requests
+    by the reason of their refusal, ``NONE`` for admitted ones.
     """
 
     fleet: fleet_module.Fleet
@@ -47,11 +49,11 @@
     )
 
     def spread(self, rate: float, hosts: typing.Sequence[str]) -> None:
-        """Send so many requests a second, from these hosts alike."""
+        """Divide a rate of requests per second evenly among hosts."""
         self.rate_by_host = {host: rate / len(hosts) for host in hosts}
 
     async def run(self, seconds: float) -> None:
-        """Send for some time; arrivals are random."""
+        """Send requests for some seconds, at random intervals."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
@@ -64,7 +66,7 @@
                 self.send(self.rng.choices(hosts, weights)[0])
 
     def send(self, host: str) -> None:
-        """Send one request; it finds nobody where the daemon is away."""
+        """Send one request; without a daemon on the host, it is refused."""
         loop = asyncio.get_running_loop()
         self.sent_times.append(loop.time())
         daemon = self.fleet.daemons.get(host)
@@ -86,17 +88,17 @@
             )
 
     def admitted_rate(self, since: float) -> float:
-        """Return how many requests a second were admitted since then."""
+        """Return the admitted requests per second since a time."""
         now = asyncio.get_running_loop().time()
         return sum(at >= since for at in self.admitted_times) / (now - since)
 
     def sent_rate(self, since: float) -> float:
-        """Return how many requests a second were sent since then."""
+        """Return the sent requests per second since a time."""
         now = asyncio.get_running_loop().time()
         return sum(at >= since for at in self.sent_times) / (now - since)
 
     def most(self, since: float = 0.0) -> int:
-        """Return the most requests that ran in any window of the rules."""
+        """Return the most requests admitted in any window of the rules."""
         window: collections.deque[float] = collections.deque()
         most = 0
         for at in self.admitted_times:
@@ -115,7 +117,7 @@
 
 
 def bound(rate: float, burst: float) -> float:
-    """Return how many requests may run in a window of the rules."""
+    """Return how many requests may be admitted in one window."""
     allowed = rate * RULES.window_seconds + burst
     return (
         allowed * (1.0 + RULES.relative_tolerance) + RULES.absolute_tolerance
--- a/tests/fleets/fleet.py
+++ b/tests/fleets/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons of a modelled fleet: the real feed, on a virtual clock."""
+"""Run the daemons' real code in a model of a fleet, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -35,13 +35,13 @@
 
 TICK_SECONDS = 0.05
 BOUND = 3.0
-"""Seconds within which a change must be known; half a bound is the tests'
-allowance for what the model leaves out."""
+"""Seconds within which every daemon must know a change. Half of a bound is
+an allowance for delays that the model leaves out."""
 PORT = 8300
 
 
 class Dialect:
-    """Names and settings of one host of the model."""
+    """The names, settings and source of one modelled host."""
 
     names = place.NAMES
     ready_path = b"/ready"
@@ -87,7 +87,16 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """A fleet of ``count`` VMs in ``domains`` failure domains."""
+    """A fleet of ``vm_count`` VMs in ``domain_count`` failure domains.
+
+    ``bound`` is the time in seconds within which a change must reach all
+    daemons, ``service_for_host`` gives the service of the instance on a
+    host. ``advertised_hosts`` holds addresses that daemons take for their
+    own in place of those in the store. ``tasks`` are the running loops of
+    each daemon, its feed first. ``upstream_pools`` replace the pools by
+    which daemons reach their instances. ``policy_version`` is the version
+    last published.
+    """
 
     vm_count: int
     domain_count: int
@@ -124,7 +133,7 @@
 
     @property
     def hosts(self) -> list[str]:
-        """All hosts, those of one failure domain next to each other."""
+        """All hosts, grouped by failure domain."""
         return [
             f"10.{domain}.0.{vm + 1}"
             for domain in range(self.domain_count)
@@ -132,7 +141,7 @@
         ]
 
     async def start(self, settle: float = 8.0) -> None:
-        """Start all VMs at once, and wait until all is calm."""
+        """Start all VMs together, and wait until the fleet has settled."""
         rng = random.Random(self.seed)
         self.publish_policy()
         loop = asyncio.get_running_loop()
@@ -142,7 +151,7 @@
         await asyncio.sleep(settle)
 
     def restart(self, host: str) -> None:
-        """Start a daemon that knows nothing."""
+        """Start a host's daemon anew, with an empty state."""
         self.kill(host)
         self.network.dead_hosts.discard(host)
         loop = asyncio.get_running_loop()
@@ -161,23 +170,23 @@
         self.network.handlers[host] = functools.partial(
             _inbound.handle, daemon
         )
-        work = (
+        coroutines = (
             _sync.update_view_forever(daemon),
             _peers.pull_while_store_lost(daemon),
             _peers.compare_with_peers(daemon),
             _crash_broadcast.broadcast_forever(daemon),
             _tick_forever(daemon),
         )
-        self.tasks[host] = [loop.create_task(each) for each in work]
+        self.tasks[host] = [loop.create_task(each) for each in coroutines]
 
     def kill(self, host: str) -> None:
-        """End a daemon; its VM refuses connections."""
+        """Stop a host's daemon; the host then refuses connections."""
         self.network.dead_hosts.add(host)
         for task in self.tasks.pop(host, []):
             task.cancel()
-        old = self.daemons.pop(host, None)
-        if old is not None:
-            old.held_polls.clear()
+        stopped = self.daemons.pop(host, None)
+        if stopped is not None:
+            stopped.held_polls.clear()
 
     def write_instance(
         self,
@@ -186,8 +195,8 @@
         cold_seconds: float = 0.0,
         instance_id: str = "",
     ) -> None:
-        """Write the entry of the instance on a host."""
-        made = views.Instance(
+        """Write the store entry of the instance on a host."""
+        instance = views.Instance(
             instance_id or f"i-{host}",
             self.service_of(host),
             host,
@@ -199,10 +208,10 @@
             state,
             cold_seconds,
         )
-        self.store.put(made.id, made)
+        self.store.put(instance.id, instance)
 
     def publish_policy(self) -> int:
-        """Put the next policy in force; return its version."""
+        """Write the next policy to the store; return its version."""
         self.policy_version += 1
         routes = tuple(
             place.route(
@@ -225,7 +234,7 @@
         return self.policy_version
 
     def hosts_behind(self) -> list[str]:
-        """Return the live hosts that don't know the policy in force."""
+        """Return the live hosts that lack the policy last published."""
         return [
             host
             for host, daemon in self.daemons.items()
@@ -236,9 +245,10 @@
     async def measure_propagation(
         self, excluded: set[str] | None = None
     ) -> float:
-        """Return how long a new policy takes to reach all.
+        """Publish a policy; return the seconds until all hosts have it.
 
-        ``without`` are hosts that need not get it.
+        Hosts in ``excluded`` need not receive it. The result is 30.0 if
+        others still lack it by then.
         """
         loop = asyncio.get_running_loop()
         begun = loop.time()
@@ -271,7 +281,7 @@
         return {host for host in self.hosts if domain_of(host) == domain}
 
     def partition(self, hosts: set[str]) -> None:
-        """Cut hosts off from all others, not from each other."""
+        """Block the links between these hosts and all others."""
         rest = set(self.hosts) - hosts
         for one in hosts:
             for other in rest:
--- a/tests/fleets/instances.py
+++ b/tests/fleets/instances.py
@@ -1,4 +1,4 @@
-"""Instances and clients of a modelled fleet, and requests that crash."""
+"""Model the instances of a fleet, their clients, and their crashes."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 
 CONNECT_SECONDS = 0.001
 AWAY_SECONDS = 1.5
-"""From a crash until the instance runs again, under another id."""
+"""Time from a crash until the instance runs again, under a new id."""
 LAPSE_SECONDS = 4.0
-"""From a crash until the entry of the run that ended is gone."""
+"""Time from a crash until the entry of the crashed instance is removed."""
 DEADLINE_MS = b"2000"
 _serial = itertools.count(1)
 
 
 @dataclasses.dataclass(frozen=True)
 class Arrival:
-    """A request that an instance began to run."""
+    """The start of a request at an instance, or a crash during one."""
 
     time: float
     target: bytes
@@ -36,9 +36,10 @@
 class Upstreams:
     """All instances of a fleet.
 
-    A request for a target of ``crashing`` crashes the instance so many
-    seconds after it has begun, ``seconds`` is the work of the others. One for
-    a target of ``calls`` is answered as the call to the other target is.
+    ``crash_delays`` maps targets to the seconds after which a request for
+    them crashes its instance. All other requests take ``service_seconds``.
+    ``nested_calls`` maps targets to the targets that an instance calls to
+    answer them; the status of the nested call decides the answer.
     """
 
     fleet: fleet_module.Fleet
@@ -50,26 +51,26 @@
     instances: dict[str, Instance] = dataclasses.field(default_factory=dict)
 
     def install(self) -> None:
-        """Put an instance on each host of the fleet, before it starts."""
+        """Add an instance to each host; call this before the fleet starts."""
         for host in self.fleet.hosts:
             made = self.instances[host] = Instance(self, host)
             pool = typing.cast("httpio.Pool", made)
             self.fleet.upstream_pools[host] = pool
 
     def arrival_count(self, target: bytes, since: float = 0.0) -> int:
-        """Return how often the target was begun since then."""
+        """Return how many requests for a target arrived since a time."""
         return sum(
             each.target == target and each.time >= since
             for each in self.arrivals
         )
 
     def crash_times(self, target: bytes) -> list[float]:
-        """Return when instances crashed under the target."""
+        """Return the times at which a target crashed instances."""
         return [each.time for each in self.crashes if each.target == target]
 
 
 class Instance:
-    """The instance on one host, as the pool that its daemon sends by."""
+    """An instance, in place of its daemon's pool of connections to it."""
 
     def __init__(self, upstreams: Upstreams, host: str) -> None:
         self.host = host
@@ -79,7 +80,7 @@
         self._running: dict[httpio.Job, asyncio.TimerHandle] = {}
 
     def send(self, job: httpio.Job) -> None:
-        """Run a request."""
+        """Start a request."""
         loop = asyncio.get_running_loop()
         if self.down:
             loop.call_later(CONNECT_SECONDS, job.end, httpio.Failure.NOT_SENT)
@@ -106,21 +107,21 @@
     send_on_new = send
 
     def crash(self, target: bytes = b"") -> None:
-        """End all that runs, and start anew under another id."""
+        """End all running requests, and restart later under a new id."""
         loop = asyncio.get_running_loop()
         self._upstreams.crashes.append(Arrival(loop.time(), target, self.host))
         self.down = True
         running, self._running = self._running, {}
-        for job, work in running.items():
-            work.cancel()
+        for job, timer in running.items():
+            timer.cancel()
             job.end(httpio.Failure.LOST)
         daemon = self._upstreams.fleet.daemons.get(self.host)
         known = [] if daemon is None else list(daemon.view.instances.values())
         ids = [each.id for each in known if each.host == self.host]
         loop.call_later(AWAY_SECONDS, self._start)
-        for key in ids:
+        for instance_id in ids:
             loop.call_later(
-                LAPSE_SECONDS, self._upstreams.fleet.store.remove, key
+                LAPSE_SECONDS, self._upstreams.fleet.store.remove, instance_id
             )
 
     def cancel(self, job: httpio.Job) -> None:
@@ -130,15 +131,15 @@
             timer.cancel()
 
     def try_connect(self, done: typing.Callable[[bool], None]) -> None:
-        """Say whether a connection can be made."""
+        """Report whether a connection can be opened."""
         loop = asyncio.get_running_loop()
         loop.call_later(CONNECT_SECONDS, lambda: done(not self.down))
 
     def drop_idle(self) -> None:
-        """No connections are kept."""
+        """Do nothing: no connections are kept."""
 
     def sweep(self, now: float) -> None:
-        """No connections are kept."""
+        """Do nothing: no connections are kept."""
 
     def _start(self) -> None:
         self.down = False
@@ -153,8 +154,8 @@
 
         def done(status: asyncio.Future[int]) -> None:
             if job in self._running:
-                good = status.result() == 200
-                self._answer(job, request, 200 if good else 500)
+                succeeded = status.result() == 200
+                self._answer(job, request, 200 if succeeded else 500)
 
         called.add_done_callback(done)
 
@@ -172,7 +173,7 @@
 
 
 class _Connection:
-    """What a job cuts when nobody waits for it."""
+    """The connection that an abandoned job aborts."""
 
     def __init__(self, instance: Instance, job: httpio.Job) -> None:
         self._instance = instance
@@ -183,7 +184,7 @@
 
 
 class _Exchange:
-    """A client's request, and the status that it gets."""
+    """A client's request and a future of its status."""
 
     def __init__(self, request: httpio.Request) -> None:
         self.request = request
@@ -205,7 +206,7 @@
 def call(
     fleet: fleet_module.Fleet, host: str, target: bytes, body: bytes = b""
 ) -> asyncio.Future[int]:
-    """Send one request to a host's daemon; returns its status to come."""
+    """Send a request to a host's daemon; return a future of its status."""
     daemon = fleet.daemons[host]
     fields = [
         (b"Host", b"a.example"),
--- a/tests/fleets/loops.py
+++ b/tests/fleets/loops.py
@@ -1,4 +1,4 @@
-"""An event loop whose time passes only when all wait."""
+"""An event loop with virtual time that advances only while tasks wait."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Passes the time that the loop would have waited for."""
+    """A selector that advances the virtual time instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,13 +19,13 @@
         self, timeout: float | None = None
     ) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("all wait, and nothing is planned")
+            raise RuntimeError("all tasks wait, and no timer is scheduled")
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """No time passes while code runs; no sockets may be used."""
+    """A loop whose time stands still while code runs; it has no sockets."""
 
     def __init__(self) -> None:
         self._virtual = _Selector()
@@ -36,7 +36,7 @@
 
 
 class VirtualClock:
-    """The loop's time as the daemons' clock."""
+    """A clock for daemons that reads the loop's virtual time."""
 
     def __init__(self, loop: VirtualLoop) -> None:
         self._loop = loop
@@ -50,7 +50,7 @@
 
 
 def run(work: typing.Coroutine[typing.Any, typing.Any, None]) -> None:
-    """Run a test on a loop of its own; tasks left over are ended."""
+    """Run a test on its own loop, and cancel the tasks that remain."""
     loop = VirtualLoop()
     try:
         asyncio.set_event_loop(loop)
--- a/tests/fleets/networks.py
+++ b/tests/fleets/networks.py
@@ -1,4 +1,4 @@
-"""The network between the daemons of a modelled fleet."""
+"""Model the network between the daemons of a fleet."""
 
 from __future__ import annotations
 
@@ -18,12 +18,16 @@
 
 @dataclasses.dataclass
 class Network:
-    """Who answers, who is cut, and how many bytes went, ``bodies`` of them.
+    """Request handlers by host, network faults, and traffic counters.
 
-    A host in ``frozen`` gets and sends nothing, one in ``dead`` refuses
-    connections. No message passes from a host to another in ``cut``. The
-    links of ``slow`` hosts take so many seconds more. A share ``lost`` of
-    the messages is sent again by TCP, and comes a third of a second later.
+    ``frozen_hosts`` receive and send no messages, ``dead_hosts`` refuse
+    connections. No message passes along the ``blocked_links``, which are
+    pairs of a sender and a receiver. ``extra_seconds`` is the added delay
+    of all links of a host. A share of ``resent_share`` of the messages is
+    resent by TCP and arrives ``RESEND_SECONDS`` later.
+
+    ``sent_bytes`` counts the bytes of the answers of each host,
+    ``body_bytes`` those of the bodies of all answers.
     """
 
     handlers: dict[str, Handler] = dataclasses.field(default_factory=dict)
@@ -42,12 +46,12 @@
     request_count: int = 0
 
     def delivers(self, sender: str, receiver: str) -> bool:
-        """Return whether a message of ``one`` reaches ``other``."""
+        """Return whether a message from the sender reaches the receiver."""
         frozen = self.frozen_hosts & {sender, receiver}
         return not frozen and (sender, receiver) not in self.blocked_links
 
     def delay_seconds(self, sender: str, receiver: str) -> float:
-        """Return how long a message takes."""
+        """Return the delay of a message."""
         resend = (
             RESEND_SECONDS if self.rng.random() < self.resent_share else 0.0
         )
@@ -58,7 +62,7 @@
 
 
 def parse_request(data: bytes, began: float = 0.0) -> httpio.Request:
-    """Return the request that a job sends."""
+    """Return the request that the bytes of a job encode."""
     head, _, body = data.partition(b"\r\n\r\n")
     lines = head.split(b"\r\n")
     method, target, _ = lines[0].split(b" ")
@@ -71,7 +75,7 @@
 
 
 class Exchange:
-    """A question as the daemon that is asked gets it."""
+    """A request as the receiving daemon sees it."""
 
     def __init__(
         self, network: Network, sender: str, receiver: str, job: httpio.Job
@@ -125,7 +129,7 @@
         self._receiver = receiver
 
     def send(self, job: httpio.Job) -> None:
-        """Send a question."""
+        """Send a request."""
         network = self._network
         network.request_count += 1
         loop = asyncio.get_running_loop()
@@ -139,7 +143,7 @@
             loop.call_later(seconds, self._deliver, job)
 
     def send_on_new(self, job: httpio.Job) -> None:
-        """Send a question on a new connection."""
+        """Send a request on a new connection."""
         if not self._network.delivers(self._sender, self._receiver):
             asyncio.get_running_loop().call_later(
                 CONNECT_SECONDS, job.end, httpio.Failure.NOT_SENT
@@ -148,10 +152,10 @@
         self.send(job)
 
     def drop_idle(self) -> None:
-        """No connections are kept."""
+        """Do nothing: no connections are kept."""
 
     def sweep(self, now: float) -> None:
-        """No connections are kept."""
+        """Do nothing: no connections are kept."""
 
     def _deliver(self, job: httpio.Job) -> None:
         network, receiver = self._network, self._receiver
@@ -164,7 +168,7 @@
 
 
 class Pools(dict[str, httpio.Pool]):
-    """The pools of one daemon, each made when it is asked for."""
+    """The pools of one daemon, each created on access."""
 
     def __init__(self, network: Network, sender: str) -> None:
         super().__init__()
--- a/tests/fleets/stores.py
+++ b/tests/fleets/stores.py
@@ -1,4 +1,4 @@
-"""The store of a modelled fleet, and how it misbehaves."""
+"""Model the store of a fleet and the faults that it can have."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Backup:
-    """What a store held at one moment."""
+    """The contents of a store at one moment."""
 
     revision: int
     items: dict[str, views.Change]
@@ -30,13 +30,21 @@
 class Store:
     """Items, their history, and every call that was made.
 
-    ``silent`` hosts get no answer, ``refused`` ones a refusal; all of them
-    when ``down``. A ``deaf`` store's watches hear nothing. An answer takes
-    ``slow`` seconds. ``left`` and ``cuts`` count for each host how often the
-    store went away: what waited then is answered no more, or cut. ``era``
-    rises each time that an older copy takes the store's place. Stale reads
-    get what ``lagging`` holds, if it does. What waits when it comes back
-    older is cut, unless ``keeps_watches``.
+    Calls of ``silent_hosts`` time out and calls of ``refused_hosts`` are
+    refused; while the store is ``down``, the calls of all hosts time out.
+    With ``watches_stalled``, watches return no changes. An answer takes
+    ``answer_seconds``.
+
+    ``hang_counts`` and ``reset_counts`` count for each host how often the
+    store stopped answering or reset its connections. A watch that is open
+    at that moment times out or fails as lost.
+
+    ``history_floor`` is the oldest revision from which a watch can start.
+    ``era`` grows by one each time the store is restored from a backup. Open
+    watches then fail, unless ``keeps_watches_on_restore`` is set. Stale
+    reads return ``stale_backup`` if there is one.
+
+    ``calls`` holds the time, the host and the verb of each call.
     """
 
     revision: int = 1
@@ -68,7 +76,7 @@
 
     @property
     def packed_revision(self) -> int:
-        """The revision with its era."""
+        """The revision packed together with its era."""
         return views.pack_revision(self.era, self.revision)
 
     def put(self, key: str, change: views.Change) -> None:
@@ -84,17 +92,17 @@
         self._record_change(views.Removed(key))
 
     def drop_history(self) -> None:
-        """Forget all changes so far: watches from before get an error."""
+        """Drop the history; watches from earlier revisions get an error."""
         self.history_floor = self.revision
         self.history.clear()
         self._wake_watches()
 
     def back_up(self) -> Backup:
-        """Return what the store holds now."""
+        """Return a backup of the store's current contents."""
         return Backup(self.revision, dict(self.items), tuple(self.history))
 
     def restore(self, backup: Backup) -> dict[str, views.Change]:
-        """Go on from an older copy; return the changes that it lacks."""
+        """Restore a backup; return the changes that it lacks."""
         missing = {
             key: change
             for key, change in self.items.items()
@@ -113,7 +121,7 @@
         return missing
 
     def rewrite(self, changes: dict[str, views.Change]) -> None:
-        """Write what a copy lacked, as its writers do."""
+        """Write the changes that a backup lacked, as their writers would."""
         for key, change in changes.items():
             if isinstance(change, views.Removed):
                 self.remove(key)
@@ -121,23 +129,23 @@
                 self.put(key, change)
 
     def stop_answering(self, hosts: abc.Iterable[str]) -> None:
-        """Answer some hosts no more, not even what waits already."""
+        """Let the calls of some hosts time out, open watches included."""
         self.silent_hosts |= set(hosts)
         self.hang_counts.update(hosts)
 
     def reset_connections(self, hosts: abc.Iterable[str]) -> None:
-        """Refuse some hosts, and cut what waits."""
+        """Refuse the calls of some hosts, and cut their open watches."""
         self.refused_hosts |= set(hosts)
         self.reset_counts.update(hosts)
         self._wake_watches()
 
     def answer_all_hosts(self) -> None:
-        """Answer all again."""
+        """Answer the calls of all hosts again."""
         self.silent_hosts.clear()
         self.refused_hosts.clear()
 
     def calls_since(self, since: float) -> collections.Counter[str]:
-        """Return how many calls were made, by verb."""
+        """Return the number of calls since a time, by verb."""
         return collections.Counter(
             verb for when, _, verb in self.calls if when >= since
         )
@@ -153,7 +161,7 @@
 
 
 class Client:
-    """The store as one host sees it."""
+    """The source through which the daemon of one host reads the store."""
 
     def __init__(self, store: Store, host: str) -> None:
         self._store = store
@@ -177,7 +185,7 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + wait
         store, host = self._store, self._host
-        left, cuts, era = (
+        hang_count, reset_count, era = (
             store.hang_counts[host],
             store.reset_counts[host],
             store.era,
@@ -194,11 +202,11 @@
                 break
             await self._wait_for_change(until - loop.time())
             silent = store.down or host in store.silent_hosts
-            if silent or store.hang_counts[host] != left:
+            if silent or store.hang_counts[host] != hang_count:
                 await asyncio.sleep(until + CALL_SECONDS - loop.time())
                 raise forwarding.SourceError(forwarding.SourceReason.TIMEOUT)
             restored = store.era != era and not store.keeps_watches_on_restore
-            if store.reset_counts[host] != cuts or restored:
+            if store.reset_counts[host] != reset_count or restored:
                 raise forwarding.SourceError(forwarding.SourceReason.LOST)
         if store.era != views.era_of(after):
             raise forwarding.SourceError(forwarding.SourceReason.HISTORY_GONE)
@@ -217,7 +225,7 @@
         return self._store.packed_revision
 
     async def policy(self) -> forwarding.Reading:
-        """Return the latest policy alone."""
+        """Return only the latest policy."""
         await self._call("policy", CALL_SECONDS)
         store = self._store
         return forwarding.Reading(
@@ -228,7 +236,7 @@
         )
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: the client holds no connection."""
 
     async def _wait_for_change(self, seconds: float) -> None:
         event = asyncio.Event()
