--- a/tests/fleets/test_crashes.py
+++ b/tests/fleets/test_crashes.py
@@ -1,4 +1,4 @@
-"""Requests that crash each instance that runs them, in a whole fleet."""
+"""Test how a fleet blocks requests that crash their instances."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.fleets import loops
 
 STABLE_SECONDS = 3.0
-"""After which all daemons have to know of the third crash."""
+"""Time within which all daemons must know of the third crash."""
 LATE_ARRIVALS_MAX = 3
-"""Arrivals at instances that are allowed later than that."""
+"""Arrivals at instances that are allowed after that time."""
 BROADCAST_SECONDS = 0.1
-"""After which all daemons know of a crash while all links are sound."""
+"""Time after which all daemons know of a crash if no link fails."""
 BAD = b"/s/bad"
 POPULAR = b"/s/popular"
 CRASH_SECONDS = 0.04
@@ -37,7 +37,7 @@
     services: typing.Callable[[str], str] = lambda host: "s",
     idempotent: bool = True,
 ) -> tuple[fleet_module.Fleet, instances.Upstreams]:
-    """Return a fleet that is calm, with its instances."""
+    """Return a settled fleet and its instances."""
     fleet = fleet_module.Fleet(
         count,
         domains,
@@ -73,12 +73,12 @@
 
 
 def unique_targets() -> typing.Iterator[bytes]:
-    """Yield targets that never come again."""
+    """Yield targets without repeating any."""
     return (b"/s/good-%d" % number for number in itertools.count())
 
 
 def late_arrivals(upstreams: instances.Upstreams, target: bytes) -> int:
-    """Return the arrivals that come too long after the third crash."""
+    """Count the arrivals ``STABLE_SECONDS`` or more after the third crash."""
     times = upstreams.crash_times(target)
     if len(times) < 3:
         return 0
@@ -90,7 +90,7 @@
 
 
 def refused_on_suspicion(fleet: fleet_module.Fleet) -> int:
-    """Return the requests that daemons refused for crashes."""
+    """Count the requests that daemons refused because of crashes."""
     return sum(
         count
         for daemon in fleet.daemons.values()
@@ -107,7 +107,7 @@
 def arrivals_before_crash_known(
     upstreams: instances.Upstreams, target: bytes, number: int
 ) -> int:
-    """Return the arrivals until a crash of that number, from 1, was known."""
+    """Count the arrivals before the given crash (from 1) was known."""
     known = upstreams.crash_times(target)[number - 1] + BROADCAST_SECONDS
     return sum(
         each.target == target and each.time < known
@@ -116,10 +116,10 @@
 
 
 @pytest.mark.parametrize(("count", "domains"), [(13, 1), (65, 5), (195, 3)])
-def test_request_that_crashed_three_instances_is_kept_from_the_others(
+def test_request_that_crashed_three_instances_is_blocked(
     count: int, domains: int
 ) -> None:
-    """One request takes down instance after instance while it comes."""
+    """A repeated request would crash one instance after the other."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(count, domains)
@@ -140,10 +140,10 @@
 
 @pytest.mark.parametrize("crash_seconds", [0.001, 0.08, 0.4])
 @pytest.mark.parametrize("per_second", [1.0, 40.0])
-def test_no_more_instances_crash_than_were_under_way_at_the_third(
+def test_only_requests_sent_before_the_third_crash_was_known_crash(
     crash_seconds: float, per_second: float
 ) -> None:
-    """The request comes seldom or often, and crashes soon or late."""
+    """The request is rare or frequent, and crashes instances soon or late."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(65, 5)
@@ -161,8 +161,8 @@
     loops.run(test())
 
 
-def test_request_that_may_run_once_is_kept_from_the_others() -> None:
-    """A request with a body, which is never sent on, comes again and again."""
+def test_crashing_request_that_may_run_only_once_is_blocked() -> None:
+    """Clients repeat a request with a body, which daemons never retry."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(13, 1, idempotent=False)
@@ -179,8 +179,8 @@
     loops.run(test())
 
 
-def test_several_such_requests_are_told_apart() -> None:
-    """Five requests by turns crash what runs them, beside a popular one."""
+def test_several_crashing_requests_are_told_apart() -> None:
+    """Five requests in turn crash instances that run a popular one too."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(65, 5)
@@ -204,8 +204,8 @@
     loops.run(test())
 
 
-def test_call_of_an_instance_is_kept_from_the_others() -> None:
-    """An instance calls on as it runs, and the call crashes what runs it."""
+def test_crashing_call_of_an_instance_is_blocked() -> None:
+    """A nested call by an instance crashes the instance that it calls."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(26, 2, services=_front_or_deep)
@@ -233,8 +233,8 @@
 
 
 @pytest.mark.parametrize("pause", [0.2, 0.6])
-def test_restarted_daemons_learn_what_is_blocked(pause: float) -> None:
-    """All daemons are restarted, one after the other, while it comes."""
+def test_restarted_daemons_learn_of_blocked_requests(pause: float) -> None:
+    """All daemons restart, one by one, while a crashing request repeats."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(26, 2)
@@ -253,8 +253,11 @@
 
 
 @pytest.mark.parametrize("domain", ["d0", "d1", "d2"])
-def test_domain_that_was_cut_off_learns_what_is_blocked(domain: str) -> None:
-    """It crashes three instances outside, and comes inside after the cut."""
+def test_partitioned_domain_learns_of_blocked_requests(domain: str) -> None:
+    """A request crashes three instances outside of a partitioned domain.
+
+    Once the partition heals, the domain must block the request, too.
+    """
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(36, 3)
@@ -279,8 +282,8 @@
     loops.run(test())
 
 
-def test_each_side_of_a_cut_keeps_the_request_from_its_instances() -> None:
-    """It comes on both sides of a cut at once."""
+def test_each_side_of_a_partition_blocks_the_request() -> None:
+    """A crashing request arrives on both sides of a partition at once."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(36, 3)
@@ -297,30 +300,33 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Storm:
-    """Ordinary crashes: so many instances at once, so often."""
+class CrashSeries:
+    """Crashes that no request causes, of ``count`` instances at a time.
+
+    There are ``times`` of them, with ``pause`` seconds in between.
+    """
 
     count: int
     times: int
     pause: float
 
 
-STORMS = (
-    Storm(1, 20, 0.5),
-    Storm(1, 40, 0.05),
-    Storm(3, 10, 0.3),
-    Storm(4, 10, 0.2),
-    Storm(13, 4, 2.5),
-    Storm(12, 8, 0.7),
+CRASH_SERIES = (
+    CrashSeries(1, 20, 0.5),
+    CrashSeries(1, 40, 0.05),
+    CrashSeries(3, 10, 0.3),
+    CrashSeries(4, 10, 0.2),
+    CrashSeries(13, 4, 2.5),
+    CrashSeries(12, 8, 0.7),
 )
 
 
-@pytest.mark.parametrize("storm", STORMS)
+@pytest.mark.parametrize("series", CRASH_SERIES)
 @pytest.mark.parametrize("seconds", [0.03, 0.4])
-def test_popular_request_is_not_accused_of_ordinary_crashes(
-    storm: Storm, seconds: float
+def test_popular_request_is_not_blamed_for_unrelated_crashes(
+    series: CrashSeries, seconds: float
 ) -> None:
-    """Popular requests are under way at each instance that crashes."""
+    """Each instance that crashes is running popular requests."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(13, 1)
@@ -329,11 +335,11 @@
 
         async def crash_often() -> None:
             await asyncio.sleep(2.0)
-            for _ in range(storm.times):
-                for host in rng.sample(fleet.hosts, storm.count):
+            for _ in range(series.times):
+                for host in rng.sample(fleet.hosts, series.count):
                     if not upstreams.instances[host].down:
                         upstreams.instances[host].crash()
-                await asyncio.sleep(storm.pause)
+                await asyncio.sleep(series.pause)
             await asyncio.sleep(instances.AWAY_SECONDS)
 
         popular = itertools.cycle([POPULAR, POPULAR + b"-2"])
@@ -347,8 +353,8 @@
     loops.run(test())
 
 
-def test_popular_request_is_served_beside_one_that_crashes() -> None:
-    """Both are under way at each instance that crashes."""
+def test_popular_request_is_served_next_to_a_crashing_one() -> None:
+    """Each instance that crashes is running both requests."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(13, 1)
@@ -366,8 +372,8 @@
     loops.run(test())
 
 
-def test_popular_request_that_a_release_cannot_run_is_blocked() -> None:
-    """What all instances have completed crashes them from some moment on."""
+def test_popular_request_that_starts_to_crash_is_blocked() -> None:
+    """A request that instances have completed crashes a new release."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(13, 1)
@@ -380,8 +386,8 @@
     loops.run(test())
 
 
-def test_request_is_tried_again_and_served_once_it_is_mended() -> None:
-    """A later release runs what crashed the one before."""
+def test_blocked_request_is_retried_and_served_once_it_is_fixed() -> None:
+    """A later release no longer crashes on the request."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(13, 1)
@@ -399,8 +405,8 @@
     loops.run(test())
 
 
-def test_flood_of_such_requests_is_bounded() -> None:
-    """Hundreds of requests each crash what runs them."""
+def test_memory_for_many_crashing_requests_is_bounded() -> None:
+    """Hundreds of different requests each crash their instances."""
 
     async def test() -> None:
         fleet, upstreams = await start_fleet(13, 1)
@@ -411,8 +417,8 @@
             ledger = daemon.crash_ledger
             assert len(ledger.crashes) <= 256
             assert ledger.run_count <= 1_200
-            told = crashes.reports_since(ledger, daemon.clock.monotonic())
-            value = _crash_wire.encode(ledger.digest, told)
+            reports = crashes.reports_since(ledger, daemon.clock.monotonic())
+            value = _crash_wire.encode(ledger.digest, reports)
             assert len(value) < 60_000
 
     loops.run(test())
--- a/tests/fleets/test_faults.py
+++ b/tests/fleets/test_faults.py
@@ -1,7 +1,7 @@
-"""A change reaches every daemon in time, whatever befalls its readers.
+"""Test that a change reaches every daemon in time despite faults.
 
-Each fault is played with all guards, and again with the guard against it
-taken out, where it must show.
+Each fault is simulated with all guards in place. Some are simulated again
+without the guard against them, and the change must then be late.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Guard:
-    """A guard that can be taken out, and how."""
+    """An attribute of a module and the value that disables it."""
 
     owner: object
     name: str
@@ -68,11 +68,11 @@
 
 
 async def _watch_of_a_reader_dies(fleet: Fleet) -> set[str]:
-    """Its connection falls silent for good while new ones work."""
+    """Let the connection of a reader's watch hang while new ones work."""
     await fleet.measure_propagation()
     await asyncio.sleep(1.05 * _feed_timing(fleet).watch_interval)
-    leading = fleet.daemons[fleet.first_reader("d0")].feed.checks_for_all
-    fleet.store.stop_answering({fleet.first_reader("d1" if leading else "d0")})
+    leads = fleet.daemons[fleet.first_reader("d0")].feed.checks_for_all
+    fleet.store.stop_answering({fleet.first_reader("d1" if leads else "d0")})
     fleet.store.answer_all_hosts()
     return set()
 
@@ -175,15 +175,15 @@
 async def _worst_propagation(
     fault: Fault, count: int, domains: int, seeds: range
 ) -> float:
-    """Return the longest time that a policy takes right after a fault."""
+    """Return the longest propagation time of a policy after a fault."""
     worst = 0.0
     for seed in seeds:
         fleet = Fleet(count, domains, seed=seed)
         await fleet.start()
-        # At another moment of the holds and of the pace for each seed.
+        # Each seed meets the held polls and intervals at another moment.
         await asyncio.sleep(0.23 * seed)
-        excused = await fault(fleet)
-        worst = max(worst, await fleet.measure_propagation(excused))
+        excluded = await fault(fleet)
+        worst = max(worst, await fleet.measure_propagation(excluded))
         await _stop(fleet)
     return worst
 
@@ -211,10 +211,10 @@
 
 @pytest.mark.parametrize("fault", FAULTS)
 def test_change_is_known_everywhere_within_the_bound(fault: Fault) -> None:
-    """A route is dropped or an instance leaves while a reader is in trouble.
+    """The policy changes while a reader has a fault.
 
-    The followers are sound and have a way to the store, so requests that
-    they send by the old policy break a promise.
+    The followers work and can reach the store, so they must not go on
+    routing by the old policy, such as to a removed route.
     """
     assert _measure_worst(fault) < BOUND
 
@@ -235,7 +235,7 @@
     guard: Guard,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Each guard is there for a fault that shows as soon as it is not."""
+    """Each guard is needed: without it, its fault delays a change."""
     assert _measure_worst(fault, 36, domains, 2) < BOUND
     owner: typing.Any = guard.owner
     value = guard.value
@@ -248,29 +248,31 @@
 
 
 def _peer_answered_without_lost(
-    told: typing.Callable[..., None],
+    peer_answered: typing.Callable[..., None],
 ) -> typing.Callable[..., None]:
-    """Return a ``told`` that passes over who has lost the store."""
+    """Return a ``peer_answered`` that ignores who has lost the store."""
 
-    def deaf(
-        feed: feeds.Feed, host: str, word: feeds.PeerStatus, *rest: object
+    def without_lost(
+        feed: feeds.Feed, host: str, status: feeds.PeerStatus, *rest: object
     ) -> None:
-        told(feed, host, dataclasses.replace(word, lost=None), *rest)
+        peer_answered(
+            feed, host, dataclasses.replace(status, lost=None), *rest
+        )
 
-    return deaf
+    return without_lost
 
 
-def test_reader_that_stops_hands_over_at_once() -> None:
-    """A planned stop of the reader, with a change right after it.
+def test_followers_leave_a_stopping_reader_at_once() -> None:
+    """A change comes right after a planned stop of a reader.
 
-    A follower that happened to poll after the others had been told waited
-    at the stopping daemon until its process was gone.
+    A follower that polls the stopping reader after it has answered all
+    held polls must not wait there until its process has ended.
     """
     assert _measure_worst(_reader_stops) < 0.2
 
 
 def test_daemon_known_by_another_address_does_not_follow_itself() -> None:
-    """All daemons know themselves by an address that the store has not."""
+    """All daemons take an address for their own that the store lacks."""
 
     async def test() -> None:
         fleet = Fleet(12, 2)
--- a/tests/fleets/test_feeds.py
+++ b/tests/fleets/test_feeds.py
@@ -1,4 +1,4 @@
-"""The feeds of a fleet over time: cuts, returns, starts, and their cost."""
+"""Test the feeds of a fleet in partitions, outages and restarts."""
 
 from __future__ import annotations
 
@@ -25,10 +25,10 @@
 
 
 def test_domain_that_is_cut_off_catches_up_at_once() -> None:
-    """A failure domain is cut off from the store and from all others.
+    """A failure domain is partitioned from the store and all other domains.
 
-    Within it all go on with what they know; what they missed they know
-    within a bound of the end.
+    Its daemons keep the policy that they have, and must know what they
+    missed within the bound after the partition heals.
     """
 
     async def test() -> None:
@@ -51,8 +51,8 @@
     loops.run(test())
 
 
-def test_watches_that_hear_nothing_are_found_out() -> None:
-    """The watches of one domain's reader hear nothing while changes go on."""
+def test_stalled_watches_are_detected() -> None:
+    """The store stops answering one domain's reader while changes go on."""
 
     async def test() -> None:
         fleet = Fleet(36, 3)
@@ -65,11 +65,11 @@
     loops.run(test())
 
 
-def test_store_that_is_away_is_left_in_peace() -> None:
-    """The store is down for all, and then back.
+def test_unavailable_store_gets_few_calls() -> None:
+    """The store is down for all daemons, and then returns.
 
-    Each daemon that asks again and again is one more call that is paid for,
-    and all that ask at the return are a flood.
+    Each retry is a call that is paid for, and calls by all daemons at the
+    store's return would overload it.
     """
 
     async def test() -> None:
@@ -81,7 +81,7 @@
         begun = loop.time()
         await asyncio.sleep(10.0)
         away = fleet.store.calls_since(begun).total()
-        # A silent store holds each call for seconds, a refusing one doesn't.
+        # Calls to a silent store take seconds to time out; refusals do not.
         assert away <= 3 * _feeds.READERS_MAX * 10
         fleet.store.down = False
         begun = loop.time()
@@ -91,8 +91,8 @@
     loops.run(test())
 
 
-def test_refusing_store_is_asked_by_few() -> None:
-    """The store answers 429 to everybody for ten seconds."""
+def test_refusing_store_gets_few_calls() -> None:
+    """The store answers 429 to all daemons for ten seconds."""
 
     async def test() -> None:
         fleet = Fleet(96, 3)
@@ -109,8 +109,8 @@
     loops.run(test())
 
 
-def test_nothing_older_is_taken_back() -> None:
-    """A daemon that is behind answers one that knows more."""
+def test_no_daemon_adopts_an_older_policy() -> None:
+    """A daemon with an older policy answers daemons with a newer one."""
 
     async def test() -> None:
         fleet = Fleet(12, 3)
@@ -133,11 +133,11 @@
     loops.run(test())
 
 
-def test_entries_that_lapse_with_the_store_are_used_on() -> None:
-    """The store was away, and entries that had lapsed come back with it.
+def test_entries_that_lapse_in_an_outage_stay_in_use() -> None:
+    """An entry lapses during an outage of the store.
 
-    Only readers see it return; their followers must know, too, that an
-    instance whose entry vanishes may live.
+    Only readers see the store return. Their followers, too, must learn that
+    the instance of the missing entry may still be running.
     """
 
     async def test() -> None:
@@ -160,11 +160,12 @@
     loops.run(test())
 
 
-def test_vm_that_leaves_makes_nobody_read_all_anew() -> None:
-    """A VM is replaced, which happens all day at 1,300 of them.
+def test_replaced_vm_causes_no_full_readings() -> None:
+    """A VM is replaced, which happens all day in a fleet of 1,300 VMs.
 
-    Half of its failure domain then follows another daemon. What each knows
-    counts there, too, so that none is sent the whole view (10 KB here).
+    Half of its failure domain then follows another daemon. Followers go on
+    from the revision that they have, so that the new parent need not send
+    any of them the whole view (10 KB here).
     """
 
     async def test() -> None:
@@ -187,7 +188,7 @@
 
 
 def test_calm_fleet_makes_few_calls() -> None:
-    """195 daemons, a calm minute: only the readers ask the store."""
+    """Without changes, only the readers of a large fleet call the store."""
 
     async def test() -> None:
         fleet = Fleet(194, 6)
@@ -197,18 +198,19 @@
         await asyncio.sleep(20.0)
         assert len(fleet.store_readers()) == 6
         assert fleet.store.calls_since(begun).total() <= 6 * 5
-        # One in a hold from each follower, and the readers' comparisons.
+        # Held polls of the followers, and the readers' comparisons.
         per_second = (fleet.network.request_count - asked) / 20.0
         assert per_second < 194 / fleet_module.BOUND * 4 + 6 * 3
 
     loops.run(test())
 
 
-def test_versions_side_by_side() -> None:
-    """A release: every second daemon is of the version before.
+def test_mixed_releases_spread_changes_in_time() -> None:
+    """Every second daemon runs the release before held polls.
 
-    Those answer at once with all that they know and can't be waited at. Who
-    would follow one reads the store, and asks nobody again and again.
+    Such a daemon answers each request at once with its whole view and can
+    not hold a poll. Daemons that would follow it read the store instead of
+    polling it without a pause.
     """
 
     async def test() -> None:
@@ -228,19 +230,20 @@
 
 
 def _without_poll_header(serve: networks.Handler) -> networks.Handler:
-    """Return a daemon's service without the field that asks to wait."""
+    """Return a handler that ignores the header asking to hold a poll."""
 
-    def served(exchange: httpio.Exchange) -> None:
+    def handle(exchange: httpio.Exchange) -> None:
         exchange.request.headers.pop(_feed_wire.HEADER_LOWER, None)
         serve(exchange)
 
-    return served
+    return handle
 
 
-def test_reader_that_only_seems_to_read_is_left() -> None:
-    """A reader hangs, but goes on answering those who follow it.
+def test_reader_whose_feed_hangs_is_abandoned() -> None:
+    """A reader's feed hangs while the reader still answers its followers.
 
-    It tells them of no loss, so they would wait at it for ever.
+    It does not report that it lost the store, so without a limit on its
+    age they would follow it for ever.
     """
 
     async def test() -> None:
@@ -255,18 +258,18 @@
     loops.run(test())
 
 
-def test_fault_of_our_own_ends_no_feed(
+def test_unexpected_exception_ends_no_feed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Something in the store's answer makes the code raise, once."""
-    take = _learning.take_reading
+    """Handling an answer of the store raises an unexpected exception."""
+    take_reading = _learning.take_reading
     raised: list[_state.Daemon] = []
 
     def faulty(daemon: _state.Daemon, reading: object) -> None:
         if len(raised) < 3 and daemon.view.content_revision > 0:
             raised.append(daemon)
             raise KeyError("a fault")
-        take(daemon, typing.cast("forwarding.Reading", reading))
+        take_reading(daemon, typing.cast("forwarding.Reading", reading))
 
     async def test() -> None:
         fleet = Fleet(12, 1)
@@ -280,11 +283,11 @@
     loops.run(test())
 
 
-def test_entries_that_all_lapse_make_no_flood() -> None:
-    """The store was away for so long that all entries lapsed.
+def test_lapse_of_all_entries_causes_few_calls() -> None:
+    """All entries lapse during a long outage of the store.
 
-    With its return they are gone for a second or two. Daemons that took all
-    others for gone read the store themselves, all at once.
+    After its return the entries are missing for a second or two. Daemons
+    that then took all others for gone would all read the store at once.
     """
 
     async def test() -> None:
@@ -307,25 +310,25 @@
     loops.run(test())
 
 
-def test_reader_that_starts_from_an_old_reading_is_not_asked_in_vain() -> None:
-    """A reader restarts, and its first reading is three seconds old.
+def test_reader_with_a_stale_reading_is_not_polled_without_pause() -> None:
+    """A restarted reader's first reading is three seconds old.
 
-    Its view then goes less far than that of its followers, while its last
-    change seems later than theirs. Until its next news, seconds later, each
-    of them asked it again and again without a pause.
+    Its revision is then lower than that of its followers, while its last
+    change seems later than theirs. Until its next change, seconds later,
+    each follower would poll it again without a pause.
     """
 
     async def test() -> None:
         fleet = Fleet(12, 1)
         await fleet.start()
-        # Changes that concern nobody move the store's revision only; the
-        # reader has read the whole as it was in the middle of them.
+        # Changes to other keys raise only the store's revision. The reader's
+        # full reading dates from between these changes.
         reader = fleet.daemons[fleet.first_reader("d0")]
-        old = fleet.store.revision + 5
+        stale_revision = fleet.store.revision + 5
         fleet.store.revision += 20
         for daemon in fleet.daemons.values():
             daemon.view.revision = fleet.store.revision
-        reader.view.content_revision = reader.view.revision = old
+        reader.view.content_revision = reader.view.revision = stale_revision
         asked = fleet.network.request_count
         await asyncio.sleep(3.0)
         assert fleet.network.request_count - asked < 12 * 3 * 4
