--- a/tests/fleets/test_faults.py
+++ b/tests/fleets/test_faults.py
@@ -223,7 +223,11 @@
     ("fault", "domains", "guard"),
     [
         (_freeze_reader, 3, Guard(_feeds, "peer_failed", lambda *_: None)),
-        (_watch_of_a_reader_dies, 3, Guard(_peers, "compare", _sleep_forever)),
+        (
+            _watch_of_a_reader_dies,
+            3,
+            Guard(_peers, "compare_with_peers", _sleep_forever),
+        ),
         (_all_readers_without_store, 3, Guard(_checks, "tick", _skip_tick)),
         (_half_of_a_domain, 1, Guard(_feeds, "FAILURES_TO_READ", NEVER)),
         (_reader_refused, 1, Guard(_feeds, "peer_answered", None)),
