--- a/tests/fleets/test_quotas.py
+++ b/tests/fleets/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas hold over all daemons, and what is within them is served."""
+"""Test that quotas hold across all daemons, and are served in full."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 async def _settled(fleet: Fleet, demand: demands.Demand) -> float:
-    """Start, send for a while, and return the time from which to count."""
+    """Start the fleet and its traffic; return the time when it has settled."""
     await fleet.start()
     await demand.run(SETTLE)
     return asyncio.get_running_loop().time()
@@ -74,7 +74,7 @@
 def test_customer_within_its_limit_is_served(
     rate: float, place: Place
 ) -> None:
-    """Requests within a quota were refused for the daemon that they met."""
+    """Requests within a quota are admitted at whichever daemon they arrive."""
 
     async def test() -> None:
         fleet = _fleet(rate, rate)
@@ -90,10 +90,10 @@
 
 @pytest.mark.parametrize("place", PLACES)
 @pytest.mark.parametrize("rate", [2.0, 20.0, 200.0])
-def test_hot_customer_gets_its_limit_and_no_more(
+def test_customer_above_its_limit_gets_exactly_its_limit(
     rate: float, place: Place
 ) -> None:
-    """A customer that sends many times its usual runs beyond its quota."""
+    """A customer that sends far more than usual must not exceed its quota."""
 
     async def test() -> None:
         fleet = _fleet(rate, rate)
@@ -109,8 +109,8 @@
     loops.run(test())
 
 
-def test_customer_whose_traffic_moves_each_second_is_bounded() -> None:
-    """Each daemon that it left and each that it came to spent its quota."""
+def test_quota_holds_while_traffic_moves_each_second() -> None:
+    """Daemons that traffic left and reached must not both spend the quota."""
 
     async def test() -> None:
         fleet = _fleet(50.0, 50.0)
@@ -126,7 +126,7 @@
 
 
 def test_restarted_daemons_get_no_new_burst() -> None:
-    """Half of the daemons are killed at once and come back with no memory."""
+    """Half of the daemons restart at once and lose their state."""
 
     async def test() -> None:
         fleet = _fleet(50.0, 100.0)
@@ -142,10 +142,8 @@
     loops.run(test())
 
 
-def test_customer_is_served_again_soon_after_half_of_the_daemons_died() -> (
-    None
-):
-    """The allocators died with them, and nobody handed out tokens."""
+def test_customer_is_served_soon_after_half_of_the_daemons_stop() -> None:
+    """Without the allocators among them, no daemon hands out tokens."""
 
     async def test() -> None:
         fleet = _fleet(50.0, 50.0)
@@ -164,10 +162,10 @@
 
 
 @pytest.mark.parametrize("rate", [20.0, 100.0])
-def test_domain_that_is_cut_off_serves_its_part_and_no_more(
+def test_partitioned_domain_serves_its_part_of_the_quota(
     rate: float,
 ) -> None:
-    """Each side of a cut handed out the whole quota, or none of it."""
+    """No side of a partition may hand out the whole quota, or none of it."""
 
     async def test() -> None:
         fleet = _fleet(rate, rate)
@@ -186,8 +184,8 @@
     loops.run(test())
 
 
-def test_lower_limit_binds_soon() -> None:
-    """Shares of the limit before were spent on after it was lowered."""
+def test_lower_limit_takes_effect_soon() -> None:
+    """Shares of the former limit must not be spent after it is lowered."""
 
     async def test() -> None:
         fleet = _fleet(100.0, 100.0)
@@ -213,7 +211,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """Something that happens, and for how long load goes on after it."""
+    """A fault or change, and for how long traffic goes on after it."""
 
     kind: str
     place: int
--- a/tests/fleets/test_revocations.py
+++ b/tests/fleets/test_revocations.py
@@ -1,4 +1,4 @@
-"""A key that was taken away stops to work in time, in touch or not."""
+"""Test that daemons refuse a revoked key in time, despite faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 KEY = policies.digest_key(b"k")
 OTHER_KEY = policies.digest_key(b"other")
 MIN_SERVING_SHARE = 0.6
-"""The part of the bound for which a daemon without the store must serve."""
+"""Share of the bound for which a daemon without the store must serve."""
 
 
 def _fleet(count: int = 24) -> Fleet:
@@ -35,7 +35,7 @@
 
 
 def _accepts(fleet: Fleet, host: str, key: bytes = KEY) -> bool:
-    """Return whether a request with a key would run now."""
+    """Return whether a daemon would accept a request with a key now."""
     daemon = fleet.daemons[host]
     table = daemon.view.table
     if table is None or key not in (table.customers_by_key_digest or {}):
@@ -100,8 +100,8 @@
 
 @pytest.mark.parametrize("pause", [0.0, 0.7, 2.0, 4.0])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_revoked_key_stops_in_time(fault: Fault, pause: float) -> None:
-    """A daemon that missed the change ran requests with the key."""
+def test_revoked_key_is_refused_in_time(fault: Fault, pause: float) -> None:
+    """A daemon that misses the revocation must not go on accepting the key."""
 
     async def test() -> None:
         fleet = _fleet()
@@ -119,8 +119,8 @@
 
 
 @pytest.mark.parametrize("count", [24, 96])
-def test_valid_key_works_all_the_time(count: int) -> None:
-    """Without any fault a daemon took its policy for unconfirmed."""
+def test_valid_key_is_always_accepted_without_faults(count: int) -> None:
+    """Without faults, no daemon may take its policy for unconfirmed."""
 
     async def test() -> None:
         fleet = _fleet(count)
@@ -133,8 +133,13 @@
 
 
 @pytest.mark.parametrize("fault", [_third_silent, _readers_reset])
-def test_valid_key_works_on_while_some_reach_the_store(fault: Fault) -> None:
-    """Daemons that the store turned away refused all customers."""
+def test_valid_key_is_accepted_while_some_daemons_reach_the_store(
+    fault: Fault,
+) -> None:
+    """Daemons without the store must not refuse all customers.
+
+    Their peers can still confirm the policy to them.
+    """
 
     async def test() -> None:
         fleet = _fleet()
@@ -147,8 +152,8 @@
     loops.run(test())
 
 
-def test_valid_key_works_for_a_while_without_the_store() -> None:
-    """Customers were refused sooner than a revoked key demands."""
+def test_valid_key_is_accepted_for_a_while_without_the_store() -> None:
+    """Customers must not be refused sooner than revocation requires."""
 
     async def test() -> None:
         fleet = _fleet()
@@ -171,7 +176,7 @@
 
 
 def test_restarted_daemon_waits_for_a_confirmation() -> None:
-    """A daemon that had just read an old state accepted a revoked key."""
+    """A restarted daemon may have read stale data with a revoked key."""
 
     async def test() -> None:
         fleet = _fleet()
@@ -190,7 +195,7 @@
 
 
 def test_confirmations_cost_few_calls() -> None:
-    """Each reader's question is paid for, and the store's rate is shared."""
+    """Calls are paid for, and all readers share the store's rate limit."""
 
     async def test() -> None:
         fleet = _fleet(96)
@@ -205,10 +210,13 @@
 
 
 @pytest.mark.parametrize("away", [1.0, 2.5, 4.0])
-def test_revocation_that_the_store_lost_is_not_confirmed_away(
+def test_restored_backup_does_not_confirm_a_revoked_key(
     away: float,
 ) -> None:
-    """The older copy confirmed the policy that still held the key."""
+    """The backup holds the policy from before the revocation.
+
+    A confirmation of that policy must not let daemons accept the key.
+    """
 
     async def test() -> None:
         fleet = _fleet()
@@ -220,12 +228,12 @@
         missing = fleet.store.restore(copy)
         fleet.store.answer_all_hosts()
         loop = asyncio.get_running_loop()
-        again = loop.call_later(1.8, fleet.store.rewrite, missing)
+        rewrite = loop.call_later(1.8, fleet.store.rewrite, missing)
         while loop.time() < revoked + 3.0 * REVOCATION:
             await asyncio.sleep(0.05)
             if loop.time() > revoked + REVOCATION:
                 assert not [h for h in fleet.daemons if _accepts(fleet, h)]
-        assert again.when() < loop.time()
+        assert rewrite.when() < loop.time()
         assert all(_accepts(fleet, h, OTHER_KEY) for h in fleet.daemons)
 
     loops.run(test())
