--- a/tests/fleets/test_absences.py
+++ b/tests/fleets/test_absences.py
@@ -1,4 +1,4 @@
-"""A change is in force in time after the store was away, however long."""
+"""Test that changes spread in time after outages of any length."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 Fleet = fleet_module.Fleet
 SERIES = 4
 SERIES_SECONDS = 0.06
-"""Changes that were held back while the store was away come one by one."""
+"""Pause between the changes that writers held back during an outage."""
 SIZES = ((13, 3, 2.0), (65, 3, 2.5), (195, 6, 3.0))
-"""Daemons, failure domains, and the seconds within which a change must be
-known."""
+"""Daemons, failure domains, and the seconds within which all daemons must
+know a change."""
 
 
 def _silent(fleet: Fleet) -> None:
@@ -52,7 +52,7 @@
 
 
 async def _start_with_aligned_watches(fleet: Fleet) -> None:
-    """Start, and wait until all readers watch since the same moment."""
+    """Start the fleet; let all readers begin a watch at the same moment."""
     await fleet.start()
     await fleet.measure_propagation()
     await asyncio.sleep(2.0 * fleet.bound)
@@ -61,11 +61,11 @@
 
 
 async def _measure_after_absence(
-    fleet: Fleet, seconds: float, kind: Absence = _silent
+    fleet: Fleet, seconds: float, absence: Absence = _silent
 ) -> float:
-    """Return how long changes take right after an absence of the store."""
+    """Return the propagation time of changes right after an outage."""
     await _start_with_aligned_watches(fleet)
-    kind(fleet)
+    absence(fleet)
     await asyncio.sleep(seconds)
     fleet.store.answer_all_hosts()
     for _ in range(SERIES - 1):
@@ -76,18 +76,19 @@
 
 @pytest.mark.parametrize("seconds", [0.0, 0.4, 1.2, 3.0, 5.1, 8.6, 25.0])
 @pytest.mark.parametrize("kind", ABSENCES)
-def test_change_after_an_absence_is_in_force_in_time(
+def test_change_after_an_outage_spreads_in_time(
     kind: Absence, seconds: float
 ) -> None:
-    """Requests were handled by a policy that was replaced 2.6 s before.
+    """Watches begun during an outage must not delay changes after it.
 
-    The store had given no answer for 8.6 s, and confirmed the changes that
-    waited for it one after the other. Each reader had begun a watch while it
-    was away, which nobody answered any more and which was waited for as long
-    as one that just has no news: all readers were deaf for four seconds.
+    The store never answers such a watch, even once it is back. A reader
+    that waited for it as long as for a watch without changes learned of no
+    change for four seconds: after an outage of 8.6 s, requests were handled
+    by a policy that had been replaced 2.6 s before.
 
-    Their log, 4 s after the store's return: store_call_failed verb=watch
-    reason=timeout waited=6.9995 age=14.4999, then store_back.
+    The log of such a reader, 4 s after the store's return:
+    store_call_failed verb=watch reason=timeout waited=6.9995 age=14.4999,
+    then store_back.
     """
 
     async def test() -> None:
@@ -99,10 +100,10 @@
 
 @pytest.mark.parametrize("seconds", [0.4, 3.0, 8.6])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES[1:])
-def test_absence_is_over_for_large_fleets_as_soon(
+def test_change_after_an_outage_spreads_in_time_in_large_fleets(
     count: int, domains: int, bound: float, seconds: float
 ) -> None:
-    """The same with more followers, which hear of it from their readers."""
+    """Many followers must learn of the changes from their readers in time."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
@@ -113,10 +114,10 @@
 
 @pytest.mark.parametrize("kind", ABSENCES[2:])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES[:2])
-def test_change_during_an_absence_reaches_who_hears_of_it(
+def test_change_during_a_partial_outage_spreads_in_time(
     kind: Absence, count: int, domains: int, bound: float
 ) -> None:
-    """The store turns some daemons away while it serves the others."""
+    """The store does not answer some daemons while it serves the others."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
@@ -131,13 +132,13 @@
 
 @pytest.mark.parametrize("kind", ABSENCES[:2])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES)
-def test_store_that_is_away_gets_few_calls(
+def test_unavailable_store_gets_few_calls(
     kind: Absence, count: int, domains: int, bound: float
 ) -> None:
-    """All calls are paid for, and the store's rate is for all daemons.
+    """Calls are paid for, and all daemons share the store's rate limit.
 
-    While it is away and at its return only three daemons of each failure
-    domain call, each a check in its pause and a watch now and then.
+    During an outage and after it, only three daemons of each failure domain
+    call the store: one check per interval each, and an occasional watch.
     """
 
     async def test() -> None:
@@ -165,11 +166,11 @@
     return next(iter(fleet.daemons.values())).feed.timing.check_interval
 
 
-def test_slow_store_is_not_taken_for_one_that_was_away() -> None:
-    """Each answer takes longer than a check's pause.
+def test_slow_store_is_not_taken_for_an_outage() -> None:
+    """Each answer takes longer than the interval between checks.
 
-    Taken for an absence, each late answer would end the watch under way,
-    and no watch would ever be answered.
+    If each late answer were taken for the end of an outage, it would end
+    the open watch, and no watch would ever be answered.
     """
 
     async def test() -> None:
@@ -190,11 +191,11 @@
     loops.run(test())
 
 
-def test_revision_that_concerns_nobody_is_not_acted_on_for_long() -> None:
-    """The store's counter moves with changes that no watch tells.
+def test_revisions_of_other_keys_cause_few_watches() -> None:
+    """The store's revision grows with changes that no watch returns.
 
-    Each check then tells of a greater revision. Asked anew each time, the
-    store would get more calls than from daemons that only watch.
+    Each check then returns a greater revision. A new watch for each of them
+    would cost more calls than daemons make that only watch.
     """
 
     async def test() -> None:
@@ -211,10 +212,10 @@
     loops.run(test())
 
 
-def test_entries_that_lapsed_are_known_again_in_time() -> None:
-    """All entries lapse while the store is away, and come back with it.
+def test_lapsed_entries_that_return_are_known_in_time() -> None:
+    """All entries lapse during an outage and are written anew after it.
 
-    For as long as a daemon does not know of them it has nobody to send
+    Until a daemon knows of the new entries, it has no instance to send
     requests to.
     """
 
@@ -238,10 +239,10 @@
 
 
 @pytest.mark.parametrize("seconds", [0.5, 4.0, 9.0])
-def test_daemons_that_start_without_the_store_hear_of_its_return(
+def test_daemons_that_start_in_an_outage_notice_its_end(
     seconds: float,
 ) -> None:
-    """All daemons are restarted while the store is away."""
+    """All daemons restart during an outage of the store."""
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
@@ -251,17 +252,20 @@
             fleet.restart(host)
         await asyncio.sleep(seconds)
         fleet.store.answer_all_hosts()
-        # A first reading that waits in vain is found out by its time limit.
+        # A first reading that gets no answer ends only by its time limit.
         assert await fleet.measure_propagation() < 2.0 + fleet.bound
 
     loops.run(test())
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_reader_that_alone_is_turned_away_hears_from_its_domain(
+def test_reader_without_the_store_learns_from_its_domain(
     seed: int,
 ) -> None:
-    """Readers waited for daemons that are cut off before asking others."""
+    """The store does not answer one reader of a partitioned domain.
+
+    The reader must not wait for unreachable daemons before it asks others.
+    """
 
     async def test() -> None:
         fleet = Fleet(36, 3, seed=seed, bound=2.0)
--- a/tests/fleets/test_older_copies.py
+++ b/tests/fleets/test_older_copies.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy, and gives revisions out again."""
+"""Test restores of the store from a backup, which reuse revisions."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 Fleet = fleet_module.Fleet
 BOUND = 2.0
 STABLE_SECONDS = 3.0
-"""After the store's return, until changes must be known in time again."""
+"""Time after a restore until changes must spread in time again."""
 
 
 RETURN_PAUSE = 0.5
 CALLS_SECONDS = 5.0
 READERS_PER_DOMAIN = 3
-"""Daemons of a failure domain that may call the store, once a second."""
+"""Daemons per failure domain that may call the store once a second."""
 MISSING_CHANGES = (1, 4, 12)
-"""Changes that the copy lacks."""
+"""Numbers of changes that the backup lacks."""
 
 
 def _cut(fleet: Fleet) -> None:
@@ -34,11 +34,11 @@
 
 
 def _unnoticed(fleet: Fleet) -> None:
-    """Bring the store back before anybody has asked it."""
+    """Restore the backup without an outage before it."""
 
 
 def _unnoticed_by_watches(fleet: Fleet) -> None:
-    """Let watches wait on, for a revision that comes again."""
+    """Keep watches open across the restore, from a revision that is reused."""
     fleet.store.keeps_watches_on_restore = True
 
 
@@ -54,7 +54,7 @@
 async def _bring_back_older(
     fleet: Fleet, lost: int, absence: Absence, away: float = 2.5
 ) -> None:
-    """Take the store away, and bring a copy back without the last changes."""
+    """Take the store down, and restore a backup without the last changes."""
     copy = fleet.store.back_up()
     for _ in range(lost):
         await fleet.measure_propagation()
@@ -66,7 +66,7 @@
 
 
 async def _start_restored(absence: Absence, lost: int) -> Fleet:
-    """Return a fleet whose store came back older, and is stable again."""
+    """Return a fleet that has settled after a restore of its store."""
     fleet = Fleet(16, 4, bound=BOUND)
     await _start_settled(fleet)
     await _bring_back_older(fleet, lost, absence)
@@ -79,7 +79,7 @@
 
 
 def _hosts_using(fleet: Fleet, key: str) -> list[str]:
-    """Return the hosts of the daemons that would send work to an instance."""
+    """Return the hosts whose daemons would send requests to an instance."""
     return [
         host
         for host, daemon in fleet.daemons.items()
@@ -89,10 +89,13 @@
 
 @pytest.mark.parametrize("lost", MISSING_CHANGES)
 @pytest.mark.parametrize("absence", ABSENCES)
-def test_change_after_the_store_came_back_older_is_in_force_in_time(
+def test_change_after_a_restore_spreads_in_time(
     absence: Absence, lost: int
 ) -> None:
-    """Changes got revisions that the views held already, and were lost."""
+    """New changes reuse revisions that the views have already seen.
+
+    Daemons that compared revisions alone would ignore these changes.
+    """
 
     async def test() -> None:
         fleet = await _start_restored(absence, lost)
@@ -105,10 +108,10 @@
 
 @pytest.mark.parametrize("lost", MISSING_CHANGES)
 @pytest.mark.parametrize("absence", ABSENCES)
-def test_instance_that_leaves_after_the_store_came_back_older(
+def test_instance_that_leaves_after_a_restore_gets_no_requests(
     absence: Absence, lost: int
 ) -> None:
-    """The instance got work until its entry was removed."""
+    """Daemons that miss the change send requests until the entry is gone."""
 
     async def test() -> None:
         fleet = await _start_restored(absence, lost)
@@ -125,10 +128,10 @@
 @pytest.mark.parametrize(
     ("count", "domains", "bound"), [(13, 3, 2.0), (69, 4, 2.5)]
 )
-def test_all_know_of_the_return_soon_and_few_ask(
+def test_all_daemons_learn_of_a_restore_soon_with_few_calls(
     count: int, domains: int, bound: float, absence: Absence, returns: int
 ) -> None:
-    """All read the store at once, or the last follower knew late."""
+    """Guard against daemons that all read at once, and late followers."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
@@ -155,10 +158,10 @@
 @pytest.mark.parametrize(
     ("count", "domains", "bound"), [(65, 3, 2.5), (195, 6, 3.0)]
 )
-def test_large_fleets_go_on_from_an_older_copy_as_soon(
+def test_change_after_a_restore_spreads_in_time_in_large_fleets(
     count: int, domains: int, bound: float
 ) -> None:
-    """Followers hear of it from readers that learn of it at other times."""
+    """Readers notice the restore, and tell followers, at different times."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
@@ -170,8 +173,11 @@
     loops.run(test())
 
 
-def test_domain_that_was_cut_off_meanwhile_goes_on_from_the_copy() -> None:
-    """Its daemons kept the greater revision, and took nobody's word."""
+def test_domain_partitioned_in_a_restore_adopts_the_backup() -> None:
+    """The domain's daemons keep a greater revision of the earlier era.
+
+    They must not ignore what peers report of the new era.
+    """
 
     async def test() -> None:
         fleet = Fleet(16, 4, bound=BOUND)
@@ -194,10 +200,10 @@
 
 @pytest.mark.parametrize("absence", ABSENCES)
 @pytest.mark.parametrize("removed", [False, True])
-def test_instance_that_has_left_is_not_used_again(
+def test_instance_that_left_before_a_restore_is_not_used_again(
     absence: Absence, removed: bool
 ) -> None:
-    """The copy listed it as ready until its leaving was written again."""
+    """The backup lists the instance as ready until the change is rewritten."""
 
     async def test() -> None:
         fleet = Fleet(16, 4, bound=BOUND)
@@ -223,10 +229,10 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_daemon_that_starts_with_a_stale_reading_misses_nothing(
+def test_daemon_that_starts_with_a_stale_reading_misses_no_change(
     seed: int,
 ) -> None:
-    """Its first reading was of the time before the store came back older."""
+    """The daemon's first reading dates from before the restore."""
 
     async def test() -> None:
         fleet = Fleet(16, 4, seed=seed, bound=BOUND)
