--- a/src/sassafrasstair/bundles/_checks.py
+++ b/src/sassafrasstair/bundles/_checks.py
@@ -1,6 +1,6 @@
-"""Checks of a bundle that one field alone cannot show.
+"""Consistency checks that involve more than one field of a bundle.
 
-Each check yields lines of ``key: what is wanted``.
+Each check yields lines of the form ``key: what is expected``.
 """
 
 from __future__ import annotations
@@ -16,53 +16,62 @@
 
 
 MAX_INCREASE = 1_000
-"""How far a version may pass the one that it supersedes.
+"""How far a version may exceed the one that it supersedes.
 
-Versions never go back, so a digit too many would be in force for good:
-every later bundle that continues the old count is refused.
+Versions never decrease. Without this limit, a version with a digit too many
+would stay in force permanently, since every later bundle that continues the
+old numbering is refused.
 """
 
 
-def faults(bundle: _schema.Bundle) -> list[str]:
-    """Return every fault of ``bundle``, in the order of its sections."""
-    checks = (_version, _sections, _rollout, _services, _cycles, _classes)
+def find_faults(bundle: _schema.Bundle) -> list[str]:
+    """Return all faults of ``bundle``, in the order of its sections."""
+    checks = (
+        _check_version,
+        _check_sections,
+        _check_rollout,
+        _check_services,
+        _check_cycles,
+        _check_classes,
+    )
     return [line for check in checks for line in check(bundle)]
 
 
 def duplicate_keys(payload: bytes) -> list[str]:
-    """Return a line for each key that its object has twice.
+    """Return a line for each key that occurs twice in its JSON object.
 
-    JSON decoders keep the last one, silently: an operator who adds a class
-    that exists already would approve something other than what they read.
+    JSON decoders silently keep the last occurrence. An operator who adds a
+    class that already exists would approve a bundle that differs from the
+    text they read.
     """
-    twice: list[str] = []
+    duplicates: list[str] = []
 
-    def note(pairs: list[tuple[str, object]]) -> None:
+    def record_duplicates(pairs: list[tuple[str, object]]) -> None:
         seen: set[str] = set()
         for key, _ in pairs:
             if key in seen:
-                twice.append(f"{key}: wants each key once in its object")
+                duplicates.append(f"{key}: wants each key once in its object")
             seen.add(key)
 
-    json.loads(payload, object_pairs_hook=note)
-    return twice
+    json.loads(payload, object_pairs_hook=record_duplicates)
+    return duplicates
 
 
-def _version(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_version(bundle: _schema.Bundle) -> abc.Iterator[str]:
     if bundle.version <= bundle.supersedes:
         yield f"version: wants more than supersedes, {bundle.supersedes}"
-    most = bundle.supersedes + MAX_INCREASE
-    if bundle.version > most:
-        yield f"version: wants at most {most}, supersedes and {MAX_INCREASE}"
+    limit = bundle.supersedes + MAX_INCREASE
+    if bundle.version > limit:
+        yield f"version: wants at most {limit}, supersedes and {MAX_INCREASE}"
 
 
-def _sections(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_sections(bundle: _schema.Bundle) -> abc.Iterator[str]:
     for name in ("failure_domains", "services", "classes", "tenants"):
         if not getattr(bundle, name):
             yield f"{name}: wants one entry at least"
 
 
-def _rollout(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_rollout(bundle: _schema.Bundle) -> abc.Iterator[str]:
     if len(set(bundle.rollout)) != len(bundle.rollout):
         yield "rollout: wants each failure domain once"
     for name in bundle.rollout:
@@ -70,7 +79,7 @@
             yield f"rollout: wants names from failure_domains, not {name}"
 
 
-def _services(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_services(bundle: _schema.Bundle) -> abc.Iterator[str]:
     for name, service in bundle.services.items():
         for callee in service.calls:
             if callee not in bundle.services:
@@ -80,11 +89,12 @@
                 )
 
 
-def _cycles(bundle: _schema.Bundle) -> abc.Iterator[str]:
-    """Refuse services that call themselves by way of others.
+def _check_cycles(bundle: _schema.Bundle) -> abc.Iterator[str]:
+    """Refuse services that call themselves through other services.
 
-    Slots of such services wait for each other when all are taken: under
-    overload the whole cycle stands still until deadlines pass.
+    When all slots of such services are taken, the requests in them wait for
+    each other. Under overload the whole cycle is deadlocked until deadlines
+    pass.
     """
     graph = {name: rules.calls for name, rules in bundle.services.items()}
     try:
@@ -94,13 +104,13 @@
         yield f"services: wants no cycle of calls: {cycle}"
 
 
-def _classes(bundle: _schema.Bundle) -> abc.Iterator[str]:
+def _check_classes(bundle: _schema.Bundle) -> abc.Iterator[str]:
     for name, rules in bundle.classes.items():
-        for line in _class(bundle, rules):
+        for line in _check_class(bundle, rules):
             yield f"classes.{name}.{line}"
 
 
-def _class(
+def _check_class(
     bundle: _schema.Bundle, rules: _schema.RequestClass
 ) -> abc.Iterator[str]:
     refusal = rules.refusal
--- a/src/sassafrasstair/decisions/quotas/_messages.py
+++ b/src/sassafrasstair/decisions/quotas/_messages.py
@@ -24,10 +24,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AllocationRequest:
+class Ask:
     """A daemon's request for tokens from the allocator of its failure domain.
 
-    ``host`` is the host of the daemon.
+    ``host`` is that of the daemon, and ``needs`` has one entry a customer.
     """
 
     host: str
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantResponse:
+class Granted:
     """The answer to an ``Ask``.
 
     ``redirect`` is the host to ask instead, or '' if the request went to the
@@ -59,11 +59,12 @@
 class Update:
     """The changes that an allocator reports to that of another domain.
 
-    ``domain`` and ``host`` are those of the sender. ``mark`` identifies its
-    process and ``serial`` orders its updates. ``claims`` are the shares of the
-    limits that it holds or wants, and ``demands`` are in requests a second.
-    ``whole`` means that customers that are not listed have the equal share and
-    no demand. ``adopting`` is set until the sender holds its share.
+    ``domain`` and ``host`` are those of the sender. ``mark`` is the identity
+    of its process: a restarted process has another. ``serial`` orders its
+    updates. ``claims`` are the shares of the limits that it holds or wants,
+    and ``demands`` are in requests a second. ``whole`` means that customers
+    that are not listed have the equal share and no demand. ``adopting`` is set
+    until the sender has adopted the share that its peers reserve for it.
     """
 
     domain: str
@@ -77,13 +78,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Acknowledgement:
+class Acknowledged:
     """The answer to an ``Update``.
 
-    ``mark`` identifies the process that answers, and ``adopting`` is its state
-    as in ``Update``. ``redirect`` is the host that allocates for the domain of
-    the receiver, or '' if the receiver does. ``occupied`` is the host that
-    allocates for the domain of the sender, or '' if the sender does.
+    ``mark`` is the identity of the process that answers, and ``adopting`` is
+    its state as in ``Update``. ``redirect`` is the host that allocates for the
+    domain of the receiver, or '' if the receiver does. ``occupied`` is the
+    host that allocates for the domain of the sender, or '' if the sender does.
     ``yours`` are the shares that are reserved for the domain of the sender.
     """
 
@@ -97,12 +98,12 @@
 def is_valid(message: object) -> bool:
     """Return whether all amounts of a message are finite and not negative."""
     match message:
-        case AllocationRequest():
+        case Ask():
             return all(
                 _is_amount(need.demand) and need.left >= 0 <= need.wanted
                 for need in message.needs
             )
-        case GrantResponse():
+        case Granted():
             return all(
                 grant.tokens >= 0 and _is_amount(grant.wait)
                 for grant in message.grants
@@ -110,7 +111,7 @@
         case Update():
             amounts = [*message.claims.values(), *message.demands.values()]
             return all(map(_is_amount, amounts))
-        case Acknowledgement():
+        case Acknowledged():
             return all(map(_is_amount, message.yours.values()))
     return False
 
--- a/src/sassafrasstair/runtime/_status.py
+++ b/src/sassafrasstair/runtime/_status.py
@@ -1,4 +1,4 @@
-"""What the daemon shows operators: status and gauges."""
+"""Status page and gauges of the daemon for operators."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
         service=settings_.service,
         failure_domain=settings_.failure_domain,
         region=settings_.region,
-        incarnation=entry.slot.incarnation,
+        incarnation=entry.callee.incarnation,
         state=_state(entry),
         in_force=_in_force(control, entry, shown["in_force"]),
-        newest_seen=_newest(shown["held"]),
+        newest_seen=_newest_bundle(shown["held"]),
         refused_bundles=tuple(
             _refused(control, digest, reason)
             for digest, reason in shown["refused"].items()
@@ -54,7 +54,7 @@
             reachable=shown["platform_failures"] == 0,
             heard_seconds=_age(control, control.platform_heard_at),
         ),
-        instance=_instance(entry.slot),
+        instance=_instance(entry.callee),
         entrance=_entrance(entry),
         counters=_counters(entry),
     )
@@ -62,7 +62,7 @@
 
 def update_gauges(counts: metrics.Metrics, entry: _entries.Entry) -> None:
     """Set the gauges from the daemon's state."""
-    instance = _instance(entry.slot)
+    instance = _instance(entry.callee)
     counts.gauges.limit = instance.limit
     counts.gauges.running = instance.running
     counts.gauges.waiting = instance.waiting
@@ -74,7 +74,7 @@
 
 
 def _state(entry: _entries.Entry) -> operators.State:
-    if entry.leaving or entry.slot.owner.leaving:
+    if entry.leaving or entry.callee.owner.leaving:
         return operators.State.LEAVING
     if entry.bundle() is None:
         return operators.State.STARTING
@@ -87,14 +87,14 @@
     shown: dict[str, typing.Any] | None,
 ) -> operators.InForceBundle:
     bundle = entry.bundle()
-    held = control.node.in_force
-    if bundle is None or shown is None or held is None:
+    stored = control.node.in_force
+    if bundle is None or shown is None or stored is None:
         return operators.InForceBundle()
     return operators.InForceBundle(
         bundle=operators.BundleId(shown["version"], shown["digest"]),
         mesh=bundle.mesh,
-        approved_by=control.approvals.get(held.envelope_digest, ()),
-        age_seconds=_age(control, control.adopted_at),
+        approved_by=control.approvals.get(stored.envelope_digest, ()),
+        age_seconds=_age(control, control.bundle_adopted_at),
     )
 
 
@@ -124,21 +124,21 @@
     return round(control.clock.monotonic() - since, 1)
 
 
-def _newest(held: list[dict[str, typing.Any]]) -> operators.BundleId:
-    if not held:
+def _newest_bundle(stored: list[dict[str, typing.Any]]) -> operators.BundleId:
+    if not stored:
         return operators.BundleId()
-    return operators.BundleId(held[-1]["version"], held[-1]["digest"])
+    return operators.BundleId(stored[-1]["version"], stored[-1]["digest"])
 
 
-def _instance(slot: _slots.Slot) -> operators.InstanceLoad:
-    bundle = slot.bundle()
-    service = bundle.services.get(slot.service) if bundle else None
+def _instance(callee: _slots.Callee) -> operators.InstanceLoad:
+    bundle = callee.bundle()
+    service = bundle.services.get(callee.service) if bundle else None
     return operators.InstanceLoad(
         slots=service.slots if service else 0,
-        limit=load.limit(slot.guard, slot.clock.monotonic()),
-        running=len(slot.guard.running),
-        waiting=len(slot.guard.waiting),
-        shed_floor=load.floor(slot.guard, slot.clock.monotonic()),
+        limit=load.limit(callee.guard, callee.clock.monotonic()),
+        running=len(callee.guard.running),
+        waiting=len(callee.guard.waiting),
+        shed_floor=load.floor(callee.guard, callee.clock.monotonic()),
     )
 
 
@@ -153,11 +153,11 @@
 
 
 def _counters(entry: _entries.Entry) -> dict[str, int]:
-    counts = entry.slot.owner.counts
+    counts = entry.callee.owner.counts
     return {
         **entry.counts.totals(),
-        "doubled_attempts": entry.slot.duplicate_requests,
-        "pauses": entry.slot.pauses.count,
+        "doubled_attempts": entry.callee.duplicate_requests,
+        "pauses": entry.callee.pauses.count,
         "tickets_issued": counts.issued,
         "tickets_run": counts.ran,
         "tickets_joined": counts.joined,
@@ -168,7 +168,7 @@
         "tickets_invalid": counts.invalid,
         "tickets_expired": counts.expired,
         "tickets_owner_gone": counts.owner_gone,
-        # These are 0 unless something else is broken.
+        # These are 0 unless there is a fault elsewhere.
         "tickets_not_sent": counts.not_sent,
         "tickets_not_run_disbelieved": counts.not_run_disbelieved,
         "tickets_ended_twice": counts.ended_twice,
--- a/tests/configservice/test_client.py
+++ b/tests/configservice/test_client.py
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass
 class _Reply:
-    """What the client reads of a response, and as what it is entered."""
+    """Fake response, which is also its own context manager and content."""
 
     status: int
     body: bytes
@@ -89,7 +89,7 @@
     assert snapshot == configservice.Snapshot(6, {})
 
 
-def test_second_address_answers_for_a_dead_first() -> None:
+def test_second_address_is_tried_when_the_first_is_unreachable() -> None:
     replies: dict[int, _Reply | Exception] = {
         1: _refused(),
         2: _reply(),
@@ -98,10 +98,10 @@
 
 
 def test_index_that_goes_back_resets_to_zero() -> None:
-    """A watch misses every change until a restored service catches up.
+    """Guard against a watch that misses changes after a restore.
 
-    The service is restored from an older state, so its index falls below
-    the one that the daemon waits for. Consul tells clients to begin at 0.
+    A service that is restored from an older state has an index below the
+    one that the daemon waits for. Consul tells clients to start at 0 again.
     """
     assert _watch({1: _reply(index="4")}, index=5).index == 0
 
@@ -130,7 +130,7 @@
         ),
     ],
 )
-def test_refusal_is_whole_and_has_a_reason(
+def test_unusable_response_raises_with_its_reason(
     reply: _Reply | Exception, reason: configservice.Reason
 ) -> None:
     with pytest.raises(configservice.PlatformError) as caught:
--- a/tests/daemons/test_close.py
+++ b/tests/daemons/test_close.py
@@ -6,15 +6,15 @@
 
 from sassafrasstair import daemons
 
-CLOSINGS = 5
-PEERS = 20
-ENOUGH_MESSAGES = 50
+ROUNDS = 5
+PEER_COUNT = 20
+MESSAGES_BEFORE_CLOSE = 50
 HANDLE_SECONDS = 0.0005
 CLOSE_SECONDS = 3.0
 
 
 async def _close_under_traffic() -> None:
-    """Close a server in the middle of exchanges, then their links."""
+    """Close a server during exchanges, then the links of its peers."""
     handled = asyncio.Semaphore(0)
 
     async def handle(message: daemons.Message) -> daemons.Message:
@@ -35,8 +35,8 @@
                 await daemons.exchange(links, address, daemons.Ping(), 0.2)
             await asyncio.sleep(0)
 
-    peers = [asyncio.create_task(flood()) for _ in range(PEERS)]
-    for _ in range(ENOUGH_MESSAGES):
+    peers = [asyncio.create_task(flood()) for _ in range(PEER_COUNT)]
+    for _ in range(MESSAGES_BEFORE_CLOSE):
         await handled.acquire()
     try:
         await daemons.close_server(server)
@@ -49,15 +49,16 @@
 
 
 def test_closing_under_traffic_ends() -> None:
-    """A planned stop hangs, and the VM is killed with requests in flight.
+    """Closing a server ends although peers still send to it.
 
-    Peers still send while the daemon closes. The cancellation of a
-    receiver meets a message that has just come, and is swallowed.
+    pynng drops a cancellation that arrives just after a message was
+    received. The receiver then goes on, a planned stop hangs, and the VM is
+    killed with requests in flight.
     """
 
-    async def story() -> None:
-        for _ in range(CLOSINGS):
+    async def scenario() -> None:
+        for _ in range(ROUNDS):
             async with asyncio.timeout(CLOSE_SECONDS):
                 await _close_under_traffic()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
