--- a/tests/fleets/test_absences.py
+++ b/tests/fleets/test_absences.py
@@ -1,4 +1,4 @@
-"""A change is in force in time after the store was away, however long."""
+"""Test that changes spread in time after outages of any length."""
 
 from __future__ import annotations
 
@@ -15,144 +15,145 @@
 Fleet = fleet_module.Fleet
 SERIES = 4
 SERIES_SECONDS = 0.06
-"""Changes that were held back while the store was away come one by one."""
+"""Pause between the changes that writers held back during an outage."""
 SIZES = ((13, 3, 2.0), (65, 3, 2.5), (195, 6, 3.0))
-"""Daemons, failure domains, and the seconds within which a change must be
-known."""
+"""Daemons, failure domains, and the seconds within which all daemons must
+know a change."""
 
 
 def _silent(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts)
+    fleet.store.stop_answering(fleet.hosts)
 
 
 def _reset(fleet: Fleet) -> None:
-    fleet.store.reset(fleet.hosts)
+    fleet.store.reset_connections(fleet.hosts)
 
 
 def _silent_for_half(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts[::2])
+    fleet.store.stop_answering(fleet.hosts[::2])
 
 
 def _silent_for_the_first_domain(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.of_domain("d0"))
+    fleet.store.stop_answering(fleet.hosts_in_domain("d0"))
 
 
 def _silent_for_all_readers(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.readers())
+    fleet.store.stop_answering(fleet.store_readers())
 
 
-KINDS = (
+ABSENCES = (
     _silent,
     _reset,
     _silent_for_half,
     _silent_for_the_first_domain,
     _silent_for_all_readers,
 )
-Kind = typing.Callable[[Fleet], None]
+Absence = typing.Callable[[Fleet], None]
 
 
-async def _calm(fleet: Fleet) -> None:
-    """Start, and wait until all readers watch since the same moment."""
+async def _start_with_aligned_watches(fleet: Fleet) -> None:
+    """Start the fleet; let all readers begin a watch at the same moment."""
     await fleet.start()
-    await fleet.spread()
+    await fleet.measure_propagation()
     await asyncio.sleep(2.0 * fleet.bound)
-    await fleet.spread()
+    await fleet.measure_propagation()
     await asyncio.sleep(0.3 * fleet.bound)
 
 
-async def _spread_after(
-    fleet: Fleet, seconds: float, kind: Kind = _silent
+async def _measure_after_absence(
+    fleet: Fleet, seconds: float, absence: Absence = _silent
 ) -> float:
-    """Return how long changes take right after an absence of the store."""
-    await _calm(fleet)
-    kind(fleet)
+    """Return the propagation time of changes right after an outage."""
+    await _start_with_aligned_watches(fleet)
+    absence(fleet)
     await asyncio.sleep(seconds)
-    fleet.store.back()
+    fleet.store.answer_all_hosts()
     for _ in range(SERIES - 1):
-        fleet.policy()
+        fleet.publish_policy()
         await asyncio.sleep(SERIES_SECONDS)
-    return await fleet.spread()
+    return await fleet.measure_propagation()
 
 
 @pytest.mark.parametrize("seconds", [0.0, 0.4, 1.2, 3.0, 5.1, 8.6, 25.0])
-@pytest.mark.parametrize("kind", KINDS)
-def test_change_after_an_absence_is_in_force_in_time(
-    kind: Kind, seconds: float
+@pytest.mark.parametrize("kind", ABSENCES)
+def test_change_after_an_outage_spreads_in_time(
+    kind: Absence, seconds: float
 ) -> None:
-    """Requests were handled by a policy that was replaced 2.6 s before.
+    """Watches begun during an outage must not delay changes after it.
 
-    The store had given no answer for 8.6 s, and confirmed the changes that
-    waited for it one after the other. Each reader had begun a watch while it
-    was away, which nobody answered any more and which was waited for as long
-    as one that just has no news: all readers were deaf for four seconds.
+    The store never answers such a watch, even once it is back. A reader
+    that waited for it as long as for a watch without changes learned of no
+    change for four seconds: after an outage of 8.6 s, requests were handled
+    by a policy that had been replaced 2.6 s before.
 
-    Their log, 4 s after the store's return: store_call_failed verb=watch
-    reason=timeout waited=6.9995 age=14.4999, then store_back.
+    The log of such a reader, 4 s after the store's return:
+    store_call_failed verb=watch reason=timeout waited=6.9995 age=14.4999,
+    then store_back.
     """
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        assert await _spread_after(fleet, seconds, kind) < fleet.bound
+        assert await _measure_after_absence(fleet, seconds, kind) < fleet.bound
 
     loops.run(test())
 
 
 @pytest.mark.parametrize("seconds", [0.4, 3.0, 8.6])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES[1:])
-def test_absence_is_over_for_large_fleets_as_soon(
+def test_change_after_an_outage_spreads_in_time_in_large_fleets(
     count: int, domains: int, bound: float, seconds: float
 ) -> None:
-    """The same with more followers, which hear of it from their readers."""
+    """Many followers must learn of the changes from their readers in time."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        assert await _spread_after(fleet, seconds) < bound
+        assert await _measure_after_absence(fleet, seconds) < bound
 
     loops.run(test())
 
 
-@pytest.mark.parametrize("kind", KINDS[2:])
+@pytest.mark.parametrize("kind", ABSENCES[2:])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES[:2])
-def test_change_during_an_absence_reaches_who_hears_of_it(
-    kind: Kind, count: int, domains: int, bound: float
+def test_change_during_a_partial_outage_spreads_in_time(
+    kind: Absence, count: int, domains: int, bound: float
 ) -> None:
-    """The store turns some daemons away while it serves the others."""
+    """The store does not answer some daemons while it serves the others."""
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        await _calm(fleet)
+        await _start_with_aligned_watches(fleet)
         kind(fleet)
         for pause in (0.3, 1.0, 2.5, 6.0):
             await asyncio.sleep(pause)
-            assert await fleet.spread() < bound
+            assert await fleet.measure_propagation() < bound
 
     loops.run(test())
 
 
-@pytest.mark.parametrize("kind", KINDS[:2])
+@pytest.mark.parametrize("kind", ABSENCES[:2])
 @pytest.mark.parametrize(("count", "domains", "bound"), SIZES)
-def test_store_that_is_away_gets_few_calls(
-    kind: Kind, count: int, domains: int, bound: float
+def test_unavailable_store_gets_few_calls(
+    kind: Absence, count: int, domains: int, bound: float
 ) -> None:
-    """All calls are paid for, and the store's rate is for all daemons.
+    """Calls are paid for, and all daemons share the store's rate limit.
 
-    While it is away and at its return only three daemons of each failure
-    domain call, each a check in its pause and a watch now and then.
+    During an outage and after it, only three daemons of each failure domain
+    call the store: one check per interval each, and an occasional watch.
     """
 
     async def test() -> None:
         fleet = Fleet(count, domains, bound=bound)
-        await _calm(fleet)
+        await _start_with_aligned_watches(fleet)
         kind(fleet)
         loop = asyncio.get_running_loop()
         begun = loop.time()
         await asyncio.sleep(20.0)
         calls = fleet.store.calls_since(begun)
-        pause = _checks.INTERVAL_JITTER_MIN * _checks_pause(fleet)
+        pause = _checks.INTERVAL_JITTER_MIN * _check_interval(fleet)
         callers = domains * _feeds.READERS_MAX
         assert calls["check"] <= callers * 20.0 / pause
         begun = loop.time()
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         await asyncio.sleep(2.0)
         calls = fleet.store.calls_since(begun)
         assert calls["watch"] + calls["read"] <= 3 * callers
@@ -161,72 +162,75 @@
     loops.run(test())
 
 
-def _checks_pause(fleet: Fleet) -> float:
+def _check_interval(fleet: Fleet) -> float:
     return next(iter(fleet.daemons.values())).feed.timing.check_interval
 
 
-def test_slow_store_is_not_taken_for_one_that_was_away() -> None:
-    """Each answer takes longer than a check's pause.
+def test_slow_store_is_not_taken_for_an_outage() -> None:
+    """Each answer takes longer than the interval between checks.
 
-    Taken for an absence, each late answer would end the watch under way,
-    and no watch would ever be answered.
+    If each late answer were taken for the end of an outage, it would end
+    the open watch, and no watch would ever be answered.
     """
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
-        fleet.store.slow = 1.5
+        await _start_with_aligned_watches(fleet)
+        fleet.store.answer_seconds = 1.5
         for _ in range(3):
             await asyncio.sleep(4.0)
-            assert await fleet.spread() < fleet.bound + fleet.store.slow
+            assert (
+                await fleet.measure_propagation()
+                < fleet.bound + fleet.store.answer_seconds
+            )
         begun = asyncio.get_running_loop().time()
         await asyncio.sleep(10.0)
         calls = fleet.store.calls_since(begun)
-        assert calls["watch"] <= len(fleet.readers()) * 10
+        assert calls["watch"] <= len(fleet.store_readers()) * 10
 
     loops.run(test())
 
 
-def test_revision_that_concerns_nobody_is_not_acted_on_for_long() -> None:
-    """The store's counter moves with changes that no watch tells.
+def test_revisions_of_other_keys_cause_few_watches() -> None:
+    """The store's revision grows with changes that no watch returns.
 
-    Each check then tells of a greater revision. Asked anew each time, the
-    store would get more calls than from daemons that only watch.
+    Each check then returns a greater revision. A new watch for each of them
+    would cost more calls than daemons make that only watch.
     """
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
+        await _start_with_aligned_watches(fleet)
         begun = asyncio.get_running_loop().time()
         for _ in range(80):
             fleet.store.revision += 1
             await asyncio.sleep(0.5)
         calls = fleet.store.calls_since(begun)
         assert calls["watch"] <= 3 * 40 / 5
-        assert await fleet.spread() < fleet.bound
+        assert await fleet.measure_propagation() < fleet.bound
 
     loops.run(test())
 
 
-def test_entries_that_lapsed_are_known_again_in_time() -> None:
-    """All entries lapse while the store is away, and come back with it.
+def test_lapsed_entries_that_return_are_known_in_time() -> None:
+    """All entries lapse during an outage and are written anew after it.
 
-    For as long as a daemon does not know of them it has nobody to send
+    Until a daemon knows of the new entries, it has no instance to send
     requests to.
     """
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
-        fleet.store.leave(fleet.hosts)
+        await _start_with_aligned_watches(fleet)
+        fleet.store.stop_answering(fleet.hosts)
         await asyncio.sleep(6.0)
         for host in fleet.hosts:
             fleet.store.remove(f"i-{host}")
         await asyncio.sleep(2.0)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         for host in fleet.hosts:
             await asyncio.sleep(2.0 / len(fleet.hosts))
-            fleet.entry(host)
+            fleet.write_instance(host)
         await asyncio.sleep(fleet.bound)
         for daemon in fleet.daemons.values():
             assert len(daemon.view.instances) == len(fleet.hosts)
@@ -235,43 +239,46 @@
 
 
 @pytest.mark.parametrize("seconds", [0.5, 4.0, 9.0])
-def test_daemons_that_start_without_the_store_hear_of_its_return(
+def test_daemons_that_start_in_an_outage_notice_its_end(
     seconds: float,
 ) -> None:
-    """All daemons are restarted while the store is away."""
+    """All daemons restart during an outage of the store."""
 
     async def test() -> None:
         fleet = Fleet(13, 3, bound=2.0)
-        await _calm(fleet)
-        fleet.store.leave(fleet.hosts)
+        await _start_with_aligned_watches(fleet)
+        fleet.store.stop_answering(fleet.hosts)
         for host in fleet.hosts:
             fleet.restart(host)
         await asyncio.sleep(seconds)
-        fleet.store.back()
-        # A first reading that waits in vain is found out by its time limit.
-        assert await fleet.spread() < 2.0 + fleet.bound
+        fleet.store.answer_all_hosts()
+        # A first reading that gets no answer ends only by its time limit.
+        assert await fleet.measure_propagation() < 2.0 + fleet.bound
 
     loops.run(test())
 
 
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_reader_that_alone_is_turned_away_hears_from_its_domain(
+def test_reader_without_the_store_learns_from_its_domain(
     seed: int,
 ) -> None:
-    """Readers waited for daemons that are cut off before asking others."""
+    """The store does not answer one reader of a partitioned domain.
+
+    The reader must not wait for unreachable daemons before it asks others.
+    """
 
     async def test() -> None:
         fleet = Fleet(36, 3, seed=seed, bound=2.0)
-        await _calm(fleet)
-        domain = fleet.of_domain("d0")
-        reader = fleet.reader("d0")
-        fleet.cut_off(domain)
-        fleet.store.leave(fleet.hosts)
+        await _start_with_aligned_watches(fleet)
+        domain = fleet.hosts_in_domain("d0")
+        reader = fleet.first_reader("d0")
+        fleet.partition(domain)
+        fleet.store.stop_answering(fleet.hosts)
         await asyncio.sleep(8.6)
-        fleet.store.back()
-        fleet.store.leave({reader})
+        fleet.store.answer_all_hosts()
+        fleet.store.stop_answering({reader})
         for pause in (0.0, 1.0, 3.0):
             await asyncio.sleep(pause)
-            assert await fleet.spread() < fleet.bound
+            assert await fleet.measure_propagation() < fleet.bound
 
     loops.run(test())
--- a/tests/fleets/test_revocations.py
+++ b/tests/fleets/test_revocations.py
@@ -1,4 +1,4 @@
-"""A key that was taken away stops to work in time, in touch or not."""
+"""Test that daemons refuse a revoked key in time, despite faults."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 Fleet = fleet_module.Fleet
 REVOCATION = 5.0
 KEY = policies.digest_key(b"k")
-OTHER = policies.digest_key(b"other")
-OWED_SHARE = 0.6
-"""The part of the bound for which a daemon without the store must serve."""
+OTHER_KEY = policies.digest_key(b"other")
+MIN_SERVING_SHARE = 0.6
+"""Share of the bound for which a daemon without the store must serve."""
 
 
 def _fleet(count: int = 24) -> Fleet:
@@ -25,8 +25,8 @@
         count,
         4,
         bound=2.5,
-        customers=_customers(KEY, OTHER),
-        revocation=REVOCATION,
+        customers=_customers(KEY, OTHER_KEY),
+        revocation_bound=REVOCATION,
     )
 
 
@@ -35,7 +35,7 @@
 
 
 def _accepts(fleet: Fleet, host: str, key: bytes = KEY) -> bool:
-    """Return whether a request with a key would run now."""
+    """Return whether a daemon would accept a request with a key now."""
     daemon = fleet.daemons[host]
     table = daemon.view.table
     if table is None or key not in (table.customers_by_key_digest or {}):
@@ -43,47 +43,47 @@
     return _confirmations.is_fresh(daemon, daemon.clock.monotonic())
 
 
-async def _calm(fleet: Fleet) -> None:
+async def _start_settled(fleet: Fleet) -> None:
     await fleet.start()
     await asyncio.sleep(4.0)
 
 
 def _revoke(fleet: Fleet) -> float:
-    fleet.customers = _customers(OTHER)
-    fleet.policy()
+    fleet.customers = _customers(OTHER_KEY)
+    fleet.publish_policy()
     return asyncio.get_running_loop().time()
 
 
 def _all_silent(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts)
+    fleet.store.stop_answering(fleet.hosts)
 
 
 def _third_silent(fleet: Fleet) -> None:
-    fleet.store.leave(fleet.hosts[::3])
+    fleet.store.stop_answering(fleet.hosts[::3])
 
 
 def _readers_reset(fleet: Fleet) -> None:
-    fleet.store.reset(fleet.readers())
+    fleet.store.reset_connections(fleet.store_readers())
 
 
 def _domain_cut(fleet: Fleet) -> None:
-    domain = fleet.of_domain("d1")
-    fleet.cut_off(domain)
-    fleet.store.leave(domain)
+    domain = fleet.hosts_in_domain("d1")
+    fleet.partition(domain)
+    fleet.store.stop_answering(domain)
 
 
 def _domain_cut_from_peers(fleet: Fleet) -> None:
-    fleet.cut_off(fleet.of_domain("d1"))
+    fleet.partition(fleet.hosts_in_domain("d1"))
 
 
 def _watches_stall(fleet: Fleet) -> None:
-    fleet.store.deaf = True
+    fleet.store.watches_stalled = True
 
 
 def _reader_alone(fleet: Fleet) -> None:
-    reader = fleet.reader("d2")
-    fleet.cut_off({reader})
-    fleet.store.leave({reader})
+    reader = fleet.first_reader("d2")
+    fleet.partition({reader})
+    fleet.store.stop_answering({reader})
 
 
 FAULTS = (
@@ -100,12 +100,12 @@
 
 @pytest.mark.parametrize("pause", [0.0, 0.7, 2.0, 4.0])
 @pytest.mark.parametrize("fault", FAULTS)
-def test_revoked_key_stops_in_time(fault: Fault, pause: float) -> None:
-    """A daemon that missed the change ran requests with the key."""
+def test_revoked_key_is_refused_in_time(fault: Fault, pause: float) -> None:
+    """A daemon that misses the revocation must not go on accepting the key."""
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
+        await _start_settled(fleet)
         fault(fleet)
         await asyncio.sleep(pause)
         revoked = _revoke(fleet)
@@ -119,12 +119,12 @@
 
 
 @pytest.mark.parametrize("count", [24, 96])
-def test_valid_key_works_all_the_time(count: int) -> None:
-    """Without any fault a daemon took its policy for unconfirmed."""
+def test_valid_key_is_always_accepted_without_faults(count: int) -> None:
+    """Without faults, no daemon may take its policy for unconfirmed."""
 
     async def test() -> None:
         fleet = _fleet(count)
-        await _calm(fleet)
+        await _start_settled(fleet)
         for _ in range(300):
             await asyncio.sleep(0.05)
             assert all(_accepts(fleet, host) for host in fleet.daemons)
@@ -133,12 +133,17 @@
 
 
 @pytest.mark.parametrize("fault", [_third_silent, _readers_reset])
-def test_valid_key_works_on_while_some_reach_the_store(fault: Fault) -> None:
-    """Daemons that the store turned away refused all customers."""
+def test_valid_key_is_accepted_while_some_daemons_reach_the_store(
+    fault: Fault,
+) -> None:
+    """Daemons without the store must not refuse all customers.
+
+    Their peers can still confirm the policy to them.
+    """
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
+        await _start_settled(fleet)
         fault(fleet)
         for _ in range(200):
             await asyncio.sleep(0.05)
@@ -147,12 +152,12 @@
     loops.run(test())
 
 
-def test_valid_key_works_for_a_while_without_the_store() -> None:
-    """Customers were refused sooner than a revoked key demands."""
+def test_valid_key_is_accepted_for_a_while_without_the_store() -> None:
+    """Customers must not be refused sooner than revocation requires."""
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
+        await _start_settled(fleet)
         _all_silent(fleet)
         begun = asyncio.get_running_loop().time()
         share = 0.0
@@ -163,7 +168,7 @@
             assert share == 1.0
         await asyncio.sleep(2.0 * REVOCATION)
         assert not any(_accepts(fleet, host) for host in fleet.daemons)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         await asyncio.sleep(2.5)
         assert all(_accepts(fleet, host) for host in fleet.daemons)
 
@@ -171,13 +176,13 @@
 
 
 def test_restarted_daemon_waits_for_a_confirmation() -> None:
-    """A daemon that had just read an old state accepted a revoked key."""
+    """A restarted daemon may have read stale data with a revoked key."""
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
-        host = sorted(fleet.of_domain("d1"))[0]
-        fleet.cut_off({host})
+        await _start_settled(fleet)
+        host = sorted(fleet.hosts_in_domain("d1"))[0]
+        fleet.partition({host})
         fleet.restart(host)
         for _ in range(100):
             await asyncio.sleep(0.02)
@@ -190,11 +195,11 @@
 
 
 def test_confirmations_cost_few_calls() -> None:
-    """Each reader's question is paid for, and the store's rate is shared."""
+    """Calls are paid for, and all readers share the store's rate limit."""
 
     async def test() -> None:
         fleet = _fleet(96)
-        await _calm(fleet)
+        await _start_settled(fleet)
         begun = asyncio.get_running_loop().time()
         await asyncio.sleep(20.0)
         calls = fleet.store.calls_since(begun)
@@ -205,27 +210,30 @@
 
 
 @pytest.mark.parametrize("away", [1.0, 2.5, 4.0])
-def test_revocation_that_the_store_lost_is_not_confirmed_away(
+def test_restored_backup_does_not_confirm_a_revoked_key(
     away: float,
 ) -> None:
-    """The older copy confirmed the policy that still held the key."""
+    """The backup holds the policy from before the revocation.
+
+    A confirmation of that policy must not let daemons accept the key.
+    """
 
     async def test() -> None:
         fleet = _fleet()
-        await _calm(fleet)
-        fleet.store.reset(fleet.hosts)
-        copy = fleet.store.copy()
+        await _start_settled(fleet)
+        fleet.store.reset_connections(fleet.hosts)
+        copy = fleet.store.back_up()
         revoked = _revoke(fleet)
         await asyncio.sleep(away)
         missing = fleet.store.restore(copy)
-        fleet.store.back()
+        fleet.store.answer_all_hosts()
         loop = asyncio.get_running_loop()
-        again = loop.call_later(1.8, fleet.store.write_again, missing)
+        rewrite = loop.call_later(1.8, fleet.store.rewrite, missing)
         while loop.time() < revoked + 3.0 * REVOCATION:
             await asyncio.sleep(0.05)
             if loop.time() > revoked + REVOCATION:
                 assert not [h for h in fleet.daemons if _accepts(fleet, h)]
-        assert again.when() < loop.time()
-        assert all(_accepts(fleet, h, OTHER) for h in fleet.daemons)
+        assert rewrite.when() < loop.time()
+        assert all(_accepts(fleet, h, OTHER_KEY) for h in fleet.daemons)
 
     loops.run(test())
