--- a/tests/fleets/demands.py
+++ b/tests/fleets/demands.py
@@ -1,4 +1,4 @@
-"""Requests of customers with quotas, at daemons of a modelled fleet."""
+"""Generate requests of customers with quotas at a modelled fleet."""
 
 from __future__ import annotations
 
@@ -21,25 +21,27 @@
 
 
 def customer(name: str, rate: float, burst: float) -> policies.Customer:
-    """Return a customer with a limit."""
+    """Return a customer with a rate limit."""
     key = policies.digest_key(name.encode())
     return policies.Customer(name, (key,), rate, burst)
 
 
 @dataclasses.dataclass
 class Demand:
-    """Requests of one customer, a second and host, and what became of them.
+    """The traffic of one customer and its outcomes.
 
-    ``ran`` are the instants at which requests were admitted, ``sent`` those
-    of all.
+    ``rate_by_host`` holds the requests per second that each host gets.
+    ``sent_times`` are the times of all requests, ``admitted_times`` those
+    at which requests were admitted. ``reason_counts`` counts the requests
+    by the reason of their refusal, ``NONE`` for admitted ones.
     """
 
     fleet: fleet_module.Fleet
-    name: str
-    rates: dict[str, float] = dataclasses.field(default_factory=dict)
-    sent: list[float] = dataclasses.field(default_factory=list)
-    ran: list[float] = dataclasses.field(default_factory=list)
-    ends: collections.Counter[outcomes.Reason] = dataclasses.field(
+    customer_name: str
+    rate_by_host: dict[str, float] = dataclasses.field(default_factory=dict)
+    sent_times: list[float] = dataclasses.field(default_factory=list)
+    admitted_times: list[float] = dataclasses.field(default_factory=list)
+    reason_counts: collections.Counter[outcomes.Reason] = dataclasses.field(
         default_factory=collections.Counter
     )
     rng: random.Random = dataclasses.field(
@@ -47,55 +49,59 @@
     )
 
     def spread(self, rate: float, hosts: typing.Sequence[str]) -> None:
-        """Send so many requests a second, from these hosts alike."""
-        self.rates = {host: rate / len(hosts) for host in hosts}
+        """Divide a rate of requests per second evenly among hosts."""
+        self.rate_by_host = {host: rate / len(hosts) for host in hosts}
 
     async def run(self, seconds: float) -> None:
-        """Send for some time; arrivals are random."""
+        """Send requests for some seconds, at random intervals."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
-            total = sum(self.rates.values())
+            total = sum(self.rate_by_host.values())
             pause = self.rng.expovariate(total) if total else 0.1
             await asyncio.sleep(min(pause, 0.5))
             if total and pause <= 0.5:
-                hosts = list(self.rates)
-                weights = list(self.rates.values())
+                hosts = list(self.rate_by_host)
+                weights = list(self.rate_by_host.values())
                 self.send(self.rng.choices(hosts, weights)[0])
 
     def send(self, host: str) -> None:
-        """Send one request; it finds nobody where the daemon is away."""
+        """Send one request; without a daemon on the host, it is refused."""
         loop = asyncio.get_running_loop()
-        self.sent.append(loop.time())
+        self.sent_times.append(loop.time())
         daemon = self.fleet.daemons.get(host)
         if daemon is None:
-            self.ends[outcomes.Reason.NO_INSTANCE] += 1
+            self.reason_counts[outcomes.Reason.NO_INSTANCE] += 1
             return
         table = daemon.view.table
         found = {} if table is None else table.customers_by_key_digest or {}
-        known = {each.name: each for each in found.values()}.get(self.name)
+        known = {each.name: each for each in found.values()}.get(
+            self.customer_name
+        )
         if known is None:
-            self.ends[outcomes.Reason.KEY_UNKNOWN] += 1
+            self.reason_counts[outcomes.Reason.KEY_UNKNOWN] += 1
         elif known.rate <= 0.0:
-            self._ended(outcomes.Reason.NONE)
+            self._record_outcome(outcomes.Reason.NONE)
         else:
-            _quotas.take_token(daemon, known, functools.partial(self._ended))
+            _quotas.take_token(
+                daemon, known, functools.partial(self._record_outcome)
+            )
 
-    def served(self, since: float) -> float:
-        """Return how many requests a second were admitted since then."""
+    def admitted_rate(self, since: float) -> float:
+        """Return the admitted requests per second since a time."""
         now = asyncio.get_running_loop().time()
-        return sum(at >= since for at in self.ran) / (now - since)
+        return sum(at >= since for at in self.admitted_times) / (now - since)
 
-    def asked(self, since: float) -> float:
-        """Return how many requests a second were sent since then."""
+    def sent_rate(self, since: float) -> float:
+        """Return the sent requests per second since a time."""
         now = asyncio.get_running_loop().time()
-        return sum(at >= since for at in self.sent) / (now - since)
+        return sum(at >= since for at in self.sent_times) / (now - since)
 
     def most(self, since: float = 0.0) -> int:
-        """Return the most requests that ran in any window of the rules."""
+        """Return the most requests admitted in any window of the rules."""
         window: collections.deque[float] = collections.deque()
         most = 0
-        for at in self.ran:
+        for at in self.admitted_times:
             if at < since:
                 continue
             window.append(at)
@@ -104,14 +110,14 @@
             most = max(most, len(window))
         return most
 
-    def _ended(self, reason: outcomes.Reason) -> None:
-        self.ends[reason] += 1
+    def _record_outcome(self, reason: outcomes.Reason) -> None:
+        self.reason_counts[reason] += 1
         if reason is outcomes.Reason.NONE:
-            self.ran.append(asyncio.get_running_loop().time())
+            self.admitted_times.append(asyncio.get_running_loop().time())
 
 
 def bound(rate: float, burst: float) -> float:
-    """Return how many requests may run in a window of the rules."""
+    """Return how many requests may be admitted in one window."""
     allowed = rate * RULES.window_seconds + burst
     return (
         allowed * (1.0 + RULES.relative_tolerance) + RULES.absolute_tolerance
--- a/tests/fleets/test_quotas.py
+++ b/tests/fleets/test_quotas.py
@@ -1,4 +1,4 @@
-"""Quotas hold over all daemons, and what is within them is served."""
+"""Test that quotas hold across all daemons, and are served in full."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
         domains,
         bound=2.5,
         customers=(demands.customer(NAME, rate, burst),),
-        quota=demands.RULES,
+        quota_rules=demands.RULES,
     )
 
 
 def _limit(fleet: Fleet, rate: float, burst: float) -> None:
     fleet.customers = (demands.customer(NAME, rate, burst),)
-    fleet.policy()
+    fleet.publish_policy()
 
 
 async def _settled(fleet: Fleet, demand: demands.Demand) -> float:
-    """Start, send for a while, and return the time from which to count."""
+    """Start the fleet and its traffic; return the time when it has settled."""
     await fleet.start()
     await demand.run(SETTLE)
     return asyncio.get_running_loop().time()
@@ -55,7 +55,7 @@
 
 
 def _one_domain(fleet: Fleet) -> list[str]:
-    return sorted(fleet.of_domain("d1"))
+    return sorted(fleet.hosts_in_domain("d1"))
 
 
 def _one_daemon(fleet: Fleet) -> list[str]:
@@ -74,7 +74,7 @@
 def test_customer_within_its_limit_is_served(
     rate: float, place: Place
 ) -> None:
-    """Requests within a quota were refused for the daemon that they met."""
+    """Requests within a quota are admitted at whichever daemon they arrive."""
 
     async def test() -> None:
         fleet = _fleet(rate, rate)
@@ -82,18 +82,18 @@
         demand.spread(rate / 1.6, place(fleet))
         since = await _settled(fleet, demand)
         await demand.run(REQUESTS / rate + 10.0)
-        asked = demand.asked(since)
-        assert demand.served(since) >= SERVED_LEAST * min(rate, asked)
+        asked = demand.sent_rate(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST * min(rate, asked)
 
     loops.run(test())
 
 
 @pytest.mark.parametrize("place", PLACES)
 @pytest.mark.parametrize("rate", [2.0, 20.0, 200.0])
-def test_hot_customer_gets_its_limit_and_no_more(
+def test_customer_above_its_limit_gets_exactly_its_limit(
     rate: float, place: Place
 ) -> None:
-    """A customer that sends many times its usual runs beyond its quota."""
+    """A customer that sends far more than usual must not exceed its quota."""
 
     async def test() -> None:
         fleet = _fleet(rate, rate)
@@ -103,14 +103,14 @@
         demand.spread(7.5 * rate / 1.6, place(fleet))
         since = asyncio.get_running_loop().time()
         await demand.run(12.0)
-        assert demand.served(since) >= SERVED_LEAST * rate
+        assert demand.admitted_rate(since) >= SERVED_LEAST * rate
         assert demand.most() <= demands.bound(rate, rate)
 
     loops.run(test())
 
 
-def test_customer_whose_traffic_moves_each_second_is_bounded() -> None:
-    """Each daemon that it left and each that it came to spent its quota."""
+def test_quota_holds_while_traffic_moves_each_second() -> None:
+    """Daemons that traffic left and reached must not both spend the quota."""
 
     async def test() -> None:
         fleet = _fleet(50.0, 50.0)
@@ -126,7 +126,7 @@
 
 
 def test_restarted_daemons_get_no_new_burst() -> None:
-    """Half of the daemons are killed at once and come back with no memory."""
+    """Half of the daemons restart at once and lose their state."""
 
     async def test() -> None:
         fleet = _fleet(50.0, 100.0)
@@ -142,10 +142,8 @@
     loops.run(test())
 
 
-def test_customer_is_served_again_soon_after_half_of_the_daemons_died() -> (
-    None
-):
-    """The allocators died with them, and nobody handed out tokens."""
+def test_customer_is_served_soon_after_half_of_the_daemons_stop() -> None:
+    """Without the allocators among them, no daemon hands out tokens."""
 
     async def test() -> None:
         fleet = _fleet(50.0, 50.0)
@@ -157,28 +155,28 @@
         await demand.run(4.0)
         since = asyncio.get_running_loop().time()
         await demand.run(8.0)
-        asked = demand.asked(since)
-        assert demand.served(since) >= SERVED_LEAST * asked
+        asked = demand.sent_rate(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST * asked
 
     loops.run(test())
 
 
 @pytest.mark.parametrize("rate", [20.0, 100.0])
-def test_domain_that_is_cut_off_serves_its_part_and_no_more(
+def test_partitioned_domain_serves_its_part_of_the_quota(
     rate: float,
 ) -> None:
-    """Each side of a cut handed out the whole quota, or none of it."""
+    """No side of a partition may hand out the whole quota, or none of it."""
 
     async def test() -> None:
         fleet = _fleet(rate, rate)
         demand = demands.Demand(fleet, NAME)
         demand.spread(rate / 1.6, fleet.hosts)
         await _settled(fleet, demand)
-        fleet.cut_off(fleet.of_domain("d2"))
+        fleet.partition(fleet.hosts_in_domain("d2"))
         since = asyncio.get_running_loop().time()
         await demand.run(15.0)
-        asked = demand.asked(since)
-        assert demand.served(since) >= SERVED_LEAST_IN_CUT * asked
+        asked = demand.sent_rate(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST_IN_CUT * asked
         demand.spread(7.5 * rate, fleet.hosts)
         await demand.run(15.0)
         assert demand.most() <= demands.bound(rate, rate)
@@ -186,8 +184,8 @@
     loops.run(test())
 
 
-def test_lower_limit_binds_soon() -> None:
-    """Shares of the limit before were spent on after it was lowered."""
+def test_lower_limit_takes_effect_soon() -> None:
+    """Shares of the former limit must not be spent after it is lowered."""
 
     async def test() -> None:
         fleet = _fleet(100.0, 100.0)
@@ -199,19 +197,21 @@
         since = asyncio.get_running_loop().time()
         await demand.run(12.0)
         assert demand.most(since) <= demands.bound(10.0, 10.0)
-        assert demand.served(since) >= SERVED_LEAST * 10.0
+        assert demand.admitted_rate(since) >= SERVED_LEAST * 10.0
         _limit(fleet, 100.0, 100.0)
         await demand.run(3.0)
         since = asyncio.get_running_loop().time()
         await demand.run(8.0)
-        assert demand.served(since) >= SERVED_LEAST * demand.asked(since)
+        assert demand.admitted_rate(since) >= SERVED_LEAST * demand.sent_rate(
+            since
+        )
 
     loops.run(test())
 
 
 @dataclasses.dataclass(frozen=True)
 class Event:
-    """Something that happens, and for how long load goes on after it."""
+    """A fault or change, and for how long traffic goes on after it."""
 
     kind: str
     place: int
@@ -260,13 +260,15 @@
 def _happen(
     fleet: Fleet, demand: demands.Demand, event: Event, rate: float
 ) -> None:
-    domain = fleet.of_domain(f"d{event.place}")
+    domain = fleet.hosts_in_domain(f"d{event.place}")
     if event.kind == "cut":
-        fleet.cut_off(domain)
+        fleet.partition(domain)
     elif event.kind == "split":
-        fleet.cut_off(domain | fleet.of_domain(f"d{(event.place + 1) % 4}"))
+        fleet.partition(
+            domain | fleet.hosts_in_domain(f"d{(event.place + 1) % 4}")
+        )
     elif event.kind == "heal":
-        fleet.network.cut.clear()
+        fleet.network.blocked_links.clear()
     elif event.kind == "kill":
         for host in fleet.hosts[event.place :: 3]:
             fleet.restart(host)
