--- a/src/sassafrasstair/callers/_app.py
+++ b/src/sassafrasstair/callers/_app.py
@@ -1,8 +1,11 @@
 """HTTP application for callers, as ASGI mounts under litestar.
 
 The mounts handle raw ASGI messages. Litestar's request layer alone takes
-more time than the whole hop is allowed, and it reads large bodies into
-memory.
+more time than the daemons may add to a call in total, and it reads large
+bodies into memory.
+
+A ticket is issued for one piece of once-only work. The call and its repeats
+carry the same ticket, so that the work does not run twice.
 """
 
 from __future__ import annotations
@@ -50,7 +53,10 @@
     ``handle_call`` and ``handle_ticket`` answer or refuse each request.
     While ``is_leaving`` returns true, each answer asks its caller to close
     the connection. ``on_refusal`` receives the refusals that are made here,
-    because of a malformed or late request or an internal fault.
+    because of a malformed or late request or an internal fault. An internal
+    fault is reported as a refusal too, since a refusal is the only reply
+    without an answer of an upstream; its outcome says whether the request
+    may have run.
     """
 
     @litestar.asgi(CALL_PREFIX, is_mount=True, copy_scope=False)
@@ -146,6 +152,8 @@
     headers: _request.Headers,
     messages: _bodies.RequestMessages,
 ) -> _request.Request:
+    # ``fields`` holds the values of the ``Sassafras-*`` headers, which the
+    # daemon uses itself; ``forwarded`` holds the headers for the upstream.
     fields = _request.read_fields(headers)
     forwarded = _request.forwarded_headers(headers)
     service, _, rest = (
@@ -234,6 +242,8 @@
 
 
 def _refusal_outcome(headers: _request.Headers) -> outcomes.Outcome:
+    # Headers with a ticket and a repeat count above 0 show that the caller
+    # has sent this request before; that earlier one may have run.
     if _request.may_have_run(headers):
         return outcomes.Outcome.UNKNOWN
     return outcomes.Outcome.NOT_RUN
--- a/src/sassafrasstair/console/_traces.py
+++ b/src/sassafrasstair/console/_traces.py
@@ -12,23 +12,37 @@
 LogFields = dict[str, typing.Any]
 
 _TOPICS = {
+    # The policy that the process applies, and whether it reaches the store
+    # and each of the other daemons.
     "policy_in_force": "policy",
     "store_lost": "store",
     "store_back": "store",
     "peer_lost": "peer",
     "peer_back": "peer",
+    # An instance that vanishes from the store while it is ready has lapsed.
+    # It is gone if it stays away, or vanishes while it is leaving, that is,
+    # takes no new requests.
     "instance_added": "instance",
     "instance_leaving": "instance",
     "instance_lapsed": "instance",
     "instance_gone": "instance",
     "instance_changed": "instance",
+    # The crash of an instance while it ran requests.
     "instance_crashed": "crash",
+    # Requests are told apart by their fingerprint. One that was running in
+    # repeated crashes is suspected and runs only apart from other suspects.
+    # It is blocked after further crashes, and cleared once it may run freely.
     "request_blocked": "request",
     "request_cleared": "request",
     "request_suspected": "request",
+    # Each failure domain has an allocator, which hands out the domain's
+    # shares of the customers' quotas. Its daemon adopts them when it starts
+    # as the allocator, and loses them to another allocator.
     "allocator_started": "quota",
     "shares_adopted": "quota",
     "shares_lost": "quota",
+    # The process did not run for a while: its VM was paused or overloaded,
+    # or the event loop was blocked.
     "held_up": "machine",
     "started": "process",
     "stopping": "process",
@@ -118,6 +132,7 @@
             "process",
             "quota",
         )
+        # "then" means: the state of the process at the time of that line.
         if process_wide or (subject and subject in named):
             lines.append("    then: " + _format_event("", state))
     return lines
--- a/src/sassafrasstair/httpio/_pools.py
+++ b/src/sassafrasstair/httpio/_pools.py
@@ -25,10 +25,15 @@
 """A connection is no longer used from this many seconds before the server's
 keep-alive time-out: a request must arrive before the server closes it."""
 _USER_TIMEOUT_MS = 1_500
+"""The kernel ends a connection on which sent data stays unacknowledged for
+this long. It also replaces the count of keepalive probes on Linux."""
 _KEEPALIVE_IDLE_S = 2
+"""Probes begin on a connection that was silent for so long. They detect a
+dead peer while a request, already acknowledged, waits for its response."""
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_COUNT = 2
 _NO_BODY = frozenset({204, 304})
+"""Statuses of responses that never have a body."""
 
 
 class Failure(enum.Enum):
@@ -36,8 +41,9 @@
 
     With ``NOT_SENT`` no byte of the request was sent; with all others the
     server may have run the request. ``LOST`` means that the connection ended
-    before any response, ``CUT_SHORT`` that the response was truncated or too
-    long, ``GARBLED`` that it was malformed.
+    before any response. ``CUT_SHORT`` means that the connection ended within
+    the response, or that the response is longer than ``RESPONSE_BYTES_MAX``.
+    ``GARBLED`` means that the response can't be parsed as HTTP.
     """
 
     NOT_SENT = "not_sent"
@@ -47,7 +53,10 @@
 
 
 class Job:
-    """A request to send and the callback for its result."""
+    """An HTTP request in flight and the callback for its result.
+
+    ``data`` is the encoded request, with its head and body.
+    """
 
     __slots__ = (
         "_connection",
@@ -91,7 +100,12 @@
 
     @property
     def may_have_been_sent(self) -> bool:
-        """Whether the server may have received any part of the request."""
+        """Whether the server may have received any part of the request.
+
+        Valid while the result is awaited, and right after ``abort``. The end
+        of the job resets it, even before the callback is called; the result
+        then tells whether the request was sent.
+        """
         return self._connection is not None
 
     @property
@@ -148,7 +162,10 @@
         self._idle.clear()
 
     def sweep(self, now: float) -> None:
-        """Close connections that were idle for too long."""
+        """Close connections that were idle for too long.
+
+        The pool has no timer of its own; its owner calls this regularly.
+        """
         kept = []
         for connection in self._idle:
             if connection.usable(now):
@@ -171,7 +188,7 @@
         self._idle.append(connection)
 
     def forget(self, connection: _Connection) -> None:
-        """Remove a connection that has closed."""
+        """Remove a connection that has closed; the connection calls this."""
         self._busy.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -241,7 +258,10 @@
         self._body_parts: list[bytes] = []
         self._body_size = 0
         self._is_late = False
+        """Whether the current response belongs to an earlier request."""
         self._has_length = True
+        """Whether the end of the response can be told without the connection
+        closing. Also true for a chunked body and for one that is absent."""
         self._keep_alive = True
         self._has_extra_data = False
         self._closed = False
@@ -350,7 +370,10 @@
             name, value = job.expected_field
             received = response.headers.get(name)
             # A late response, to a request that was cancelled or answered
-            # before, carries the value of that request and is ignored.
+            # before, carries the value of that request and is ignored. It
+            # comes from a server that responds again to an earlier request of
+            # this connection after the next one was sent. A job aborted here
+            # does not cause it, since its connection is closed.
             self._is_late = received is not None and received != value
         if job.body_omitted and not self._is_late and response.status >= 200:
             # httptools would wait for a body, which a HEAD response lacks.
--- a/src/sassafrasstair/platform/_store.py
+++ b/src/sassafrasstair/platform/_store.py
@@ -1,4 +1,12 @@
-"""Read-only client of the platform's metadata store."""
+"""Read-only client of the platform's metadata store.
+
+The store starts a new era when it is restored from an older copy, and counts
+its revisions on from that copy's. ``views.pack_revision`` combines the era and
+the store's own number into one revision that stays comparable. After a change
+of era the changes since a watched revision are not available: that revision's
+number may now belong to another change. The client then reports
+``HISTORY_GONE``, and everything must be read again.
+"""
 
 from __future__ import annotations
 
@@ -26,12 +34,15 @@
 UNUSED_PREFIX = "no-key-begins-so/"
 """A prefix without items; reading it returns the store's revision only."""
 IDLE_TIMEOUT_SECONDS = 30.0
+"""For how long a connection is kept if the store states no time-out."""
 PAGES_MAX = 1_000
-
-
+"""Maximum pages of one full read, so that it ends even if the store always
+announces another page. The read then ends without an error, and its result
+counts as the entire contents."""
 ERA_HEADER = b"store-era"
 """Header that counts how often the store was restored from an older copy."""
 _ERA_MAX = 1_000_000
+"""Less than 2**20, so a packed revision has at most 60 bits."""
 
 
 class _Range(msgspec.Struct, frozen=True):
@@ -119,6 +130,9 @@
         store_revision = 0 if first is None else first.store_revision
         revision = views.pack_revision(era, store_revision)
         changes, refused = _items.decode_changes(all_items, self._regions)
+        # Reading(changes, revision, content, whole, refused). A full read
+        # contains all changes up to its revision, so that both revisions are
+        # the same, and ``whole`` is true.
         return forwarding.Reading(
             changes, revision, revision, True, (*undecodable, *refused)
         )
@@ -143,6 +157,8 @@
         events = _decode_items(watched.events, undecodable)
         newest_revision = max((event.revision for event in events), default=-1)
         changes, refused = _items.decode_changes(events, self._regions)
+        # Reading(changes, revision, content, whole, refused): ``content`` is
+        # -1 if there is no usable event, and ``whole`` is false.
         return forwarding.Reading(
             changes,
             views.pack_revision(
@@ -164,6 +180,8 @@
         newest_revision = max((item.revision for item in items), default=-1)
         store_revision = _decode(_KEY_DECODER, response.body).store_revision
         changes, refused = _items.decode_changes(items, self._regions)
+        # Reading(changes, revision, content, whole, refused): ``content`` is
+        # -1 if the policy can't be decoded, and ``whole`` is false.
         return forwarding.Reading(
             changes,
             views.pack_revision(response.era, store_revision),
@@ -175,7 +193,12 @@
         )
 
     async def check(self, fresh: bool, latest: bool) -> int:
-        """Return the store's revision; raises ``SourceError``."""
+        """Return the store's revision; raises ``SourceError``.
+
+        ``fresh`` opens a new connection for the call. ``latest`` is the
+        opposite of the store's ``allow_stale``: without it the revision may
+        be seconds old.
+        """
         query = {"prefix": UNUSED_PREFIX}
         if not latest:
             query["allow_stale"] = "1"
@@ -259,6 +282,8 @@
     if result is httpio.Failure.NOT_SENT:
         raise forwarding.SourceError(reasons.UNREACHABLE, verb)
     if isinstance(result, httpio.Failure):
+        # ``LOST`` covers connections that ended without a response as well
+        # as truncated and malformed responses; the detail tells which.
         raise forwarding.SourceError(reasons.LOST, f"{verb}: {result.value}")
     if result.status == 410:
         raise forwarding.SourceError(reasons.HISTORY_GONE, verb)
--- a/src/sassafrasstair/runtime/_control.py
+++ b/src/sassafrasstair/runtime/_control.py
@@ -1,7 +1,14 @@
-"""Gossip between daemons and watches of the platform.
+"""Exchange of gossip with other daemons, and watches on the platform.
 
 Runs ``decisions.fleet`` with real time, the links to the other daemons and
-the client of the platform.
+the client of the platform. All of this together is the control side of a
+daemon, as opposed to the forwarding of requests. ``Control`` is the state of
+that side, and ``daemons.Control`` a message between the control sides of two
+daemons.
+
+A bundle is the signed configuration of the mesh. An envelope holds its text
+and the signatures of its approvers. A bundle that passes all checks is in
+force at a daemon from when the daemon adopts it, until it adopts another one.
 """
 
 from __future__ import annotations
@@ -26,7 +33,9 @@
     from sassafrasstair import metrics
 
 TICK_SECONDS = 0.25
+"""Interval of ``tick``; also the least delay before a lost watch restarts."""
 WATCH_RESTART_SECONDS = 5.0
+"""Delay before a watch is started again after an internal error."""
 
 _LOG = logging.getLogger(__name__)
 _WARNING_EVENTS = frozenset({"bundle_refused", "bundle_conflict"})
@@ -38,12 +47,13 @@
     """State of the control side of a daemon.
 
     ``on_adopted`` is called with each bundle that comes into force.
-    ``platform_heard_at`` is when this daemon itself last got an answer of
-    the platform, ``bundle_adopted_at`` when the current bundle came into
-    force here. ``approvals`` maps the SHA-256 of an envelope to the names
-    of its approvers. ``refused_bundles`` maps the digest of a refused
-    bundle to its source and the time of the refusal. ``conflict_winners``
-    maps a version of which two bundles exist to the digest that was kept.
+    ``platform_heard_at`` is when this daemon itself last got an answer of the
+    platform, None if it never did; what it learns of the platform from other
+    daemons doesn't count. ``bundle_adopted_at`` is when the current bundle
+    came into force here. ``approvals`` maps the SHA-256 of an envelope to the
+    names of its approvers. ``refused_bundles`` maps the digest of a refused
+    bundle to its source and the time of the refusal. ``conflict_winners`` maps
+    a version of which two bundles exist to the digest that was kept.
     """
 
     clock: clocks.Clock
@@ -103,13 +113,20 @@
 
 
 def apply_effects(control: Control, effects: list[fleet.Effect]) -> None:
-    """Carry out the effects of fleet decisions."""
+    """Carry out the effects of fleet decisions.
+
+    ``Exchange`` sends a message to another daemon and processes its reply.
+    ``Watch`` starts or stops the watches on the platform. ``ReadPlatform``
+    reads the platform once. ``InForce`` puts a bundle in force. All others
+    are events to log.
+    """
     for effect in effects:
         if isinstance(effect, fleet.Exchange):
             _start_task(control, _exchange(control, effect))
         elif isinstance(effect, fleet.Watch):
             _set_watch(control, effect.enabled)
         elif isinstance(effect, fleet.ReadPlatform):
+            # Running watches read the same keys, so no extra read is needed.
             if not control.watches:
                 _start_task(control, _read_platform(control, effect.delay))
         elif isinstance(effect, fleet.InForce):
@@ -145,7 +162,11 @@
 
 
 def _defect_of(reason: str) -> bundles.Defect:
-    """Return the defect that the text of a refusal begins with."""
+    """Return the defect that the text of a refusal begins with.
+
+    The text of a ``BundleError`` is the defect, a colon and the details.
+    Any other text counts as ``BAD_VALUE``.
+    """
     name = reason.partition(":")[0].replace(" ", "_")
     known = {defect.value for defect in bundles.Defect}
     if name in known:
@@ -229,7 +250,7 @@
             # Changes may have been missed while the watch was lost. Index 0
             # makes the next watch read everything, after a random delay.
             index = 0
-            await asyncio.sleep(_retry_delay(control, error))
+            await asyncio.sleep(_process_lost_watch(control, error))
             continue
         except Exception:
             # An internal error must not end the watch for good: new bundles
@@ -310,10 +331,14 @@
     return fleet.process_platform_failure(control.node, now, control.rng)
 
 
-def _retry_delay(
+def _process_lost_watch(
     control: Control, error: configservice.PlatformError
 ) -> float:
-    """Process a lost watch and return the seconds until the next one."""
+    """Process a lost watch and return the seconds until the next one.
+
+    The watch itself is the next read, so the delay of ``ReadPlatform`` is
+    returned; all other effects are carried out here.
+    """
     delay = TICK_SECONDS
     for effect in _process_failure(control, error):
         if isinstance(effect, fleet.ReadPlatform):
--- a/tests/runtime/test_watches.py
+++ b/tests/runtime/test_watches.py
@@ -137,7 +137,7 @@
     for a watch without changes: 40 s, and 7.5 s for its answer. Requests
     were then served under a bundle that was superseded 47 s before.
     """
-    monkeypatch.setattr(_control, "_retry_delay", lambda *_: 1.0)
+    monkeypatch.setattr(_control, "_process_lost_watch", lambda *_: 1.0)
 
     async def test() -> None:
         elapsed = await _seconds_until_noticed(_Platform(), seconds)
