--- a/tests/golden/messages.py
+++ b/tests/golden/messages.py
@@ -36,7 +36,7 @@
 from sassafrasstair import operators
 from sassafrasstair import outcomes
 from sassafrasstair.platform import _items
-from tests.golden import items
+from tests.platform import golden_items
 
 if typing.TYPE_CHECKING:
     from collections import abc
@@ -300,7 +300,7 @@
     def encode() -> bytes:
         read = [
             _items.decode_item(msgspec.Raw(json.dumps(item).encode()))
-            for item in items.ITEMS
+            for item in golden_items.ITEMS
         ]
         changes, refused = _items.decode_changes(read, {"a": "r1"})
         rows = [[type(change).__name__, change] for change in changes]
