--- a/src/sassafrasstair/forwarding/_attempts.py
+++ b/src/sassafrasstair/forwarding/_attempts.py
@@ -1,6 +1,6 @@
 """Sends a client's request to instances and handles each attempt's end.
 
-An instance keeps its id when it restarts, so the id and the start time
+An instance may keep its id when it restarts, so the id and the start time
 together identify one run of the instance.
 
 The ``rank`` of a request is its importance plus a fraction below 1. A higher
